--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -85,7 +85,7 @@
         fleet = self.fleet
         limits = RateLimits(name)
         limits.set_hosts(self._sharers(), fleet.now)
-        limits.told(SERVER, fleet.rate, fleet.now, fleet.now)
+        limits.learn_from_peer(SERVER, fleet.rate, fleet.now, fleet.now)
         return limits
 
     def _sharers(self) -> frozenset[str]:
--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -13,10 +13,10 @@
 from lacewingcross.core.accounts import Accounts, ClientAccount
 from lacewingcross.core.membership import HostInfo
 from lacewingcross.core.quota import Quota, QuotaBound
-from lacewingcross.core.quota_ledger import WAIT_MOST_S, Outcome
-from lacewingcross.core.quotas import Quotas, Times
+from lacewingcross.core.quota_ledger import MAX_WAIT_S, Outcome
+from lacewingcross.core.quotas import ClockReading, Quotas
 from lacewingcross.core.roster import Roster
-from lacewingcross.gateway.quota_desk import TELL_EVERY_S
+from lacewingcross.gateway.quota_admission import TELL_EVERY_S
 
 STEP_S = 0.01
 # How often hosts show each other that they live, in seconds.
@@ -87,11 +87,11 @@
         What hosts told each other.
     """
 
-    def __init__(self, count, quotas, *, seed=0, way_s=(0.001, 0.03)):
+    def __init__(self, count, quotas, *, seed=0, network_s=(0.001, 0.03)):
         self.rng = random.Random(seed)
         self.bound = QuotaBound()
         self.quotas = dict(quotas)
-        self.way_s = way_s
+        self.network_s = network_s
         self.now = 100.0
         self.nodes: dict[str, Node] = {}
         self.infos: dict[str, HostInfo] = {}
@@ -197,7 +197,7 @@
 
     def _times(self, node):
         frozen = node.frozen_s if self.now >= node.frozen_until else 0.0
-        return Times(self.now - frozen, self.now)
+        return ClockReading(self.now - frozen, self.now)
 
     def play(self, seconds, load=None):
         """Let time pass; `load` is called each step and may send requests."""
@@ -227,7 +227,7 @@
                 self._send(name, other, message)
         for account, waiting in node.waiting.items():
             self._decide(node, account, at)
-            while waiting and waiting[0] < self.now - WAIT_MOST_S:
+            while waiting and waiting[0] < self.now - MAX_WAIT_S:
                 waiting.popleft()
                 node.quotas.ledger.give_up(account)
                 self.refused[account] += 1
@@ -242,7 +242,7 @@
             self.message_items += len(getattr(message, "items", ())) or 1
         way = self._on_way.setdefault((source, target), deque())
         soonest = way[-1][0] if way else 0.0
-        at = max(soonest, self.now + self.rng.uniform(*self.way_s))
+        at = max(soonest, self.now + self.rng.uniform(*self.network_s))
         sender = self.nodes[source]
         way.append((at, sender.roster.own, sender.incarnation, message))
 
@@ -260,17 +260,17 @@
     def _hear(self, name, node, info, incarnation, message):
         at = self._times(node)
         if message is None:
-            node.roster.heard(info, incarnation, at.now, leaving=False)
+            node.roster.note_alive(info, incarnation, at.now, leaving=False)
             return
         host = (info.host_id, incarnation)
         if isinstance(message, msg.QuotaLease):
-            node.quotas.heard_lease(host, message, at)
+            node.quotas.on_lease(host, message, at)
         elif isinstance(message, msg.QuotaCharges):
-            answer = node.quotas.heard_charges(host, message, at)
+            answer = node.quotas.on_charges(host, message, at)
             if answer is not None:
                 self._send(name, info.host_id, answer)
         else:
-            for account in node.quotas.heard_receipts(info.host_id, message, at):
+            for account in node.quotas.on_receipts(info.host_id, message, at):
                 self._decide(node, account, at)
 
     # Requests
--- a/bench/soak/ledger.py
+++ b/bench/soak/ledger.py
@@ -38,7 +38,7 @@
 REPEATABLE = ("read", BAD)
 # Servers that may end under one request, and its runs that may come later than
 # `STABLE_S` after that from hosts that nothing has disturbed.
-ENDS_MOST = 3
+MAX_CRASHES_PER_REQUEST = 3
 LATE_MOST = 3
 # Time bounds are judged while the soak's own loop is late by less, in seconds.
 OWN_LAG_S = 0.25
@@ -82,7 +82,7 @@
 class Run:
     """One request that a server began to work on.
 
-    `account` is what the server was told, `keyed` whether it got credentials.
+    `account` is what the server was told, `key_claims` whether it got credentials.
     """
 
     request_id: str
@@ -326,9 +326,9 @@
 
     def _late_bad_runs(self) -> list[Broken]:
         """Return whether a request that ends servers went on reaching them."""
-        if len(self.ends) < ENDS_MOST:
+        if len(self.ends) < MAX_CRASHES_PER_REQUEST:
             return []
-        since = self.ends[ENDS_MOST - 1][0] + STABLE_S
+        since = self.ends[MAX_CRASHES_PER_REQUEST - 1][0] + STABLE_S
         late = [
             at
             for at, request_id in self.ends
--- a/lacewingcross/cli/messages.py
+++ b/lacewingcross/cli/messages.py
@@ -1,6 +1,6 @@
 """The command that shows what a host tells and hears of others."""
 
-from ..gateway.hearing import HEARD
+from ..gateway.gossip_receiver import HEARD
 from ..gateway.link import SENT, SENT_BYTES
 from .metrics_page import fetch_page, figures_by_name
 from .output import print_rows
--- a/lacewingcross/core/quota_tab.py
+++ b/lacewingcross/core/account_usage.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True)
-class Tab:
+class AccountUsage:
     """What a host runs for an account; `waiting` of those charged are undecided.
 
     `told` is what the account's keeper was told last, charged and returned;
--- a/lacewingcross/core/backend_state.py
+++ b/lacewingcross/core/backend_state.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass, field
 
-from .cold import ColdShare
-from .evidence import Evidence
-from .warmth import Warmth
+from .cold_limit import ColdShare
+from .passive_health import PassiveHealth
+from .warm_keys import Warmth
 
 # What no two runs of any server share: its id, and when it started (see `born_ms`).
 Incarnation = tuple[str, int]
@@ -50,7 +50,7 @@
     reported: int = 0
     reported_at: float = float("-inf")
     cold_share: ColdShare = field(default_factory=ColdShare)
-    evidence: Evidence = field(default_factory=Evidence)
+    passive_health: PassiveHealth = field(default_factory=PassiveHealth)
     warm: Warmth = field(default_factory=Warmth)
 
     def busy(self, now: float) -> int:
--- a/lacewingcross/core/completion.py
+++ b/lacewingcross/core/completion.py
@@ -25,7 +25,7 @@
 class Estimate:
     """What a request would meet at a server; times in seconds."""
 
-    way_s: float
+    network_s: float
     wait_s: float
     work_s: float
     warm: bool
@@ -33,7 +33,7 @@
     @property
     def total_s(self) -> float:
         """Return the time until the answer is here."""
-        return self.way_s + self.wait_s + self.work_s
+        return self.network_s + self.wait_s + self.work_s
 
 
 class Expectations:
@@ -60,7 +60,7 @@
         times = self._by_service.get(service)
         return max(LEAST_WORK_S, times.mean_s) if times else FIRST_WORK_S
 
-    def way_s(self, server: Server) -> float:
+    def network_s(self, server: Server) -> float:
         """Return the time to a server and back, in seconds."""
         return self.rtt_s.get(server.region, 0.0)
 
@@ -86,7 +86,7 @@
         wait_s = pace * waiting / slots * self.service_work_s(server.entry.service)
         warm = bool(key) and server.warm.holds(key)
         work_s = pace * times.expected_s(warm=warm)
-        return Estimate(self.way_s(server), wait_s, work_s, warm)
+        return Estimate(self.network_s(server), wait_s, work_s, warm)
 
     def learn_work(
         self, server: Server, times: WorkTimes, work_s: float, *, warm: bool
--- a/lacewingcross/core/crash_news.py
+++ b/lacewingcross/core/crash_gossip.py
@@ -11,15 +11,15 @@
 from itertools import islice
 
 from .backend_state import Incarnation
-from .crashes import ENDS_KEPT, CrashLedger
+from .crashes import MAX_CRASHES_KEPT, CrashLedger
 
 # Pieces of news that are kept; the oldest go first. Each end is told once by each host
 # that had requests there, mostly one or two.
-KEPT = 2 * ENDS_KEPT
+KEPT = 2 * MAX_CRASHES_KEPT
 
 
 @dataclass(slots=True, frozen=True)
-class Piece:
+class GossipItem:
     """One piece: a server that ended, or else a request that was answered.
 
     `source` is the host that told it, empty for what this host saw itself.
@@ -27,11 +27,11 @@
 
     number: int
     source: str
-    ended: Incarnation | None = None
+    crashed: Incarnation | None = None
     answered: str = ""
 
 
-class CrashNews:
+class CrashGossip:
     """News in the order in which it came.
 
     Parameters
@@ -44,20 +44,20 @@
 
     def __init__(self, ledger: CrashLedger) -> None:
         self._ledger = ledger
-        self._pieces: deque[Piece] = deque(maxlen=KEPT)
+        self._pieces: deque[GossipItem] = deque(maxlen=KEPT)
         self.newest = 0
 
-    def ended(self, server: Incarnation, source: str = "") -> None:
+    def crashed(self, server: Incarnation, source: str = "") -> None:
         """Note that a server has ended, or that more is known of its end."""
         self.newest += 1
-        self._pieces.append(Piece(self.newest, source, ended=server))
+        self._pieces.append(GossipItem(self.newest, source, crashed=server))
 
     def answered(self, request: str, source: str = "") -> None:
         """Note that a request under which servers had ended was answered."""
         self.newest += 1
-        self._pieces.append(Piece(self.newest, source, answered=request))
+        self._pieces.append(GossipItem(self.newest, source, answered=request))
 
-    def since(self, number: int | None) -> Iterator[Piece]:
+    def since(self, number: int | None) -> Iterator[GossipItem]:
         """Return what is newer than a number and still true.
 
         With None, for a new stream: all ends that count against a request. The others
@@ -68,14 +68,16 @@
         # Numbers have no gaps, so the newer pieces are the last ones.
         newest_first = islice(reversed(self._pieces), self.newest - number)
         newer = reversed(list(newest_first))
-        return (p for p in newer if p.answered or self._ledger.has_ended(p.ended))
+        return (p for p in newer if p.answered or self._ledger.has_crashed(p.crashed))
 
-    def _counts(self, piece: Piece) -> bool:
-        return piece.ended is not None and bool(self._ledger.requests_at(piece.ended))
+    def _counts(self, piece: GossipItem) -> bool:
+        return piece.crashed is not None and bool(
+            self._ledger.crash_requests(piece.crashed)
+        )
 
 
 def should_pass_on(
-    piece: Piece, receiver: str, active: Container[str], *, fresh: bool
+    piece: GossipItem, receiver: str, active: Container[str], *, fresh: bool
 ) -> bool:
     """Tell whether a piece of news is for another host.
 
--- a/lacewingcross/core/crashes.py
+++ b/lacewingcross/core/crashes.py
@@ -18,17 +18,17 @@
 # Servers that may end under a request before it is quarantined. An innocent request is
 # at two ends in a row when a service is being killed server by server; for three it
 # would have to meet each of them within the few tries that its caller makes.
-ENDS_MOST = 3
+MAX_CRASHES_PER_REQUEST = 3
 # How long an end counts against the requests that were there, in seconds. A caller that
 # repeats a request by hand or by schedule does so within minutes.
 REMEMBERED_S = 300.0
 # Ends that are remembered at most, so that they take some megabytes; the oldest goes
 # first.
-ENDS_KEPT = 512
+MAX_CRASHES_KEPT = 512
 
 
 @dataclass(slots=True, frozen=True)
-class ServerEnd:
+class ServerCrash:
     """One run of a backend server has ended, with these requests at it.
 
     `requests` holds fingerprints; it may be empty, and several hosts may each tell the
@@ -65,23 +65,23 @@
         """Tell whether anything is held against any request."""
         return bool(self._against or self.quarantine)
 
-    def has_ended(self, server: Incarnation) -> bool:
+    def has_crashed(self, server: Incarnation) -> bool:
         """Tell whether a run of a server is known to have ended."""
         return server in self._ends
 
-    def ends_under(self, request: str) -> int:
+    def crash_count(self, request: str) -> int:
         """Return how many servers have ended under a request and count against it."""
         return len(self._against.get(request, ()))
 
-    def requests_at(self, server: Incarnation) -> frozenset[str]:
+    def crash_requests(self, server: Incarnation) -> frozenset[str]:
         """Return the requests that the end of a server counts against."""
         ended = self._ends.get(server)
         return frozenset(ended.requests) if ended else frozenset()
 
     # What happens
 
-    def server_ended(
-        self, end: ServerEnd, now: float, *, own: bool = False
+    def record_crash(
+        self, end: ServerCrash, now: float, *, own: bool = False
     ) -> tuple[bool, list[str]]:
         """Take in that a server has ended.
 
@@ -113,13 +113,13 @@
             self._against.setdefault(request, set()).add(end.server)
             if request in self.quarantine:
                 self.quarantine.ended_again(request, end.server[0], now)
-            elif self.ends_under(request) >= ENDS_MOST:
+            elif self.crash_count(request) >= MAX_CRASHES_PER_REQUEST:
                 self._convict(request, now)
                 guilty.append(request)
         return first or bool(new), guilty
 
     def _remember(self, server: Incarnation, now: float) -> _Ended:
-        while len(self._ends) >= ENDS_KEPT:
+        while len(self._ends) >= MAX_CRASHES_KEPT:
             self._forget(next(iter(self._ends)))
         ended = _Ended(now)
         self._ends[server] = ended
--- a/lacewingcross/core/departures.py
+++ b/lacewingcross/core/departures.py
@@ -26,15 +26,15 @@
         How often a server was passed over.
     """
 
-    __slots__ = ("_leaving", "passed_over", "version")
+    __slots__ = ("_leaving", "skipped", "version")
 
     def __init__(self) -> None:
         # Whether this host has heard it itself, by the run of the server.
         self._leaving: OrderedDict[Incarnation, bool] = OrderedDict()
-        self.passed_over = 0
+        self.skipped = 0
         self.version = 0
 
-    def heard(self, server: Incarnation) -> bool:
+    def observe(self, server: Incarnation) -> bool:
         """Note that a server has said so to this host; return whether that is new."""
         known = self._leaving.get(server)
         if known:
@@ -43,7 +43,7 @@
         self._keep(server, own=True)
         return known is None
 
-    def told(self, server: Incarnation) -> bool:
+    def learn_from_peer(self, server: Incarnation) -> bool:
         """Note that another host has heard it; return whether that is new."""
         if server in self._leaving:
             return False
@@ -55,7 +55,7 @@
         if len(self._leaving) > KEPT:
             self._leaving.popitem(last=False)
 
-    def own_words(self) -> Iterator[Incarnation]:
+    def own_observations(self) -> Iterator[Incarnation]:
         """Yield the servers that have said so to this host."""
         return (server for server, own in self._leaving.items() if own)
 
@@ -69,5 +69,5 @@
     def may_send(self, server: Incarnation) -> bool:
         """Tell whether a request may go to a server."""
         leaves = server in self._leaving
-        self.passed_over += leaves
+        self.skipped += leaves
         return not leaves
--- a/lacewingcross/core/eligibility.py
+++ b/lacewingcross/core/eligibility.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterable
 
 from .backend_state import Server
-from .choices import Ask
-from .cold import share_of
-from .duties import HOSTS_UNLISTED
-from .evidence import FailureShare
+from .cold_limit import share_of
+from .fleet_shares import HOSTS_UNLISTED
+from .passive_health import FailureShare
+from .placement_types import PlacementRequest
 from .routes import Service
 from .send_gate import SendGate
 
@@ -78,13 +78,13 @@
         return declared.cold_start_s if declared else 0.0
 
     def may_take(
-        self, server: Server, ask: Ask, now: float, *, desperate: bool
+        self, server: Server, ask: PlacementRequest, now: float, *, desperate: bool
     ) -> bool:
         """Tell whether a server may be sent a request; see `Evidence.usable`."""
         usable = self._usable(server, ask, now, desperate=desperate)
         return usable and self.may_send(server, ask, now)
 
-    def may_send(self, server: Server, ask: Ask, now: float) -> bool:
+    def may_send(self, server: Server, ask: PlacementRequest, now: float) -> bool:
         """Tell whether a server itself allows one more request.
 
         Asked when it is chosen, and again when the first byte is about to be sent: a
@@ -92,7 +92,9 @@
         """
         return self.gate.may_send(server.entry.incarnation, now, urgent=ask.urgent)
 
-    def wait_s(self, servers: Iterable[Server], ask: Ask, now: float) -> float:
+    def wait_s(
+        self, servers: Iterable[Server], ask: PlacementRequest, now: float
+    ) -> float:
         """Return when the first of some servers allows a request, in seconds.
 
         Infinity if that is not known of any that could take it otherwise.
@@ -106,13 +108,15 @@
                     break
         return soonest_s
 
-    def _usable(self, server: Server, ask: Ask, now: float, *, desperate: bool) -> bool:
+    def _usable(
+        self, server: Server, ask: PlacementRequest, now: float, *, desperate: bool
+    ) -> bool:
         entry = server.entry
         if ask.regions and server.region not in ask.regions:
             return False
         if entry.server_id in ask.tried or entry.failure_domain in self._evacuated:
             return False
-        if not server.evidence.usable(now, desperate=desperate):
+        if not server.passive_health.usable(now, desperate=desperate):
             return False
         return not server.cold(now) or self._cold_room(server, now)
 
--- a/lacewingcross/core/share.py
+++ b/lacewingcross/core/fixed_share.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from .rendezvous import hash64
-from .request_state import Held, RequestState
+from .request_state import HeldPermit, RequestState
 from .view import View
 
 
@@ -29,7 +29,7 @@
 
     def take(
         self, state: RequestState, in_use: list[tuple[str, int]], now: float
-    ) -> Held | None:
+    ) -> HeldPermit | None:
         """Return a permit of the share for a request, or None.
 
         Parameters
@@ -51,7 +51,7 @@
             return None
         self._next_number += 1
         number = (self._view.incarnation << 32) + self._next_number
-        return Held(number, server_id, state.keeper)
+        return HeldPermit(number, server_id, state.keeper)
 
     def _size(self, service: str, region: str, now: float) -> int:
         hosts = len(self._view.members.live(now, region)) or 1
--- a/lacewingcross/core/duties.py
+++ b/lacewingcross/core/fleet_shares.py
@@ -11,12 +11,12 @@
 HOSTS_UNLISTED = 8
 
 
-def part_of_region(roster: Roster, now: float) -> float:
+def region_share(roster: Roster, now: float) -> float:
     """Return a host's part of its region's processor time, see `_part`."""
     return _part(roster, now, roster.own.region)
 
 
-def part_of_fleet(roster: Roster, now: float) -> float:
+def fleet_share(roster: Roster, now: float) -> float:
     """Return a host's part of all hosts' processor time, see `_part`."""
     return _part(roster, now, "")
 
@@ -46,7 +46,7 @@
     return part if roster.listed else min(part, 1.0 / HOSTS_UNLISTED)
 
 
-def hosts_that_serve(roster: Roster, now: float) -> frozenset[str]:
+def serving_hosts(roster: Roster, now: float) -> frozenset[str]:
     """Return the hosts that may send requests to servers, living or not.
 
     They are reckoned as in `_part`, and none before the list of hosts was read.
@@ -73,7 +73,7 @@
     able to follow it only if nobody else is. Of the others the largest come first,
     since the one that follows tells every change to all.
     """
-    if roster.hears_relay(now):
+    if roster.has_live_relay(now):
         return None
     rivals = {
         host_id: entry
@@ -83,7 +83,7 @@
     poor = {host_id: _poor(entry, now) for host_id, entry in rivals.items()}
     cores = {host_id: entry.info.cores for host_id, entry in rivals.items()}
     own = roster.own
-    poor[own.host_id] = roster.out or roster.turned_away
+    poor[own.host_id] = roster.out_of_service or roster.store_unreachable
     cores[own.host_id] = own.cores
     order = sorted(
         ranked("store-follower", poor),
@@ -93,5 +93,5 @@
 
 
 def _poor(entry: Entry, now: float) -> bool:
-    out = entry.leaving or entry.starting or entry.turned_away
+    out = entry.leaving or entry.starting or entry.store_unreachable
     return out or not entry.live(now)
--- a/lacewingcross/core/known_servers.py
+++ b/lacewingcross/core/known_servers.py
@@ -111,7 +111,7 @@
         if server.warm.handled(thing):
             self._news.append((server.entry.server_id, thing))
 
-    def handled_news(self) -> list[tuple[str, str]]:
+    def take_newly_handled(self) -> list[tuple[str, str]]:
         """Return servers and objects that were noted since the last call."""
         news, self._news = self._news, []
         return news
--- a/lacewingcross/core/messages.py
+++ b/lacewingcross/core/messages.py
@@ -12,11 +12,11 @@
 MOST = 1e15
 Number = Annotated[float, Meta(ge=-MOST, le=MOST)]
 # Requests that one message names at most; a server runs and queues some ten.
-REQUESTS_MOST = 256
+MAX_REQUESTS_PER_MESSAGE = 256
 # Accounts that one message names at most; more go into further ones.
-ACCOUNTS_MOST = 256
+MAX_ACCOUNTS_PER_MESSAGE = 256
 # Servers that one message names at most; more go into further ones.
-SERVERS_MOST = 256
+MAX_SERVERS_PER_MESSAGE = 256
 # A sum, a mask or milliseconds; larger ones are errors of the sender.
 Sum = Annotated[int, Meta(ge=0, le=2**53)]
 Fingerprint = Annotated[str, Meta(min_length=1, max_length=32)]
@@ -202,19 +202,19 @@
 class Alive(_Message, tag=19):
     """The sender lives, and what it has in flight at backend servers.
 
-    `starting` says that it cannot serve yet, `turned_away` that the store does not
-    answer it, and `wants` that it asks to be told what the receiver knows. `revisions`
-    holds the store's revision up to which it misses nothing, for each kind in order.
-    `counts` holds server ids and requests: if `whole`, of all servers, and one that is
-    missing has none; else of those where that has changed since the last message.
-    `handled` holds server ids and keys that they have handled for the first time since
-    then. Both are told to active hosts only.
+    `starting` says that it cannot serve yet, `store_unreachable` that the store does
+    not answer it, and `subscribes` that it asks to be told what the receiver knows.
+    `revisions` holds the store's revision up to which it misses nothing, for each kind
+    in order. `counts` holds server ids and requests: if `whole`, of all servers, and
+    one that is missing has none; else of those where that has changed since the last
+    message. `handled` holds server ids and keys that they have handled for the first
+    time since then. Both are told to active hosts only.
     """
 
     leaving: bool
     starting: bool
-    turned_away: bool
-    wants: bool
+    store_unreachable: bool
+    subscribes: bool
     revisions: list[int]
     counts: list[tuple[str, int]]
     handled: list[tuple[str, str]]
@@ -267,7 +267,7 @@
 
     server_id: str
     born_ms: int
-    requests: Annotated[list[Fingerprint], Meta(max_length=REQUESTS_MOST)]
+    requests: Annotated[list[Fingerprint], Meta(max_length=MAX_REQUESTS_PER_MESSAGE)]
 
 
 class QuotaLease(_Message, tag=25):
@@ -290,13 +290,17 @@
     Account, and the sums charged, returned and paid since the sender started.
     """
 
-    items: Annotated[list[tuple[str, Sum, Sum, Sum]], Meta(max_length=ACCOUNTS_MOST)]
+    items: Annotated[
+        list[tuple[str, Sum, Sum, Sum]], Meta(max_length=MAX_ACCOUNTS_PER_MESSAGE)
+    ]
 
 
 class QuotaReceipts(_Message, tag=27):
     """What of it is paid: account, returned, paid, and seconds until the next is."""
 
-    items: Annotated[list[tuple[str, Sum, Sum, Number]], Meta(max_length=ACCOUNTS_MOST)]
+    items: Annotated[
+        list[tuple[str, Sum, Sum, Number]], Meta(max_length=MAX_ACCOUNTS_PER_MESSAGE)
+    ]
 
 
 class RequestAnswered(_Message, tag=24):
@@ -313,14 +317,14 @@
     """
 
     items: Annotated[
-        list[tuple[str, Sum, Number, Number]], Meta(max_length=SERVERS_MOST)
+        list[tuple[str, Sum, Number, Number]], Meta(max_length=MAX_SERVERS_PER_MESSAGE)
     ]
 
 
 class ServersLeaving(_Message, tag=29):
     """Runs of servers that have said to the sender that they leave: id, `born_ms`."""
 
-    servers: Annotated[list[tuple[str, Sum]], Meta(max_length=SERVERS_MOST)]
+    servers: Annotated[list[tuple[str, Sum]], Meta(max_length=MAX_SERVERS_PER_MESSAGE)]
 
 
 QuotaMessage = QuotaLease | QuotaCharges | QuotaReceipts
--- a/lacewingcross/core/named_hosts.py
+++ b/lacewingcross/core/named_hosts.py
@@ -30,10 +30,10 @@
 
 def _serving(roster: Roster, now: float) -> Iterator[HostInfo]:
     """Yield the active hosts that live and serve."""
-    if roster.is_active and not roster.out:
+    if roster.is_active and not roster.out_of_service:
         yield roster.own
     live = roster.live_ids(now)
-    starting = roster.said_to_start(now)
+    starting = roster.reported_starting(now)
     for host_id, entry in roster.entries.items():
         if host_id not in roster.active or host_id not in live:
             continue
--- a/lacewingcross/core/node.py
+++ b/lacewingcross/core/node.py
@@ -25,10 +25,10 @@
     WriteEnded,
 )
 from .keeper import KeeperPolicy
-from .keeping import KeeperSet
+from .keeper_set import KeeperSet
 from .lookup import LookupAnswer, LookupRefusal, answer
 from .membership import LEAVING, HostInfo, Membership, member_fields, member_info
-from .planning import PlannerSet
+from .planner_set import PlannerSet
 from .randomness import RandomSource
 from .reports import Reporter
 from .requests import RequestTable
--- a/lacewingcross/core/evidence.py
+++ b/lacewingcross/core/passive_health.py
@@ -19,7 +19,7 @@
 UNREACHABLE = "unreachable"
 
 
-class Evidence:
+class PassiveHealth:
     """Outcomes of this host's attempts at one server."""
 
     __slots__ = (
@@ -39,16 +39,16 @@
         self._trial_after = False
         self.why = ""
 
-    def sent(self, number: int, now: float, patience_s: float) -> None:
-        """Note that attempt `number` was sent; an answer may take `patience_s`."""
-        self._pending[number] = (now, patience_s)
+    def sent(self, number: int, now: float, silence_timeout_s: float) -> None:
+        """Note that attempt `number` was sent; it may take `silence_timeout_s`."""
+        self._pending[number] = (now, silence_timeout_s)
 
     def answered(self, number: int, now: float, *, good: bool) -> None:
         """Note a whole answer; `good` is False for the server's own failures."""
         self._pending.pop(number, None)
         # Those still waiting are measured from now on: the server does answer.
-        for other, (_, patience_s) in self._pending.items():
-            self._pending[other] = (now, patience_s)
+        for other, (_, silence_timeout_s) in self._pending.items():
+            self._pending[other] = (now, silence_timeout_s)
         self._connect_pause_s = CONNECT_PAUSE_S
         self._trial_after = False
         self._fade(not good, now)
@@ -71,9 +71,9 @@
         there waits in vain, so it is left alone like one that cannot be reached. A
         server that has answered others meanwhile is only busy.
         """
-        quiet_since, patience_s = self._pending.pop(number, (now, 0.0))
+        quiet_since, silence_timeout_s = self._pending.pop(number, (now, 0.0))
         self._fade(True, now)
-        if now - quiet_since >= patience_s:
+        if now - quiet_since >= silence_timeout_s:
             self._back_off(SILENT, now)
 
     def unreachable(self, number: int, now: float) -> None:
@@ -81,7 +81,7 @@
         self._pending.pop(number, None)
         self._back_off(UNREACHABLE, now)
 
-    def ended(self, now: float) -> None:
+    def crashed(self, now: float) -> None:
         """Note that the server has ended, as this host or another one has found.
 
         It is left alone for as long as its entry may still stand: it lapses after three
--- a/lacewingcross/core/contacts.py
+++ b/lacewingcross/core/peer_selection.py
@@ -42,7 +42,7 @@
     return COUNTS_EVERY_S * max(1.0, len(roster.active) / COUNTS_HOSTS)
 
 
-def hearers(roster: Roster) -> frozenset[str]:
+def full_view_peers(roster: Roster) -> frozenset[str]:
     """Return the active hosts that this one tells of all whom it hears.
 
     Answers this load: an even fleet of 300 hosts, all active, that starts. If each told
@@ -106,7 +106,7 @@
     return hash64("ring", host_id)
 
 
-def hosts_to_tell(
+def hosts_to_advertise(
     roster: Roster, receiver: str, now: float, told_all: frozenset[str]
 ) -> list[HostInfo]:
     """Return the hosts that another one is told of.
@@ -129,7 +129,7 @@
     return [info for info in heard if info.host_id not in roster.active]
 
 
-def wanted(roster: Roster, now: float) -> set[str]:
+def subscriptions(roster: Roster, now: float) -> set[str]:
     """Return the hosts that a host wants to be told by."""
     if not roster.is_active and now - roster.last_active_at > LINGER_S:
         return set(_relays(roster, now))
--- a/lacewingcross/core/placement.py
+++ b/lacewingcross/core/placement.py
@@ -11,14 +11,14 @@
 from collections.abc import Iterator
 
 from .backend_state import Server
-from .choices import Ask, Choice, Refusal
 from .completion import Expectations
 from .eligibility import Eligibility
 from .homes import Homes
 from .known_servers import KnownServers
+from .placement_types import Choice, PlacementRequest, Refusal
 from .policy import Policy
 from .randomness import RandomSource
-from .reserved import Reserved, point_of
+from .region_reservations import RegionReservations, point_of
 from .send_gate import SendGate
 from .work_times import WorkTimes
 
@@ -98,9 +98,9 @@
         self.eligibility = Eligibility(region, cold_over, cold_slack, self.gate)
         self.expectations = Expectations()
         self.known = KnownServers(region_of, self._homes)
-        self.reserved = Reserved()
+        self.reserved = RegionReservations()
 
-    def choose(self, ask: Ask, now: float) -> Choice | Refusal:
+    def choose(self, ask: PlacementRequest, now: float) -> Choice | Refusal:
         """Return the server for a request, or why there is none."""
         self.reserved.asked(ask.service, ask.regions)
         off_limits = self._off_limits(ask)
@@ -111,7 +111,7 @@
         return found
 
     def _choose(
-        self, ask: Ask, off_limits: frozenset[str], now: float
+        self, ask: PlacementRequest, off_limits: frozenset[str], now: float
     ) -> Choice | Refusal:
         desperate = self._failing_alike(ask.service)
         usable = self._candidates(ask, off_limits, now, desperate=desperate)
@@ -124,7 +124,7 @@
             return Refusal("full", self.pause(ask.service))
         return self._best(open_ones, ask, now)
 
-    def _nobody(self, ask: Ask, now: float) -> Refusal:
+    def _nobody(self, ask: PlacementRequest, now: float) -> Refusal:
         """Return why no server may be sent a request, and when one may."""
         held_s = self.held_s(ask, now)
         if held_s:
@@ -133,7 +133,7 @@
         reason = NO_USABLE_SERVER if known else "no-server"
         return Refusal(reason, self.pause(ask.service))
 
-    def held_s(self, ask: Ask, now: float) -> float:
+    def held_s(self, ask: PlacementRequest, now: float) -> float:
         """Return when to come back if all servers ask to wait, spread; else 0."""
         servers = self._homes.of_service(ask.service)
         wait_s = self.eligibility.wait_s(servers, ask, now)
@@ -141,7 +141,7 @@
             return 0.0
         return wait_s * self.spread(1.0, 1 + SPREAD)
 
-    def _off_limits(self, ask: Ask) -> frozenset[str]:
+    def _off_limits(self, ask: PlacementRequest) -> frozenset[str]:
         """Return the regions that a request leaves to those that are bound there."""
         free = not ask.regions and self._policy.reserve_regions
         if not free or not self.reserved.any_for(ask.service):
@@ -150,7 +150,9 @@
         point = point_of(thing) if thing else self._rng.uniform(0.0, 1.0)
         return self.reserved.off_limits(ask.service, point)
 
-    def _best(self, open_ones: list[Choice], ask: Ask, now: float) -> Choice:
+    def _best(
+        self, open_ones: list[Choice], ask: PlacementRequest, now: float
+    ) -> Choice:
         first = open_ones[0]
         if not self._policy.fastest:
             return first
@@ -159,7 +161,12 @@
         return min(open_ones, key=lambda item: (item.estimate.total_s, item.busy))
 
     def _candidates(
-        self, ask: Ask, off_limits: frozenset[str], now: float, *, desperate: bool
+        self,
+        ask: PlacementRequest,
+        off_limits: frozenset[str],
+        now: float,
+        *,
+        desperate: bool,
     ) -> list[Choice]:
         """Return the servers that may take the request, the key's first home first.
 
@@ -184,23 +191,25 @@
         return found
 
     def _choice(
-        self, server: Server, why: str, ask: Ask, thing: str, now: float
+        self, server: Server, why: str, ask: PlacementRequest, thing: str, now: float
     ) -> Choice:
         times = self._times(ask)
         estimate = self.expectations.estimate(server, thing, times, now)
         return Choice(server, why, ask, thing, estimate, server.busy(now))
 
-    def _times(self, ask: Ask) -> WorkTimes:
+    def _times(self, ask: PlacementRequest) -> WorkTimes:
         return self.expectations.kind(ask.kind or ask.service, ask.target_s)
 
-    def _usable(self, ask: Ask, now: float, *, desperate: bool) -> Iterator[Server]:
+    def _usable(
+        self, ask: PlacementRequest, now: float, *, desperate: bool
+    ) -> Iterator[Server]:
         """Yield the servers that may take the request, in the order of its key."""
         may_take = self.eligibility.may_take
         for server in self._in_order(ask):
             if may_take(server, ask, now, desperate=desperate):
                 yield server
 
-    def _in_order(self, ask: Ask) -> list[Server]:
+    def _in_order(self, ask: PlacementRequest) -> list[Server]:
         if ask.key:
             return self._homes.order(ask.service, self._thing(ask))
         return self._homes.of_service(ask.service)
@@ -208,7 +217,7 @@
     def _failing_alike(self, service: str) -> bool:
         return self._policy.failing_alike and self.eligibility.failing_alike(service)
 
-    def _thing(self, ask: Ask) -> str:
+    def _thing(self, ask: PlacementRequest) -> str:
         """Return what names the request's object, empty when there is none.
 
         Objects of two kinds may have the same key: a server that has handled one is no
@@ -218,11 +227,11 @@
             return ask.key
         return f"{ask.kind}/{ask.key}"
 
-    def _has_room(self, choice: Choice, ask: Ask) -> bool:
+    def _has_room(self, choice: Choice, ask: PlacementRequest) -> bool:
         places = choice.server.entry.slots + self._waiting_places(choice, ask)
         return choice.busy < places
 
-    def _waiting_places(self, choice: Choice, ask: Ask) -> int:
+    def _waiting_places(self, choice: Choice, ask: PlacementRequest) -> int:
         """Return how many requests may wait at a server for a slot.
 
         `k` requests more than slots wait for about ``k / slots`` of the usual work.
@@ -231,21 +240,23 @@
         slots = choice.server.entry.slots
         estimate = choice.estimate
         share = WAIT_SHARE if self._policy.warm_waits else 0.0
-        spare_s = share * (ask.target_s - estimate.way_s - estimate.work_s)
+        spare_s = share * (ask.target_s - estimate.network_s - estimate.work_s)
         usual_s = self.expectations.service_work_s(ask.service)
         places = min(slots, max(WAITING_LEAST, int(slots * spare_s / usual_s)))
         return places + (1 if ask.urgent and self._policy.urgent_waits else 0)
 
-    def patience_s(self, ask: Ask) -> float:
+    def silence_timeout_s(self, ask: PlacementRequest) -> float:
         """Return for how long a server may be silent on a request, in seconds."""
-        return self._times(ask).patience_s(SILENT_MIN_S)
+        return self._times(ask).silence_timeout_s(SILENT_MIN_S)
 
     def pause(self, service: str) -> float:
         """Return when refused callers should come back, in seconds, spread."""
         wait = self.expectations.service_work_s(service)
         return wait * self.spread(1 - SPREAD, 1 + SPREAD)
 
-    def pause_after_shed(self, ask: Ask, now: float, *, with_room: bool) -> float:
+    def pause_after_shed(
+        self, ask: PlacementRequest, now: float, *, with_room: bool
+    ) -> float:
         """Return when a caller should come back whose request servers have shed.
 
         A server that sheds although it has free slots (`with_room`) may well take the
@@ -265,7 +276,7 @@
         server = choice.server
         server.own += 1
         server.used_at = now
-        server.evidence.sent(number, now, self.patience_s(choice.ask))
+        server.passive_health.sent(number, now, self.silence_timeout_s(choice.ask))
         if choice.thing:
             # Warm from the start of the first request on, not from its answer.
             self.known.handled(server, choice.thing)
@@ -293,7 +304,7 @@
         server = choice.server
         ask = choice.ask
         times = self._times(ask)
-        at_server_s = max(0.0, latency_s - choice.estimate.way_s)
+        at_server_s = max(0.0, latency_s - choice.estimate.network_s)
         times.learn_answer(latency_s)
         if choice.estimate.wait_s == 0.0 and not server.cold(now):
             warm = choice.estimate.warm
--- a/lacewingcross/core/choices.py
+++ b/lacewingcross/core/placement_types.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class PlacementRequest:
     """What placing needs to know of a request.
 
     `kind` names the sort of work (the route); `urgent` requests may also wait at a
@@ -34,7 +34,7 @@
 
     server: Server
     why: str
-    ask: Ask
+    ask: PlacementRequest
     thing: str
     estimate: Estimate
     busy: int
--- a/lacewingcross/core/quota_holders.py
+++ b/lacewingcross/core/quota_holders.py
@@ -183,7 +183,7 @@
         else:
             live = roster.live_ids(now)
         live = {h for h in live if h in self.holders and self._serves(h)}
-        if not roster.out:
+        if not roster.out_of_service:
             live.add(roster.own.host_id)
         return self.holders.mask(live)
 
--- a/lacewingcross/core/quota_ledger.py
+++ b/lacewingcross/core/quota_ledger.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from .account_usage import AccountUsage
 from .quota import Quota, QuotaBound
 from .quota_keeper import Charge, Receipt
-from .quota_tab import Tab
 from .randomness import RandomSource
 
 # How long a request may wait for its keeper's word, in seconds: the farthest region's
 # answer takes 70 ms, the first one over a new stream three times that.
-WAIT_MOST_S = 0.25
+MAX_WAIT_S = 0.25
 # Requests of an account that may wait at a host for its keeper's word.
 WAITERS_MOST = 64
 # Open charges are told again after so long, in seconds: a stream may have lost them.
@@ -88,7 +88,7 @@
     def __init__(self, bound: QuotaBound, rng: RandomSource) -> None:
         self._bound = bound
         self._rng = rng
-        self._tabs: dict[str, Tab] = {}
+        self._tabs: dict[str, AccountUsage] = {}
         # The highest sums, charged and returned, of accounts that are gone.
         self._dropped = (0, 0)
         # Accounts of which something is yet to be told or paid.
@@ -114,14 +114,14 @@
         charged, returned = self._dropped
         self._dropped = (max(charged, tab.charged), max(returned, tab.returned))
 
-    def _new_tab(self, quota: Quota) -> Tab:
+    def _new_tab(self, quota: Quota) -> AccountUsage:
         """Return a tab whose sums are no lower than those of any that was dropped.
 
         Failure: an account loses its quota and gets it back, and its keeper has heard
         only of the last version. Lower sums look like old news to it.
         """
         charged, returned = self._dropped
-        return Tab(quota, None, charged, returned, paid=charged - returned)
+        return AccountUsage(quota, None, charged, returned, paid=charged - returned)
 
     def set_bound(self, bound: QuotaBound) -> None:
         """Take over what all hosts keep to."""
@@ -145,7 +145,7 @@
         """Return the accounts that have quotas."""
         return iter(self._tabs)
 
-    def _debt_most(self, tab: Tab) -> int:
+    def _debt_most(self, tab: AccountUsage) -> int:
         return self._bound.debt_each(tab.quota, self.holders) if self.holders else 0
 
     # Requests
@@ -172,16 +172,16 @@
         self._open.add(account)
         return self._outcome(tab, Outcome.WAITING, now)
 
-    def _may_wait(self, tab: Tab, ahead: int, now: float) -> bool:
+    def _may_wait(self, tab: AccountUsage, ahead: int, now: float) -> bool:
         """Tell whether a request behind some others will have its turn in moments."""
         if ahead >= WAITERS_MOST:
             return False
         soonest_s = tab.next_paid_at - now
         if soonest_s <= 0:
             return True
-        return soonest_s + ahead * self._apart_s(tab) <= WAIT_MOST_S
+        return soonest_s + ahead * self._apart_s(tab) <= MAX_WAIT_S
 
-    def _apart_s(self, tab: Tab) -> float:
+    def _apart_s(self, tab: AccountUsage) -> float:
         """Return how far apart credit comes for this host's callers, in seconds."""
         return self.callers_parts / tab.quota.rate
 
@@ -214,7 +214,7 @@
         if tab is not None and tab.charged - tab.returned > tab.waiting:
             self._take_back(account, tab)
 
-    def _take_back(self, account: str, tab: Tab) -> None:
+    def _take_back(self, account: str, tab: AccountUsage) -> None:
         tab.take_back()
         self._open.add(account)
 
@@ -225,7 +225,7 @@
             return Admission(Outcome.REFUSED, self._bound.window_s)
         return self._outcome(tab, Outcome.REFUSED, now)
 
-    def _outcome(self, tab: Tab, outcome: Outcome, now: float) -> Admission:
+    def _outcome(self, tab: AccountUsage, outcome: Outcome, now: float) -> Admission:
         pause_s = self._turn_s(tab, now) if outcome is Outcome.REFUSED else 0.0
         return Admission(
             outcome,
@@ -236,7 +236,7 @@
             now - tab.heard_at,
         )
 
-    def _turn_s(self, tab: Tab, now: float) -> float:
+    def _turn_s(self, tab: AccountUsage, now: float) -> float:
         """Return when a refused caller should come back, in seconds.
 
         Failure: all who are refused in a second are told the same time, come back
@@ -253,7 +253,7 @@
         tab.next_turn = turn
         return turn - now
 
-    def _age(self, tab: Tab, now: float) -> None:
+    def _age(self, tab: AccountUsage, now: float) -> None:
         """Forgive debts that no window counts any more.
 
         Failure: no keeper can be reached. Without this, a host would run its debt once
@@ -290,7 +290,7 @@
         tab = self._tabs.get(account)
         return max(0, tab.debt) if tab else 0
 
-    def _due(self, tab: Tab, now: float) -> bool:
+    def _due(self, tab: AccountUsage, now: float) -> bool:
         if now - tab.told_at >= TELL_AGAIN_S:
             return True
         if tab.told == (tab.charged, tab.returned):
--- a/lacewingcross/core/quotas.py
+++ b/lacewingcross/core/quotas.py
@@ -11,7 +11,7 @@
 
 from . import messages as msg
 from .accounts import Accounts
-from .messages import ACCOUNTS_MOST
+from .messages import MAX_ACCOUNTS_PER_MESSAGE
 from .quota import Quota, QuotaBound
 from .quota_holders import HolderWatch
 from .quota_keeper import LEASE_S, Charge, Incarnation, QuotaKeeper, Receipt
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Times:
+class ClockReading:
     """One moment: `now` on the ordinary clock, `boot` on one that counts suspends."""
 
     now: float
@@ -107,7 +107,7 @@
 
     # What is known
 
-    def configure(self, accounts: Accounts, at: Times) -> None:
+    def configure(self, accounts: Accounts, at: ClockReading) -> None:
         """Take over the accounts of the configuration in force."""
         if accounts is self._accounts:
             return
@@ -119,13 +119,13 @@
             self.ledger.configure(quotas)
             self._set_keepers()
 
-    def set_bound(self, bound: QuotaBound, at: Times) -> None:
+    def set_bound(self, bound: QuotaBound, at: ClockReading) -> None:
         """Take over what all hosts keep to."""
         self._bound = bound
         self.keeper.set_bound(bound, at.boot)
         self.ledger.set_bound(bound)
 
-    def review(self, at: Times) -> None:
+    def review(self, at: ClockReading) -> None:
         """Take over who holds shares, who lives, and what this host may run unpaid."""
         if self._started_at is None:
             self._started_at = at.now
@@ -164,19 +164,19 @@
             elif peer.live_since is None:
                 peer.live_since = boot
 
-    def _lend_own(self, at: Times) -> None:
+    def _lend_own(self, at: ClockReading) -> None:
         own = self._roster.own.host_id
-        live = self._live if self.watch.good and not self._roster.out else 0
+        live = self._live if self.watch.good and not self._roster.out_of_service else 0
         key = self.watch.holders.key
         self.keeper.lend(own, key, live, at.boot + LEASE_S, at.boot)
 
-    def leave(self, at: Times) -> None:
+    def leave(self, at: ClockReading) -> None:
         """Keep nothing any more: this host is about to say that it leaves."""
         self.keeper.give_up(at.boot)
 
     # Requests
 
-    def ask(self, account: str, at: Times) -> Admission:
+    def ask(self, account: str, at: ClockReading) -> Admission:
         """Decide on a request of an account, see `QuotaLedger.ask`."""
         found = self.ledger.ask(account, at.now)
         if self.ledger.keeper(account) != self._roster.own.host_id:
@@ -191,7 +191,7 @@
             return self.ledger.refusal(account, at.now)
         return found
 
-    def _charge_own(self, charge: Charge, at: Times) -> None:
+    def _charge_own(self, charge: Charge, at: ClockReading) -> None:
         """Charge what this host runs for an account that it keeps itself."""
         own = self._roster.own.host_id
         receipt = self.keeper.charge((own, 0), charge, at.boot)
@@ -200,13 +200,13 @@
 
     # What others are told
 
-    def outgoing(self, at: Times) -> Iterator[tuple[str, msg.Message]]:
+    def outgoing(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
         """Yield the messages that are due, and to whom."""
         yield from self._leases(at)
         yield from self._receipts(at)
         yield from self._charges(at)
 
-    def _leases(self, at: Times) -> Iterator[tuple[str, msg.Message]]:
+    def _leases(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
         if not self.watch.tells(at.now):
             return
         for place, peer in self._living_peers():
@@ -227,7 +227,7 @@
         not heard of it yet. So the newcomer is told to go by the holders without itself
         until all others have heard, or every lease to them has ended.
         """
-        if not self.watch.good or self._roster.out:
+        if not self.watch.good or self._roster.out_of_service:
             return 0
         ended = boot - peer.live_since >= LEASE_S
         if ended or self._all_heard_of(peer):
@@ -248,7 +248,7 @@
             if host_id != own and self._live >> place & 1:
                 yield place, self._peers[host_id]
 
-    def _receipts(self, at: Times) -> Iterator[tuple[str, msg.Message]]:
+    def _receipts(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
         own = self._roster.own.host_id
         told: dict[str, list[Receipt]] = {}
         for host_id, receipt in self.keeper.review(at.boot):
@@ -260,7 +260,7 @@
             for some in _in_parts(receipts):
                 yield host_id, receipts_message(some)
 
-    def _charges(self, at: Times) -> Iterator[tuple[str, msg.Message]]:
+    def _charges(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
         own = self._roster.own.host_id
         told: dict[str, list[Charge]] = {}
         for keeper, charge in self.ledger.to_tell(at.now):
@@ -275,8 +275,8 @@
 
     # What others tell
 
-    def heard_lease(
-        self, host: Incarnation, message: msg.QuotaLease, at: Times
+    def on_lease(
+        self, host: Incarnation, message: msg.QuotaLease, at: ClockReading
     ) -> None:
         """Take over the shares that a host lends."""
         host_id, incarnation = host
@@ -295,12 +295,12 @@
             peer.told_at = float("-inf")
         until = message.echo_ms / 1000 + LEASE_S
         # An echo from the future is one of an earlier start of this machine.
-        valid = not self._roster.out and until <= at.boot + LEASE_S
+        valid = not self._roster.out_of_service and until <= at.boot + LEASE_S
         live = message.live if valid else 0
         self.keeper.lend(host_id, message.key, live, until, at.boot)
 
-    def heard_charges(
-        self, host: Incarnation, message: msg.QuotaCharges, at: Times
+    def on_charges(
+        self, host: Incarnation, message: msg.QuotaCharges, at: ClockReading
     ) -> msg.QuotaReceipts | None:
         """Take in what a host runs; return the receipts for it, if any."""
         found = (
@@ -309,8 +309,8 @@
         receipts = [receipt for receipt in found if receipt is not None]
         return receipts_message(receipts) if receipts else None
 
-    def heard_receipts(
-        self, host_id: str, message: msg.QuotaReceipts, at: Times
+    def on_receipts(
+        self, host_id: str, message: msg.QuotaReceipts, at: ClockReading
     ) -> list[str]:
         """Take in what is paid; return the accounts that it concerns."""
         receipts = [Receipt(*item) for item in message.items]
@@ -319,8 +319,8 @@
 
 def _in_parts(items: Sequence[T]) -> Iterator[Sequence[T]]:
     """Yield items in parts that one message carries."""
-    for first in range(0, len(items), ACCOUNTS_MOST):
-        yield items[first : first + ACCOUNTS_MOST]
+    for first in range(0, len(items), MAX_ACCOUNTS_PER_MESSAGE):
+        yield items[first : first + MAX_ACCOUNTS_PER_MESSAGE]
 
 
 def receipts_message(receipts: Sequence[Receipt]) -> msg.QuotaReceipts:
--- a/lacewingcross/core/rate_limits.py
+++ b/lacewingcross/core/rate_limits.py
@@ -117,7 +117,7 @@
         How often a server was passed over for its rate.
     """
 
-    __slots__ = ("_bound", "_by_server", "_hosts", "_own", "passed_over", "version")
+    __slots__ = ("_bound", "_by_server", "_hosts", "_own", "skipped", "version")
 
     def __init__(self, own: str, bound: RateBound | None = None) -> None:
         self._bound = bound or RateBound()
@@ -125,12 +125,12 @@
         # Until somebody says who else serves, this host has no share.
         self._hosts: frozenset[str] = frozenset()
         self._own = own
-        self.passed_over = 0
+        self.skipped = 0
         self.version = 0
 
     # What servers say
 
-    def heard(
+    def observe(
         self, server: Incarnation, rate: float | None, asked_at: float, now: float
     ) -> bool:
         """Take in an answer of a server to a request that was sent at `asked_at`.
@@ -153,7 +153,7 @@
             self.version += 1
         return changed
 
-    def told(
+    def learn_from_peer(
         self, server: Incarnation, rate: float | None, at: float, now: float
     ) -> bool:
         """Take in what another host has heard, see `RateLimit`.
@@ -191,7 +191,7 @@
         self._share_out(server, known, now)
         return True
 
-    def own_words(self) -> Iterator[tuple[Incarnation, RateLimit]]:
+    def own_observations(self) -> Iterator[tuple[Incarnation, RateLimit]]:
         """Yield what this host has heard itself and remembers."""
         return (item for item in self._by_server.items() if item[1].own)
 
@@ -265,7 +265,7 @@
             allowed = limit.credit_now(now) >= (1.0 if urgent else CREDIT_LEAST)
         else:
             allowed = self._may_try(limit, now)
-        self.passed_over += not allowed
+        self.skipped += not allowed
         return allowed
 
     def _may_try(self, limit: RateLimit, now: float) -> bool:
--- a/lacewingcross/core/reserved.py
+++ b/lacewingcross/core/region_reservations.py
@@ -30,7 +30,7 @@
 Place = tuple[str, str]
 
 
-class Reserved:
+class RegionReservations:
     """How far each region is reserved, for each service."""
 
     __slots__ = ("_asked", "_bound", "_parts", "_reviewed_at")
--- a/lacewingcross/core/reports.py
+++ b/lacewingcross/core/reports.py
@@ -4,7 +4,7 @@
 
 from .actions import Action, CreateObject, UpdateObject
 from .events import WriteEnded
-from .keeping import KeeperSet
+from .keeper_set import KeeperSet
 from .membership import DOWN
 from .requests import RequestTable
 from .view import View
--- a/lacewingcross/core/request_state.py
+++ b/lacewingcross/core/request_state.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class HeldPermit:
     """A permit in use."""
 
     number: int
@@ -39,7 +39,7 @@
     asked_at: float = 0.0
     ask_again_at: float = 0.0
     resume_at: float = 0.0
-    held: Held | None = None
+    held: HeldPermit | None = None
     attempt: Attempt | None = None
     attempts: int = 0
     exclude: set[str] = field(default_factory=set)
--- a/lacewingcross/core/requests.py
+++ b/lacewingcross/core/requests.py
@@ -19,13 +19,13 @@
 from .attempts import Attempt, Ending, RetryBudget, Stage, Verdict, decide
 from .claims import CLAIMED, TAKEN, ClaimKeeper
 from .events import AttemptEnded, RequestArrived
-from .keyed import KeyClaims
-from .request_state import Held, Phase, RequestState
+from .fixed_share import FixedShare
+from .key_claims import KeyClaims
+from .request_state import HeldPermit, Phase, RequestState
 from .resources import SteeringPolicy
 from .servers import ANSWERED, FAILED, SHED, UNREACHABLE, UNUSED
-from .share import FixedShare
 from .view import View
-from .waiting import WaitingRequests
+from .waiting_requests import WaitingRequests
 
 RENEW_S = 1.0
 KEEPER_SILENCE_S = 0.9
@@ -205,7 +205,7 @@
         if not wanted:
             yield self._release_unused(host_id, grant)
             return
-        state.held = Held(grant.permit, grant.server_id, host_id)
+        state.held = HeldPermit(grant.permit, grant.server_id, host_id)
         yield from self._start(state, grant.lease_s * START_PART, now)
 
     def _release_unused(self, host_id: str, grant: msg.Grant) -> SendPeer:
--- a/lacewingcross/core/roster.py
+++ b/lacewingcross/core/roster.py
@@ -34,38 +34,38 @@
 class Entry:
     """One other entry host.
 
-    `wants` says that it asked to be told what this host knows. `active_at` is when it
-    was last among the active hosts, `sought_at` when it was first wanted as a relay,
+    `subscribes` says that it asked to be told what this host knows. `active_at` is when
+    it was last among the active hosts, `sought_at` when it was first wanted as a relay,
     and `refused_at` when nothing listened at its address for other hosts.
     """
 
     info: HostInfo
     known_since: float
-    heard_at: float = float("-inf")
+    last_heard_at: float = float("-inf")
     incarnation: int = 0
     leaving: bool = False
     starting: bool = False
-    turned_away: bool = False
-    wants: bool = False
+    store_unreachable: bool = False
+    subscribes: bool = False
     active_at: float = float("-inf")
     sought_at: float = float("-inf")
     refused_at: float = float("-inf")
 
     def live(self, now: float) -> bool:
         """Tell whether the host has spoken to this one lately."""
-        return now - self.heard_at < SILENT_AFTER_S
+        return now - self.last_heard_at < SILENT_AFTER_S
 
     def ended(self) -> bool:
         """Tell whether the host's process has ended since it spoke last."""
-        return self.refused_at > self.heard_at
+        return self.refused_at > self.last_heard_at
 
     def last_sign(self) -> float:
         """Return when the host was last heard, or first named."""
-        return max(self.heard_at, self.known_since)
+        return max(self.last_heard_at, self.known_since)
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class PeerView:
     """What another host says of the hosts that it knows to live.
 
     `active` tells that these are the active hosts, as told to a standby host; active
@@ -97,7 +97,7 @@
         "needed",
         "own",
         "starting",
-        "turned_away",
+        "store_unreachable",
         "was_listed",
     )
 
@@ -109,17 +109,17 @@
         # have counted it all along.
         self.was_listed = False
         self.starting = True
-        self.turned_away = False
+        self.store_unreachable = False
         self.entries: dict[str, Entry] = {}
         # Processor time that callers' requests need, see `active.cores_needed`.
         self.needed = float("inf")
         self.active: dict[str, HostInfo] = {own.host_id: own}
         self.active_since = float("-inf")
         self.last_active_at = float("-inf")
-        self._told: dict[str, Told] = {}
+        self._told: dict[str, PeerView] = {}
 
     @property
-    def out(self) -> bool:
+    def out_of_service(self) -> bool:
         """Tell whether callers should use other hosts.
 
         Failure: a host that has just started is named to callers before it has read
@@ -147,7 +147,7 @@
         self.entries[info.host_id] = Entry(info, now)
         return True
 
-    def heard(
+    def note_alive(
         self,
         info: HostInfo,
         incarnation: int,
@@ -155,24 +155,24 @@
         *,
         leaving: bool,
         starting: bool = False,
-        turned_away: bool = False,
-        wants: bool = True,
+        store_unreachable: bool = False,
+        subscribes: bool = True,
     ) -> bool:
         """Note that a host has spoken itself; return whether that changes anything."""
         known = self.entries.get(info.host_id)
         if known is None or known.info != info:
             known = Entry(info, now)
             self.entries[info.host_id] = known
-        before = (known.live(now), known.leaving, known.starting, known.wants)
-        known.heard_at = now
+        before = (known.live(now), known.leaving, known.starting, known.subscribes)
+        known.last_heard_at = now
         known.incarnation = incarnation
         known.leaving = leaving
         known.starting = starting
-        known.turned_away = turned_away
-        known.wants = wants
-        return before != (True, leaving, starting, wants)
+        known.store_unreachable = store_unreachable
+        known.subscribes = subscribes
+        return before != (True, leaving, starting, subscribes)
 
-    def told(self, sender: str, told: Told, now: float) -> None:
+    def take_peer_view(self, sender: str, told: PeerView, now: float) -> None:
         """Take over whom another host knows to live, in place of what it said before.
 
         Failure: a host that nobody has named in the store starts while that is away.
@@ -269,27 +269,28 @@
         return {
             host_id
             for host_id in named & self.entries.keys()
-            if host_id in live or self.entries[host_id].heard_at == float("-inf")
+            if host_id in live or self.entries[host_id].last_heard_at == float("-inf")
         }
 
-    def _tellers(self, now: float, within_s: float) -> list[Told]:
+    def _tellers(self, now: float, within_s: float) -> list[PeerView]:
         return [
             told
             for sender, told in self._told.items()
-            if sender in self.entries and now - self.entries[sender].heard_at < within_s
+            if sender in self.entries
+            and now - self.entries[sender].last_heard_at < within_s
         ]
 
     def _presumed(self, entry: Entry, now: float) -> bool:
-        unheard = entry.heard_at == float("-inf")
+        unheard = entry.last_heard_at == float("-inf")
         return unheard and now - entry.known_since < PRESUMED_S
 
-    def hears_relay(self, now: float) -> bool:
+    def has_live_relay(self, now: float) -> bool:
         """Tell whether a standby host is told of changes by an active one."""
         if self.is_active:
             return False
         return any(told.active for told in self._tellers(now, SILENT_AFTER_S))
 
-    def said_to_start(self, now: float) -> set[str]:
+    def reported_starting(self, now: float) -> set[str]:
         """Return the hosts of which others say that they cannot serve yet."""
         tellers = self._tellers(now, SILENT_AFTER_S)
         return {host_id for told in tellers for host_id in told.starting}
--- a/lacewingcross/core/send_gate.py
+++ b/lacewingcross/core/send_gate.py
@@ -8,7 +8,7 @@
 from .backend_state import Incarnation
 from .departures import Departures
 from .rate_limits import RateLimits
-from .rests import Rests
+from .server_backoffs import ServerBackoffs
 
 
 class SendGate:
@@ -20,12 +20,12 @@
         This host.
     """
 
-    __slots__ = ("departures", "rates", "rests")
+    __slots__ = ("departures", "rates", "backoffs")
 
     def __init__(self, host_id: str) -> None:
         self.departures = Departures()
         self.rates = RateLimits(host_id)
-        self.rests = Rests()
+        self.backoffs = ServerBackoffs()
 
     @property
     def version(self) -> int:
@@ -36,14 +36,14 @@
         """Tell whether a request may go to a run of a server."""
         if not self.departures.may_send(server):
             return False
-        if not self.rests.may_send(server, now):
+        if not self.backoffs.may_send(server, now):
             return False
         return self.rates.may_send(server, now, urgent=urgent)
 
     def sent(self, server: Incarnation, now: float) -> None:
         """Count a request of which the first byte is sent."""
         self.rates.sent(server, now)
-        self.rests.sent(server, now)
+        self.backoffs.sent(server, now)
 
     def wait_s(self, server: Incarnation, now: float) -> float:
         """Return when the server will allow a request, in seconds.
@@ -52,4 +52,4 @@
         """
         if self.departures.leaves(server):
             return float("inf")
-        return max(self.rests.wait_s(server, now), self.rates.wait_s(server, now))
+        return max(self.backoffs.wait_s(server, now), self.rates.wait_s(server, now))
--- a/lacewingcross/core/rests.py
+++ b/lacewingcross/core/server_backoffs.py
@@ -15,14 +15,14 @@
 
 
 @dataclass(slots=True)
-class Rest:
+class ServerBackoff:
     """The rest of one server: when it ends, and when it was tried after that."""
 
     until: float
     tried_at: float = float("-inf")
 
 
-class Rests:
+class ServerBackoffs:
     """Servers that rest from this host.
 
     Attributes
@@ -31,13 +31,13 @@
         How often a server was passed over.
     """
 
-    __slots__ = ("_by_server", "passed_over")
+    __slots__ = ("_by_server", "skipped")
 
     def __init__(self) -> None:
-        self._by_server: dict[Incarnation, Rest] = {}
-        self.passed_over = 0
+        self._by_server: dict[Incarnation, ServerBackoff] = {}
+        self.skipped = 0
 
-    def heard(self, server: Incarnation, rest_s: float, now: float) -> bool:
+    def observe(self, server: Incarnation, rest_s: float, now: float) -> bool:
         """Take in an answer of a server; return whether it rests from now on.
 
         Parameters
@@ -58,13 +58,13 @@
         if known is not None and now < known.until:
             known.until = max(known.until, until)
             return False
-        self._by_server[server] = Rest(until)
+        self._by_server[server] = ServerBackoff(until)
         return True
 
     def may_send(self, server: Incarnation, now: float) -> bool:
         """Tell whether a request may go to a server."""
         wait_s = self.wait_s(server, now)
-        self.passed_over += wait_s > 0.0
+        self.skipped += wait_s > 0.0
         return wait_s <= 0.0
 
     def sent(self, server: Incarnation, now: float) -> None:
--- a/lacewingcross/core/terms.py
+++ b/lacewingcross/core/terms.py
@@ -11,13 +11,14 @@
     """How a request is treated.
 
     `account` is None where nobody is asked for a key. `regions` are those that may
-    serve it; `homeless` tells that route and account have homes, and none in common.
+    serve it; `no_common_region` tells that route and account have
+    homes, and none in common.
     """
 
     account: ClientAccount | None
     rank: int
     regions: frozenset[str]
-    homeless: bool = False
+    no_common_region: bool = False
 
     @property
     def account_name(self) -> str:
@@ -37,7 +38,7 @@
         regions = route.home_regions or account.home_regions
         return Terms(account, rank, regions)
     common = route.home_regions & account.home_regions
-    return Terms(account, rank, common, homeless=not common)
+    return Terms(account, rank, common, no_common_region=not common)
 
 
 def ranks_of(route: Route, accounts: Accounts) -> set[int]:
--- a/lacewingcross/core/waiting.py
+++ b/lacewingcross/core/waiting_requests.py
@@ -3,7 +3,7 @@
 from collections import defaultdict, deque
 from collections.abc import Callable
 
-from .request_state import Held, Phase, RequestState
+from .request_state import HeldPermit, Phase, RequestState
 
 
 class WaitingRequests:
@@ -41,7 +41,7 @@
         return queue[0][0] if queue else None
 
     def take_for(
-        self, service: str, region: str, held: Held, now: float
+        self, service: str, region: str, held: HeldPermit, now: float
     ) -> RequestState | None:
         """Return the oldest request if it can use the permit, and remove it."""
         queue = self._queues[service, region]
--- a/lacewingcross/core/watching.py
+++ b/lacewingcross/core/watch_election.py
@@ -42,7 +42,7 @@
 TURNED_AWAY_S = 5.0
 
 
-class WatchDuty:
+class WatchElection:
     """Decides for each kind of object whether this host follows it now.
 
     Parameters
@@ -63,7 +63,7 @@
         self._started_at = started_at
         self._told_at: dict[Kind, float] = {}
 
-    def told(self, kind: Kind, now: float) -> None:
+    def note_peer_update(self, kind: Kind, now: float) -> None:
         """Note that another host told all there is of a kind at this moment."""
         self._told_at[kind] = now
 
@@ -75,11 +75,11 @@
         """Note that the store answered this host."""
         self._failed_at = float("-inf")
 
-    def turned_away(self, now: float) -> bool:
+    def store_unreachable(self, now: float) -> bool:
         """Tell whether other hosts should follow the store rather than this one."""
         return now - self._failed_at < TURNED_AWAY_S
 
-    def mine(
+    def should_watch(
         self, kind: Kind, rank: int | None, now: float, *, empty: bool = False
     ) -> bool:
         """Tell whether this host has to follow a kind itself.
@@ -105,7 +105,7 @@
             return False
         if rank == 0:
             return True
-        bears_s = self._empty_patience(rank) if empty else patience(rank, kind)
+        bears_s = self._empty_patience(rank) if empty else silence_timeout(rank, kind)
         return self._silence(kind, now) > bears_s
 
     def _empty_patience(self, rank: int) -> float:
@@ -128,7 +128,7 @@
     return QUARANTINE_WATCH_S if kind is Kind.QUARANTINE else WATCH_WAIT_S
 
 
-def patience(rank: int, kind: Kind = Kind.CONFIG) -> float:
+def silence_timeout(rank: int, kind: Kind = Kind.CONFIG) -> float:
     """Return how long a host of this rank bears silence on a kind, in seconds."""
     usual = min(PATIENCE_MAX_S, PATIENCE_S + (rank - 1) * PATIENCE_EACH_S)
     return usual + QUARANTINE_WATCH_S if kind is Kind.QUARANTINE else usual
--- a/lacewingcross/core/work_times.py
+++ b/lacewingcross/core/work_times.py
@@ -55,7 +55,7 @@
             return warm_s
         return max(warm_s, _median(self._cold, COLD_OF_TARGET * self._target_s))
 
-    def patience_s(self, least_s: float) -> float:
+    def silence_timeout_s(self, least_s: float) -> float:
         """Return for how long a server may answer nothing, in seconds."""
         if len(self._answers) < PATIENCE_ANSWERS:
             return max(least_s, PATIENCE_TARGETS * self._target_s)
--- a/lacewingcross/gateway/admission.py
+++ b/lacewingcross/gateway/admission.py
@@ -53,7 +53,7 @@
     if isinstance(account, Final):
         return account
     terms = terms_for(route, account)
-    if terms.homeless:
+    if terms.no_common_region:
         return Final(503, "no-common-region", HOMELESS_PAUSE_S)
     keyed = bool(table.config.accounts)
     return Permit(route, terms, OnBehalf(keyed, terms.account_name))
--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -12,7 +12,7 @@
 from ..checks import split_address
 from ..clock import Clock, SystemClock
 from ..core.active import cores_needed
-from ..core.duties import hosts_that_serve, part_of_fleet, part_of_region
+from ..core.fleet_shares import fleet_share, region_share, serving_hosts
 from ..core.membership import HostInfo
 from ..core.placement import Placement
 from ..core.replica import Kind
@@ -26,12 +26,12 @@
 from ..platform.store import ObjectStore
 from .callers import CallerListener
 from .context import Gateway
-from .following import HostDirectory, StoreFollower
-from .measuring import measure_host
+from .gauges import measure_host
 from .pages import PageListener, answer_lookup, answer_metrics, answer_readiness
 from .peers import Peers
 from .quarantine_store import QuarantineStore
 from .settings import GatewaySettings
+from .store_follower import HostDirectory, StoreFollower
 
 INCARNATION_BITS = 31
 TICK_S = 0.1
@@ -155,7 +155,7 @@
         ]
 
     async def _follow_quotas(self) -> None:
-        await self.gateway.quota_desk.tell(self._peers.send_to)
+        await self.gateway.quota_admission.tell(self._peers.send_to)
 
     def _connection_limit(self, service: str) -> int:
         """Return this host's part of a server's connection limit."""
@@ -185,7 +185,7 @@
         for host_id, entry in gateway.roster.entries.items():
             if not entry.live(now):
                 placement.known.set_peer_counts(host_id, {}, now)
-        gateway.roster.turned_away = gateway.duty.turned_away(now)
+        gateway.roster.store_unreachable = gateway.watch_election.store_unreachable(now)
         gateway.review_rank(now)
         if gateway.roster.starting and gateway.steering.ready():
             gateway.roster.starting = False
@@ -200,12 +200,12 @@
         servers = placement.known.servers.values()
         roster = gateway.roster
         steering.hosts = len(roster.active.keys() | {roster.own.host_id})
-        steering.set_part(part_of_fleet(roster, now))
-        placement.eligibility.region_part = part_of_region(roster, now)
+        steering.set_part(fleet_share(roster, now))
+        placement.eligibility.region_part = region_share(roster, now)
         rates = placement.gate.rates
-        rates.set_hosts(hosts_that_serve(roster, now), now)
+        rates.set_hosts(serving_hosts(roster, now), now)
         rates.forget_old(now, placement.known.servers.keys())
-        placement.gate.rests.forget_old(now)
+        placement.gate.backoffs.forget_old(now)
         placement.reserved.review(servers, now)
         config = steering.table.config if steering.table else None
         roster.needed = cores_needed(config, servers)
--- a/lacewingcross/gateway/learning.py
+++ b/lacewingcross/gateway/attempt_feedback.py
@@ -4,7 +4,7 @@
 
 from ..core.attempts import Ending
 from ..core.backend_state import Server
-from ..core.choices import Choice
+from ..core.placement_types import Choice
 from .attempt import Answer, reported_load, was_full
 from .backend_connection import REFUSED, UNREACHABLE
 from .context import Gateway
@@ -51,7 +51,7 @@
     placement = gateway.steering.placement
     server = choice.server
     good = result.ending is Ending.ANSWERED
-    server.evidence.answered(result.number, now, good=good)
+    server.passive_health.answered(result.number, now, good=good)
     placement.eligibility.learn_outcome(server.entry.service, failed=not good)
     if good:
         latency_s = now - result.began
@@ -62,7 +62,7 @@
 def _learn_failure(
     gateway: Gateway, server: Server, result: AttemptResult, now: float
 ) -> None:
-    evidence = server.evidence
+    evidence = server.passive_health
     placement = gateway.steering.placement
     ending = result.ending
     if ending is Ending.SERVER_NOT_RUN:
--- a/lacewingcross/gateway/attempt_log.py
+++ b/lacewingcross/gateway/attempt_log.py
@@ -2,7 +2,7 @@
 
 from .. import logs
 from ..core.attempts import Attempt, Ending, Verdict
-from ..core.choices import Choice
+from ..core.placement_types import Choice
 from ..core.terms import Terms
 from .attempt import Answer
 from .context import Gateway
--- a/lacewingcross/gateway/attempting.py
+++ b/lacewingcross/gateway/attempt_series.py
@@ -5,7 +5,7 @@
 
 from .. import logs
 from ..core.attempts import Attempt, Ending, Stage, Verdict, decide
-from ..core.choices import Ask, Choice, Refusal
+from ..core.placement_types import Choice, PlacementRequest, Refusal
 from ..http1_client import HttpError, ResponseHead
 from .attempt import (
     Answer,
@@ -14,10 +14,10 @@
     classify,
     was_full,
 )
+from .attempt_feedback import AttemptResult, learn
 from .attempt_log import AttemptLog
 from .context import Gateway
 from .forwarding import request_for_server
-from .learning import AttemptResult, learn
 from .repeats import Repeats
 from .reply import Final, Reply
 from .routed_request import RoutedRequest
@@ -143,10 +143,10 @@
             anew, self._gateway.now(), with_room=self._shed_with_room
         )
 
-    def _ask(self) -> Ask:
+    def _ask(self) -> PlacementRequest:
         route = self._req.route
         terms = self._req.terms
-        return Ask(
+        return PlacementRequest(
             self._service,
             self._req.frame.key if route.affinity else "",
             terms.regions,
@@ -256,7 +256,7 @@
         """Wait for the answer's head, and leave a silent server if another can help."""
         if not self._req.route.repeatable:
             return await run.read_head(request_id)
-        patience = self._gateway.steering.placement.patience_s(self._ask())
+        patience = self._gateway.steering.placement.silence_timeout_s(self._ask())
         while True:
             # A late answer is worth the same at any moment before the deadline, so the
             # server keeps all the time that another one would not need.
--- a/lacewingcross/gateway/context.py
+++ b/lacewingcross/gateway/context.py
@@ -6,16 +6,16 @@
 
 from .. import headers as hd
 from ..clock import Clock
-from ..core.duties import rank
-from ..core.quotas import Quotas, Times
+from ..core.fleet_shares import rank
+from ..core.quotas import ClockReading, Quotas
 from ..core.replica import Document, Update
 from ..core.roster import Roster
 from ..core.steering import Steering
-from ..core.watching import WatchDuty
+from ..core.watch_election import WatchElection
 from ..metrics import Metrics
 from .backends import Backends
 from .crashes import CrashWatch
-from .quota_desk import QuotaDesk
+from .quota_admission import QuotaAdmission
 from .settings import GatewaySettings
 
 # Time after its start at which a host that cannot read the list of hosts goes by what
@@ -48,10 +48,10 @@
         "backends",
         "cfg",
         "crashes",
-        "duty",
+        "watch_election",
         "incarnation",
         "metrics",
-        "quota_desk",
+        "quota_admission",
         "quotas",
         "rank",
         "roster",
@@ -69,7 +69,9 @@
         self.cfg = cfg
         self.steering = steering
         self.roster = roster
-        self.duty = WatchDuty(clock.monotonic(), first_start=cfg.first_start)
+        self.watch_election = WatchElection(
+            clock.monotonic(), first_start=cfg.first_start
+        )
         self.incarnation = incarnation
         self.metrics = Metrics()
         self.backends = Backends(
@@ -81,8 +83,10 @@
         self.quotas = Quotas(
             roster, cfg.bounds.quotas, steering.rng, first_start=cfg.first_start
         )
-        self.quota_desk = QuotaDesk(self.quotas, roster, self.metrics, self.times)
-        # Place among the hosts that may follow the store, see `duties.rank`.
+        self.quota_admission = QuotaAdmission(
+            self.quotas, roster, self.metrics, self.times
+        )
+        # Place among the hosts that may follow the store, see `fleet_shares.rank`.
         self.rank: int | None = None
         self._clock = clock
         self._started_at = clock.monotonic()
@@ -93,9 +97,9 @@
         """Return the monotonic time in seconds."""
         return self._clock.monotonic()
 
-    def times(self) -> Times:
+    def times(self) -> ClockReading:
         """Return the moment on the ordinary clock and on one that counts suspends."""
-        return Times(self._clock.monotonic(), self._clock.boottime())
+        return ClockReading(self._clock.monotonic(), self._clock.boottime())
 
     def take(self, update: Update, *, fresh: bool = True) -> list[Document]:
         """Take in what the store or a host says, see `Steering.take`."""
--- a/lacewingcross/gateway/crashes.py
+++ b/lacewingcross/gateway/crashes.py
@@ -6,8 +6,8 @@
 from .. import logs
 from ..core import messages as msg
 from ..core.backend_state import Incarnation, ServerEntry
-from ..core.crash_news import CrashNews
-from ..core.crashes import CrashLedger, ServerEnd
+from ..core.crash_gossip import CrashGossip
+from ..core.crashes import CrashLedger, ServerCrash
 from ..core.steering import Steering
 from ..http1_client import HttpError
 from ..metrics import Metrics
@@ -66,7 +66,7 @@
         # Requests whose connections broke, until it is known why.
         self._broken: dict[Incarnation, set[str]] = {}
         self._checks: dict[Incarnation, asyncio.Task[None]] = {}
-        self.news = CrashNews(steering.crashes)
+        self.news = CrashGossip(steering.crashes)
         self.on_news: Callable[[], None] = lambda: None
 
     @property
@@ -85,8 +85,8 @@
             Ends when it is known whether the server has ended; None if that is known.
         """
         server = entry.incarnation
-        if self.ledger.has_ended(server):
-            self._take(ServerEnd(server, frozenset((request,))))
+        if self.ledger.has_crashed(server):
+            self._take(ServerCrash(server, frozenset((request,))))
             return None
         self._broken.setdefault(server, set()).add(request)
         if server not in self._checks:
@@ -103,8 +103,8 @@
         """
         server = entry.incarnation
         requests = frozenset(self._broken.pop(server, ()))
-        if requests or not self.ledger.has_ended(server):
-            self._take(ServerEnd(server, requests))
+        if requests or not self.ledger.has_crashed(server):
+            self._take(ServerCrash(server, requests))
 
     def answered(self, request: str) -> None:
         """Note that a server has answered a request."""
@@ -126,7 +126,7 @@
             if lives:
                 why = "listens"
                 break
-        if why == REFUSED or self.ledger.has_ended(entry.incarnation):
+        if why == REFUSED or self.ledger.has_crashed(entry.incarnation):
             self.refused(entry)
             return
         requests = self._broken.pop(entry.incarnation, set())
@@ -145,14 +145,14 @@
                 self._clear(message.request, source)
             return
         server = (message.server_id, message.born_ms)
-        self._take(ServerEnd(server, frozenset(message.requests)), source)
+        self._take(ServerCrash(server, frozenset(message.requests)), source)
 
     # What follows from it
 
-    def _take(self, end: ServerEnd, source: str = "") -> None:
+    def _take(self, end: ServerCrash, source: str = "") -> None:
         now = self._now()
-        first = not self.ledger.has_ended(end.server)
-        news, guilty = self.ledger.server_ended(end, now, own=not source)
+        first = not self.ledger.has_crashed(end.server)
+        news, guilty = self.ledger.record_crash(end, now, own=not source)
         if not news:
             return
         if first:
@@ -167,7 +167,7 @@
         )
         for request in guilty:
             self._note_quarantine(request)
-        self.news.ended(end.server, source)
+        self.news.crashed(end.server, source)
         self.on_news()
 
     def _pass_over(self, server: Incarnation, now: float) -> None:
@@ -179,7 +179,7 @@
         """
         known = self._steering.placement.known.servers.get(server[0])
         if known is not None and known.entry.incarnation == server:
-            known.evidence.ended(now)
+            known.passive_health.crashed(now)
 
     def _note_quarantine(self, request: str) -> None:
         held = self.ledger.quarantine.get(request)
--- a/lacewingcross/gateway/measuring.py
+++ b/lacewingcross/gateway/gauges.py
@@ -13,7 +13,7 @@
     metrics.set_gauge("servers.known", len(placement.known.servers))
     quarantine = gateway.crashes.ledger.quarantine
     metrics.set_gauge("requests.quarantined", len(quarantine))
-    gateway.quota_desk.measure()
+    gateway.quota_admission.measure()
     metrics.set_gauge("store.age_s", gateway.steering.store_age(now))
     _measure_signals(gateway, now)
 
@@ -22,10 +22,10 @@
     """Set the gauges of servers that ask for something."""
     gate = gateway.steering.placement.gate
     metrics = gateway.metrics
-    metrics.set_gauge("servers.passed-over.limit", gate.rates.passed_over)
-    metrics.set_gauge("servers.passed-over.leaving", gate.departures.passed_over)
-    metrics.set_gauge("servers.passed-over.rest", gate.rests.passed_over)
-    metrics.replace_gauges("servers.rest-s.", gate.rests.in_force(now))
+    metrics.set_gauge("servers.passed-over.limit", gate.rates.skipped)
+    metrics.set_gauge("servers.passed-over.leaving", gate.departures.skipped)
+    metrics.set_gauge("servers.passed-over.rest", gate.backoffs.skipped)
+    metrics.replace_gauges("servers.rest-s.", gate.backoffs.in_force(now))
     known = gateway.steering.placement.known.servers
     leaving = {server_id: 1.0 for server_id, _ in gate.departures if server_id in known}
     metrics.replace_gauges("servers.leaving.", leaving)
--- a/lacewingcross/gateway/hearing.py
+++ b/lacewingcross/gateway/gossip_receiver.py
@@ -5,17 +5,17 @@
 
 from .. import logs
 from ..core import messages as msg
-from ..core.catching_up import CatchUp
+from ..core.catch_up import CatchUp
 from ..core.membership import HostInfo, member_info
 from ..core.replica import Kind
-from ..core.roster import ALIVE_EVERY_S, Told
+from ..core.roster import ALIVE_EVERY_S, PeerView
 from ..errors import FrameError
 from ..greeting import host_of
 from ..sockets import watch_silence
 from ..wire import read_message
 from .context import Gateway
-from .following import log_changes
 from .signals import take_told
+from .store_follower import log_changes
 from .store_messages import changes_message, update_in
 
 # A stream that brings nothing for this long has gone silent, in seconds; its sender
@@ -29,7 +29,7 @@
 PassOn = Callable[[HostInfo, msg.StoreChanges], None]
 
 
-class Hearing:
+class GossipReceiver:
     """Takes what other hosts say into what this host believes.
 
     Parameters
@@ -101,7 +101,7 @@
         elif isinstance(message, msg.ServerLimits | msg.ServersLeaving):
             take_told(self._gateway, info.host_id, message)
         elif isinstance(message, msg.QuotaMessage):
-            answer = self._gateway.quota_desk.heard(info, incarnation, message)
+            answer = self._gateway.quota_admission.heard(info, incarnation, message)
             if answer is not None:
                 self._send_to(info, answer)
 
@@ -117,14 +117,14 @@
                 incarnation=incarnation,
                 leaving=message.leaving,
             )
-        changed = gateway.roster.heard(
+        changed = gateway.roster.note_alive(
             info,
             incarnation,
             now,
             leaving=message.leaving,
             starting=message.starting,
-            turned_away=message.turned_away,
-            wants=message.wants,
+            store_unreachable=message.store_unreachable,
+            subscribes=message.subscribes,
         )
         if changed:
             gateway.hosts_changed()
@@ -149,8 +149,10 @@
         roster = self._gateway.roster
         hosts = [member_info(fields) for fields in message.hosts]
         by_id = {host.host_id: host for host in hosts}
-        roster.told(
-            info.host_id, Told(message.active, by_id, frozenset(message.starting)), now
+        roster.take_peer_view(
+            info.host_id,
+            PeerView(message.active, by_id, frozenset(message.starting)),
+            now,
         )
         self._gateway.hosts_changed()
 
@@ -166,7 +168,7 @@
         if message.fresh:
             self._pass_on(info, message)
             if own >= message.as_of:
-                gateway.duty.told(update.kind, now)
+                gateway.watch_election.note_peer_update(update.kind, now)
         if own < message.since and self._catch_up.may_ask(update.kind, now):
             self._send_to(info, msg.StorePull(int(update.kind), own))
 
--- a/lacewingcross/gateway/telling.py
+++ b/lacewingcross/gateway/gossip_sender.py
@@ -4,10 +4,10 @@
 from typing import TypeVar
 
 from ..core import messages as msg
-from ..core.contacts import hearers, hosts_to_tell, wanted
-from ..core.crash_news import Piece, should_pass_on
+from ..core.crash_gossip import GossipItem, should_pass_on
 from ..core.crashes import CrashLedger
 from ..core.membership import member_fields
+from ..core.peer_selection import full_view_peers, hosts_to_advertise, subscriptions
 from ..core.replica import Kind
 from ..core.roster import ALIVE_EVERY_S
 from ..core.send_gate import SendGate
@@ -22,7 +22,7 @@
 COUNTS_WHOLE_S = 2.0
 
 
-class Telling:
+class GossipSender:
     """Tells other hosts, on the links that `Peers` keeps, what they do not know yet.
 
     Parameters
@@ -54,11 +54,11 @@
             own.cores,
         )
         if link is None:
-            return [hello, self._alive(wants=True)]
-        wants = link.info.host_id in wanted(gateway.roster, gateway.now())
-        told_all = hearers(gateway.roster)
+            return [hello, self._alive(subscribes=True)]
+        subscribes = link.info.host_id in subscriptions(gateway.roster, gateway.now())
+        told_all = full_view_peers(gateway.roster)
         link.told_hosts = self._hosts_for(link.info.host_id, told_all)
-        return [hello, self._alive(wants=wants), link.told_hosts]
+        return [hello, self._alive(subscribes=subscribes), link.told_hosts]
 
     def tell_counts(self) -> None:
         """Tell each active host where the number in flight has changed.
@@ -71,8 +71,8 @@
         now = gateway.now()
         known = gateway.steering.placement.known
         counts = known.in_flight()
-        handled = known.handled_news()
-        wants = wanted(gateway.roster, now)
+        handled = known.take_newly_handled()
+        subscribes = subscriptions(gateway.roster, now)
         # Most links were told the same last, so they get the same frame now.
         frames: dict[tuple[bool, bool, int], bytes] = {}
         for host_id, link in self._links.items():
@@ -82,10 +82,10 @@
                 continue
             if not active or now - link.whole_at >= COUNTS_WHOLE_S:
                 link.told = None
-            form = (host_id in wants, active, id(link.told))
+            form = (host_id in subscribes, active, id(link.told))
             if form not in frames:
                 told = (counts, handled, link.told) if active else ({}, [], None)
-                frames[form] = encode(self._alive(*told, wants=form[0]))
+                frames[form] = encode(self._alive(*told, subscribes=form[0]))
             if link.told is None:
                 link.whole_at = now
             link.told = counts if active else None
@@ -98,7 +98,7 @@
         handled: list[tuple[str, str]] | None = None,
         before: dict[str, int] | None = None,
         *,
-        wants: bool,
+        subscribes: bool,
     ) -> msg.Alive:
         """Return a sign of life; `before` is what was told last, None for nothing."""
         counts = counts or {}
@@ -107,8 +107,8 @@
         return msg.Alive(
             roster.leaving,
             roster.starting,
-            roster.turned_away,
-            wants,
+            roster.store_unreachable,
+            subscribes,
             [replica.as_of(kind) for kind in Kind],
             list(changed_counts(counts, before or {})),
             handled or [],
@@ -120,7 +120,7 @@
         roster = self._gateway.roster
         entries = roster.entries
         stands_by = receiver not in roster.active
-        infos = hosts_to_tell(roster, receiver, self._gateway.now(), told_all)
+        infos = hosts_to_advertise(roster, receiver, self._gateway.now(), told_all)
         starting = [
             info.host_id
             for info in infos
@@ -134,7 +134,7 @@
     def tell_hosts(self) -> None:
         """Tell each host that needs it who lives, when that has changed."""
         active = self._gateway.roster.active
-        told_all = hearers(self._gateway.roster)
+        told_all = full_view_peers(self._gateway.roster)
         told: dict[tuple[bool, bool], msg.KnownHosts] = {}
         frames: dict[tuple[bool, bool], bytes] = {}
         for host_id, link in self._links.items():
@@ -191,14 +191,14 @@
         known = self._gateway.steering.placement.known.servers
         yield from signal_messages(gate, known.keys(), self._gateway.now())
 
-    def _pieces_for(self, host_id: str, link: Link) -> Iterator[Piece]:
+    def _pieces_for(self, host_id: str, link: Link) -> Iterator[GossipItem]:
         active = self._gateway.roster.active
         fresh = link.told_news is None
         for piece in self._gateway.crashes.news.since(link.told_news):
             if should_pass_on(piece, host_id, active, fresh=fresh):
                 yield piece
 
-    def _news_frame(self, piece: Piece) -> tuple[bytes, type[msg.Message]]:
+    def _news_frame(self, piece: GossipItem) -> tuple[bytes, type[msg.Message]]:
         message = news_message(piece, self._gateway.crashes.ledger)
         return encode(message), type(message)
 
@@ -222,26 +222,26 @@
     Of those that leave only `known` ones are told: hundreds do so each day, and who is
     gone needs no word.
     """
-    words = gate.departures.own_words()
+    words = gate.departures.own_observations()
     leaving = [server for server in words if server[0] in known]
     for part in _in_parts(leaving):
         yield msg.ServersLeaving(part)
     items = [
         (*server, -1.0 if limit.rate is None else limit.rate, max(0.0, now - limit.at))
-        for server, limit in gate.rates.own_words()
+        for server, limit in gate.rates.own_observations()
     ]
     for part in _in_parts(items):
         yield msg.ServerLimits(part)
 
 
 def _in_parts(items: list[T]) -> Iterator[list[T]]:
-    for first in range(0, len(items), msg.SERVERS_MOST):
-        yield items[first : first + msg.SERVERS_MOST]
+    for first in range(0, len(items), msg.MAX_SERVERS_PER_MESSAGE):
+        yield items[first : first + msg.MAX_SERVERS_PER_MESSAGE]
 
 
-def news_message(piece: Piece, ledger: CrashLedger) -> msg.Message:
+def news_message(piece: GossipItem, ledger: CrashLedger) -> msg.Message:
     """Return the message that tells a piece of news."""
     if piece.answered:
         return msg.RequestAnswered(piece.answered)
-    requests = sorted(ledger.requests_at(piece.ended))
-    return msg.ServerEnded(*piece.ended, requests[: msg.REQUESTS_MOST])
+    requests = sorted(ledger.crash_requests(piece.crashed))
+    return msg.ServerEnded(*piece.crashed, requests[: msg.MAX_REQUESTS_PER_MESSAGE])
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -7,20 +7,20 @@
 from .. import logs
 from ..checks import split_address
 from ..core import messages as msg
-from ..core.contacts import (
+from ..core.membership import HostInfo
+from ..core.peer_selection import (
     counts_every_s,
     first_hops,
     next_hops,
-    wanted,
+    subscriptions,
 )
-from ..core.membership import HostInfo
 from ..core.replica import Update
 from ..wire import encode
 from .context import Gateway
-from .hearing import QUIET_S, Hearing
+from .gossip_receiver import QUIET_S, GossipReceiver
+from .gossip_sender import GossipSender
 from .link import CONNECT_S, REDIAL_S, Link
 from .store_messages import changes_message
-from .telling import Telling
 
 # How often the links are reviewed when nothing was heard that changes them, in seconds.
 REVIEW_S = 0.1
@@ -46,13 +46,13 @@
         What the parts of this host share.
     """
 
-    __slots__ = ("_hearing", "_links", "_telling", "gateway")
+    __slots__ = ("_gossip_receiver", "_links", "_gossip_sender", "gateway")
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
         self._links: dict[str, Link] = {}
-        self._hearing = Hearing(gateway, self.send_to, self._pass_on)
-        self._telling = Telling(gateway, self._links)
+        self._gossip_receiver = GossipReceiver(gateway, self.send_to, self._pass_on)
+        self._gossip_sender = GossipSender(gateway, self._links)
 
     # Telling
 
@@ -84,19 +84,19 @@
         """Tell all hosts at once whether callers should use this one."""
         for link in self._links.values():
             link.told_at = float("-inf")
-        self._telling.tell_counts()
+        self._gossip_sender.tell_counts()
 
     async def tell(self) -> None:
         """Tell counts and signs of life until cancelled."""
         while True:
-            self._telling.tell_counts()
+            self._gossip_sender.tell_counts()
             self.tell_news()
             await asyncio.sleep(counts_every_s(self.gateway.roster))
 
     def tell_news(self) -> None:
         """Tell each host what it does not know yet of servers."""
-        self._telling.tell_news()
-        self._telling.tell_signals()
+        self._gossip_sender.tell_news()
+        self._gossip_sender.tell_signals()
 
     # Links
 
@@ -105,7 +105,7 @@
         cfg = self.gateway.cfg
         host, port = split_address(cfg.peer_listen or cfg.peer)
         server = await asyncio.start_server(
-            self._hearing.accept, host, port, backlog=1024
+            self._gossip_receiver.accept, host, port, backlog=1024
         )
         try:
             while True:
@@ -114,7 +114,7 @@
                 await self.gateway.wait_for_hosts(REVIEW_S)
         finally:
             server.close()
-            self._hearing.close()
+            self._gossip_receiver.close()
             for link in self._links.values():
                 link.task.cancel()
             self._links.clear()
@@ -139,15 +139,15 @@
                 own=roster.is_active,
             )
         self._keep_links(now)
-        self._telling.tell_hosts()
+        self._gossip_sender.tell_hosts()
 
     def _keep_links(self, now: float) -> None:
         entries = self.gateway.roster.entries
-        needed = wanted(self.gateway.roster, now)
+        needed = subscriptions(self.gateway.roster, now)
         needed.update(
             host_id
             for host_id, entry in entries.items()
-            if entry.wants and entry.live(now)
+            if entry.subscribes and entry.live(now)
         )
         for host_id in needed & entries.keys():
             link = self._links.get(host_id)
@@ -164,7 +164,7 @@
         old = self._links.get(info.host_id)
         if old is not None:
             old.task.cancel()
-        link = Link(self.gateway, self._telling.greeting, info)
+        link = Link(self.gateway, self._gossip_sender.greeting, info)
         self._links[info.host_id] = link
         return link
 
@@ -196,7 +196,7 @@
             logs.event("seed-unreachable", "DEBUG", seed=seed, why=repr(exc))
             return
         try:
-            for message in self._telling.greeting(None):
+            for message in self._gossip_sender.greeting(None):
                 writer.write(encode(message))
             await writer.drain()
             await asyncio.sleep(QUIET_S)
--- a/lacewingcross/gateway/quota_desk.py
+++ b/lacewingcross/gateway/quota_admission.py
@@ -8,8 +8,8 @@
 from .. import logs
 from ..core import messages as msg
 from ..core.membership import HostInfo
-from ..core.quota_ledger import WAIT_MOST_S, Admission, Outcome
-from ..core.quotas import Quotas, Times
+from ..core.quota_ledger import MAX_WAIT_S, Admission, Outcome
+from ..core.quotas import ClockReading, Quotas
 from ..core.roster import Roster
 from ..metrics import Metrics
 
@@ -24,7 +24,7 @@
 SendTo = Callable[[HostInfo, msg.Message], None]
 
 
-class QuotaDesk:
+class QuotaAdmission:
     """Admits requests of client accounts.
 
     Parameters
@@ -54,7 +54,7 @@
         quotas: Quotas,
         roster: Roster,
         metrics: Metrics,
-        times: Callable[[], Times],
+        times: Callable[[], ClockReading],
     ) -> None:
         self._quotas = quotas
         self._roster = roster
@@ -80,7 +80,7 @@
         waiters.append(fut)
         outcome = Outcome.REFUSED
         try:
-            async with asyncio.timeout(WAIT_MOST_S):
+            async with asyncio.timeout(MAX_WAIT_S):
                 outcome = await fut
         except TimeoutError:
             outcome = _decision(fut)
@@ -138,11 +138,11 @@
         at = self._times()
         host = (info.host_id, incarnation)
         if isinstance(message, msg.QuotaCharges):
-            return self._quotas.heard_charges(host, message, at)
+            return self._quotas.on_charges(host, message, at)
         if isinstance(message, msg.QuotaLease):
-            self._quotas.heard_lease(host, message, at)
+            self._quotas.on_lease(host, message, at)
             return None
-        for account in self._quotas.heard_receipts(info.host_id, message, at):
+        for account in self._quotas.on_receipts(info.host_id, message, at):
             self._decide(account)
         return None
 
--- a/lacewingcross/gateway/repeats.py
+++ b/lacewingcross/gateway/repeats.py
@@ -110,7 +110,7 @@
         """
         check = self._check
         self._check = None
-        if check is not None and self._gateway.crashes.ledger.ends_under(self.name):
+        if check is not None and self._gateway.crashes.ledger.crash_count(self.name):
             await asyncio.wait((check,))
 
     def answered(self) -> None:
--- a/lacewingcross/gateway/request.py
+++ b/lacewingcross/gateway/request.py
@@ -9,7 +9,7 @@
 from ..http1_exchange import CallerGoneError, Exchange
 from .admission import check
 from .attempt import CallerBody
-from .attempting import READ_AHEAD, AttemptSeries
+from .attempt_series import READ_AHEAD, AttemptSeries
 from .context import Gateway
 from .frame import Frame, FrameError, read_frame
 from .reply import Final, Reply
@@ -98,7 +98,7 @@
         if terms.account is None or terms.account.quota is None:
             return True
         gateway = self._gateway
-        found = await gateway.quota_desk.admit(terms.account_name)
+        found = await gateway.quota_admission.admit(terms.account_name)
         if found.outcome is Outcome.ADMITTED:
             self._counted = True
             return True
@@ -119,7 +119,7 @@
     def _settle_quota(self, terms: Terms) -> None:
         """Give the credit back if no server can have run the request."""
         if self._counted and not self._series.may_have_run:
-            self._gateway.quota_desk.cancel(terms.account_name)
+            self._gateway.quota_admission.cancel(terms.account_name)
 
     def _caller_gone(self) -> None:
         """Stop working for a caller that has left.
--- a/lacewingcross/gateway/signals.py
+++ b/lacewingcross/gateway/signals.py
@@ -3,7 +3,7 @@
 from .. import logs
 from ..core import messages as msg
 from ..core.backend_state import Incarnation, Server
-from ..core.duties import hosts_that_serve
+from ..core.fleet_shares import serving_hosts
 from ..http1_client import ResponseHead
 from ..platform.answer_signals import read_signals
 from .attempt import MISDIRECTED
@@ -27,19 +27,19 @@
         gateway.metrics.count(f"signals.unreadable.{name}")
     gate = gateway.steering.placement.gate
     incarnation = server.entry.incarnation
-    if said.leaving and gate.departures.heard(incarnation):
+    if said.leaving and gate.departures.observe(incarnation):
         _log_leaving(incarnation, OWN)
     if "rest" not in said.unreadable:
         _learn_rest(gateway, incarnation, said.rest_s)
     if "limit" in said.unreadable:
         return
-    if gate.rates.heard(incarnation, said.rate, asked_at, gateway.now()):
+    if gate.rates.observe(incarnation, said.rate, asked_at, gateway.now()):
         _limit_changed(gateway, incarnation, said.rate, OWN)
 
 
 def _learn_rest(gateway: Gateway, server: Incarnation, rest_s: float) -> None:
-    rests = gateway.steering.placement.gate.rests
-    if rests.heard(server, rest_s, gateway.now()):
+    backoffs = gateway.steering.placement.gate.backoffs
+    if backoffs.observe(server, rest_s, gateway.now()):
         gateway.metrics.count("servers.rests")
         logs.event(
             "server-rests",
@@ -56,7 +56,7 @@
     if isinstance(message, msg.ServersLeaving):
         departures = gateway.steering.placement.gate.departures
         for server in message.servers:
-            if departures.told(server):
+            if departures.learn_from_peer(server):
                 _log_leaving(server, source)
     else:
         _take_limits(gateway, source, message)
@@ -67,7 +67,9 @@
     now = gateway.now()
     for server_id, born_ms, rate, age_s in message.items:
         said = rate if rate >= 0.0 else None
-        if rates.told((server_id, born_ms), said, now - max(0.0, age_s), now):
+        if rates.learn_from_peer(
+            (server_id, born_ms), said, now - max(0.0, age_s), now
+        ):
             _limit_changed(gateway, (server_id, born_ms), said, source, age_s)
 
 
@@ -85,7 +87,7 @@
     """Reckon this host's share by who serves now, and write what is believed."""
     rates = gateway.steering.placement.gate.rates
     now = gateway.now()
-    rates.set_hosts(hosts_that_serve(gateway.roster, now), now)
+    rates.set_hosts(serving_hosts(gateway.roster, now), now)
     here = rates.share_of(server)
     logs.event(
         "server-limit",
--- a/lacewingcross/gateway/following.py
+++ b/lacewingcross/gateway/store_follower.py
@@ -6,7 +6,7 @@
 from .. import logs
 from ..backoff import Backoff
 from ..core.replica import Document, Kind, Update
-from ..core.watching import FIRST_WAIT_S, watch_wait_s
+from ..core.watch_election import FIRST_WAIT_S, watch_wait_s
 from ..errors import PlatformError
 from ..platform.store import ObjectStore
 from .context import Gateway
@@ -38,10 +38,10 @@
         Tells the other hosts of changes between two revisions of a kind.
     """
 
-    __slots__ = ("_duty", "_gateway", "_lost", "_publish", "_store")
+    __slots__ = ("_watch_election", "_gateway", "_lost", "_publish", "_store")
 
     def __init__(self, gateway: Gateway, store: ObjectStore, publish: Publish) -> None:
-        self._duty = gateway.duty
+        self._watch_election = gateway.watch_election
         self._gateway = gateway
         self._store = store
         self._publish = publish
@@ -58,7 +58,9 @@
     def _my_duty(self, kind: Kind) -> bool:
         empty = not self._known(kind) and self._gateway.roster.is_active
         now = self._gateway.now()
-        return self._duty.mine(kind, self._gateway.rank, now, empty=empty)
+        return self._watch_election.should_watch(
+            kind, self._gateway.rank, now, empty=empty
+        )
 
     def _known(self, kind: Kind) -> bool:
         return self._gateway.steering.replica.as_of(kind) > 0
@@ -116,7 +118,7 @@
 
     def _note_failure(self, kind: Kind, exc: PlatformError) -> None:
         self._gateway.metrics.count(f"store.{exc.code}")
-        self._duty.failed(self._gateway.now())
+        self._watch_election.failed(self._gateway.now())
         if not self._lost:
             self._lost = True
             logs.event(
@@ -129,7 +131,7 @@
             )
 
     def _regained(self) -> None:
-        self._duty.succeeded()
+        self._watch_election.succeeded()
         if self._lost:
             self._lost = False
             logs.event("store-regained")
@@ -192,7 +194,7 @@
                 if not introduced:
                     await self._introduce()
                     introduced = True
-                elif not self._gateway.roster.hears_relay(self._gateway.now()):
+                elif not self._gateway.roster.has_live_relay(self._gateway.now()):
                     await self._read_again()
                 backoff.reset()
                 await asyncio.sleep(self._pause_s())
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -1,7 +1,7 @@
 """Ledgers of a fleet in virtual time, which tell each other what the daemon would."""
 
-from lacewingcross.core.crash_news import CrashNews, should_pass_on
-from lacewingcross.core.crashes import CrashLedger, ServerEnd
+from lacewingcross.core.crash_gossip import CrashGossip, should_pass_on
+from lacewingcross.core.crashes import CrashLedger, ServerCrash
 from lacewingcross.core.rendezvous import owner
 
 STEP_S = 0.1
@@ -17,14 +17,14 @@
         self.name = name
         self.started_at = now
         self.ledger = CrashLedger()
-        self.news = CrashNews(self.ledger)
+        self.news = CrashGossip(self.ledger)
         self.told = {}
         self.documents = set()
 
     def take(self, end, now, source=""):
-        news, _ = self.ledger.server_ended(end, now, own=not source)
+        news, _ = self.ledger.record_crash(end, now, own=not source)
         if news:
-            self.news.ended(end.server, source)
+            self.news.crashed(end.server, source)
 
     def clear(self, request, source=""):
         if self.ledger.answered(request):
@@ -71,7 +71,7 @@
             return len(self.ends)
         servers = [(f"i-{n + 1}", 0) for n in range(len(self.ends))]
         return sum(
-            any(BAD in made.requests_at(server) for made in ledgers)
+            any(BAD in made.crash_requests(server) for made in ledgers)
             for server in servers
         )
 
@@ -107,7 +107,7 @@
         self.late += late and self.in_touch(name)
         self.ends.append(self.now)
         server = (f"i-{len(self.ends)}", 0)
-        host.take(ServerEnd(server, frozenset((BAD, *beside))), self.now)
+        host.take(ServerCrash(server, frozenset((BAD, *beside))), self.now)
         return True
 
     def _may_send(self, host):
@@ -148,7 +148,7 @@
         if piece.answered:
             other.clear(piece.answered, host.name)
             return
-        end = ServerEnd(piece.ended, host.ledger.requests_at(piece.ended))
+        end = ServerCrash(piece.crashed, host.ledger.crash_requests(piece.crashed))
         other.take(end, self.now, host.name)
 
     def _use_store(self, host):
--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -1,9 +1,13 @@
 """Rosters of a fleet in virtual time, which tell each other what the daemon would."""
 
-from lacewingcross.core.contacts import hearers, hosts_to_tell, wanted
 from lacewingcross.core.membership import HostInfo
 from lacewingcross.core.named_hosts import addresses_for
-from lacewingcross.core.roster import Roster, Told
+from lacewingcross.core.peer_selection import (
+    full_view_peers,
+    hosts_to_advertise,
+    subscriptions,
+)
+from lacewingcross.core.roster import PeerView, Roster
 
 LARGE = 2.15
 SMALL = 0.43
@@ -60,20 +64,24 @@
         return living and (a, b) not in self.cut and (b, a) not in self.cut
 
     def _speak(self, name, made):
-        speaks = wanted(made, self.now) | {
-            other for other, e in made.entries.items() if e.wants and e.live(self.now)
+        speaks = subscriptions(made, self.now) | {
+            other
+            for other, e in made.entries.items()
+            if e.subscribes and e.live(self.now)
         }
         for other in speaks:
             if self.reach(name, other):
                 self._hear(self.rosters[other], made, other)
 
     def _hear(self, listener, made, name):
-        wants = name in wanted(made, self.now)
-        listener.heard(made.own, 1, self.now, leaving=made.leaving, wants=wants)
+        subscribes = name in subscriptions(made, self.now)
+        listener.note_alive(
+            made.own, 1, self.now, leaving=made.leaving, subscribes=subscribes
+        )
         active = name not in made.active
-        known = hosts_to_tell(made, name, self.now, hearers(made))
+        known = hosts_to_advertise(made, name, self.now, full_view_peers(made))
         hosts = {info.host_id: info for info in known}
-        listener.told(made.own.host_id, Told(active, hosts), self.now)
+        listener.take_peer_view(made.own.host_id, PeerView(active, hosts), self.now)
 
     def play(self, seconds):
         """Let all living hosts speak and review what they believe."""
--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -75,13 +75,13 @@
         )
 
     def tell(self, sender, receiver):
-        for server, limit in list(self.hosts[sender].own_words()):
+        for server, limit in list(self.hosts[sender].own_observations()):
             word = (server, limit.rate, limit.at)
             self.later(WAY_S, self._told, sender, receiver, word)
 
     def _told(self, sender, receiver, word):
         if sender not in self.cut and receiver not in self.cut:
-            self.hosts[receiver].told(*word, self.now)
+            self.hosts[receiver].learn_from_peer(*word, self.now)
 
     def send(self, name, *, late_s=0.0):
         """Let a host have a request; its answer may be held up on its way."""
@@ -105,7 +105,7 @@
         if rate is not None and self.named_at is None:
             self.named_at = self.now
         version = limits.version
-        limits.heard(SERVER, rate, asked_at, self.now)
+        limits.observe(SERVER, rate, asked_at, self.now)
         if limits.version != version:
             for other in self.hosts:
                 self.tell(name, other)
--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 
 from lacewingcross.core.backend_state import ServerEntry
-from lacewingcross.core.choices import Ask, Choice
 from lacewingcross.core.placement import Placement
+from lacewingcross.core.placement_types import Choice, PlacementRequest
 from lacewingcross.core.routes import Service
 
 TELL_EVERY_S = 0.04
@@ -103,11 +103,11 @@
     """
 
     def __init__(
-        self, servers, hosts, way_s=0.024, seed=1, slots=3, keeps=10**6, policy=None
+        self, servers, hosts, network_s=0.024, seed=1, slots=3, keeps=10**6, policy=None
     ):
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.way_s = way_s
+        self.network_s = network_s
         self.models = {}
         entries = []
         for place, count in servers.items():
@@ -129,7 +129,7 @@
                 host = Placement(region, region_of, self.rng, 1.5, 5.0, policy)
                 host.eligibility.set_services(self.services)
                 host.eligibility.region_part = 1.0 / count
-                host.expectations.rtt_s = {r: way_s for r in regions if r != region}
+                host.expectations.rtt_s = {r: network_s for r in regions if r != region}
                 for entry in entries:
                     host.known.put(entry, 0.0)
                 self.hosts.append((region, host))
@@ -158,7 +158,7 @@
         per_s = kind.per_s / len(self.hosts) * rate(region, self.now)
         self.at(self.now + self.rng.expovariate(per_s), self._arrive, kind, index, rate)
         key = str(self.rng.randrange(kind.things))
-        ask = Ask(
+        ask = PlacementRequest(
             kind.service, key, kind.regions, kind.urgent, frozenset(), kind.target_s,
             kind.like or kind.name,
         )  # fmt: skip
@@ -172,9 +172,9 @@
             return
         number = next(self.numbers)
         host.began(choice, number, self.now)
-        way_s = 0.0 if choice.server.region == region else self.way_s
+        network_s = 0.0 if choice.server.region == region else self.network_s
         job = (choice, number, host, since, kind, self.now)
-        self.at(self.now + way_s / 2, self._reach, job, region)
+        self.at(self.now + network_s / 2, self._reach, job, region)
 
     def _reach(self, job, region):
         choice, number, host, *_ = job
@@ -191,7 +191,7 @@
 
     def _shed(self, choice, number, host):
         host.ended(choice.server)
-        choice.server.evidence.shed(number, self.now, full=False)
+        choice.server.passive_health.shed(number, self.now, full=False)
         host.eligibility.learn_outcome(choice.server.entry.service, failed=True)
         host.not_run(choice)
 
@@ -211,12 +211,14 @@
         if model.waiting:
             self._run(model, model.waiting.popleft())
         choice, number, host, since, kind, sent = job
-        way_s = choice.estimate.way_s / 2
-        self.at(self.now + way_s, self._answer, choice, number, host, since, kind, sent)
+        network_s = choice.estimate.network_s / 2
+        self.at(
+            self.now + network_s, self._answer, choice, number, host, since, kind, sent
+        )
 
     def _answer(self, choice, number, host, since, kind, sent_at):
         host.ended(choice.server)
-        choice.server.evidence.answered(number, self.now, good=True)
+        choice.server.passive_health.answered(number, self.now, good=True)
         host.eligibility.learn_outcome(choice.server.entry.service, failed=False)
         host.learn_answer(choice, self.now - sent_at, self.now)
         if self.now - since <= kind.target_s:
@@ -228,7 +230,7 @@
             counts = {
                 name: srv.own for name, srv in host.known.servers.items() if srv.own
             }
-            news = host.known.handled_news()
+            news = host.known.take_newly_handled()
             for other, (_, told) in enumerate(self.hosts):
                 if other != index:
                     told.known.set_peer_counts(f"host-{index}", counts, self.now)
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -50,7 +50,7 @@
 def test_homes_without_a_common_region_leave_nothing_and_not_everything():
     # An empty set of regions means all of them; here it must not.
     far = ClientAccount("a", home_regions=frozenset(("sureste",)))
-    assert terms_for(route("r", homes=("norte",)), far).homeless
+    assert terms_for(route("r", homes=("norte",)), far).no_common_region
 
 
 def test_ranks_that_requests_of_a_route_may_have():
--- a/tests/test_accounts_gateway.py
+++ b/tests/test_accounts_gateway.py
@@ -141,9 +141,9 @@
         runs = [(f"i-{number}", 0) for number in (1, 2)]
         for ended, key in enumerate((KEY, OTHER_KEY), 1):
             await ask(app, "/unsafe/a", method="POST", body=b"x", extra=bearer(key))
-            await until(lambda n=ended: sum(map(ledger.has_ended, runs)) == n)
-        (name,) = ledger.requests_at(runs[0])
-        assert ledger.ends_under(name) == 2
+            await until(lambda n=ended: sum(map(ledger.has_crashed, runs)) == n)
+        (name,) = ledger.crash_requests(runs[0])
+        assert ledger.crash_count(name) == 2
 
 
 @in_loop
--- a/tests/test_catching_up.py
+++ b/tests/test_catch_up.py
@@ -1,6 +1,6 @@
 """When a host asks another one for what it misses."""
 
-from lacewingcross.core.catching_up import ASK_EVERY_S, BEHIND_S, CatchUp
+from lacewingcross.core.catch_up import ASK_EVERY_S, BEHIND_S, CatchUp
 from lacewingcross.core.replica import Kind
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold_limit.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lacewingcross.core.cold import ColdShare, share_of
+from lacewingcross.core.cold_limit import ColdShare, share_of
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -59,10 +59,10 @@
         answers.go.set()
         await first
         assert answers.asked == 1
-        assert made.ledger.requests_at(END) == {"r1", "r2"}
+        assert made.ledger.crash_requests(END) == {"r1", "r2"}
         # A request that breaks later needs no question any more.
         assert made.broke(ENTRY, "r3") is None
-        assert made.ledger.requests_at(END) == {"r1", "r2", "r3"}
+        assert made.ledger.crash_requests(END) == {"r1", "r2", "r3"}
 
     check(answers, play)
 
@@ -75,7 +75,7 @@
         answers.go.set()
         await made.broke(ENTRY, "r1")
         assert not made.ledger.watches
-        assert not made.ledger.has_ended(END)
+        assert not made.ledger.has_crashed(END)
 
     check(answers, play)
 
@@ -93,7 +93,7 @@
         made.heard("host-2", msg.ServerEnded(*END, ["innocent"]))
         answers.go.set()
         await asked
-        assert made.ledger.requests_at(END) == {"bad", "innocent"}
+        assert made.ledger.crash_requests(END) == {"bad", "innocent"}
         told = [piece.source for piece in made.news.since(0)]
         assert told == ["host-2", ""]
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -13,11 +13,11 @@
 )
 
 from lacewingcross.core.crashes import (
-    ENDS_KEPT,
-    ENDS_MOST,
+    MAX_CRASHES_KEPT,
+    MAX_CRASHES_PER_REQUEST,
     REMEMBERED_S,
     CrashLedger,
-    ServerEnd,
+    ServerCrash,
 )
 from lacewingcross.core.quarantine import (
     HELD_S,
@@ -34,13 +34,13 @@
 
 
 def end(number, *requests, born=0):
-    return ServerEnd((f"i-{number}", born), frozenset(requests))
+    return ServerCrash((f"i-{number}", born), frozenset(requests))
 
 
 def quarantined(now=0.0):
     made = CrashLedger()
-    for number in range(ENDS_MOST):
-        made.server_ended(end(number, BAD), now)
+    for number in range(MAX_CRASHES_PER_REQUEST):
+        made.record_crash(end(number, BAD), now)
     return made
 
 
@@ -49,10 +49,10 @@
 
 def test_a_request_is_quarantined_with_the_third_server_that_ends_under_it():
     made = CrashLedger()
-    assert made.server_ended(end(1, BAD, "x"), 0.0) == (True, [])
-    assert made.server_ended(end(2, BAD), 1.0) == (True, [])
+    assert made.record_crash(end(1, BAD, "x"), 0.0) == (True, [])
+    assert made.record_crash(end(2, BAD), 1.0) == (True, [])
     assert BAD not in made.quarantine
-    assert made.server_ended(end(3, BAD, "y"), 2.0) == (True, [BAD])
+    assert made.record_crash(end(3, BAD, "y"), 2.0) == (True, [BAD])
     assert made.quarantine.get(BAD).servers == ("i-1", "i-2", "i-3")
     assert len(made.quarantine) == 1
 
@@ -60,16 +60,16 @@
 def test_one_end_counts_once_however_often_it_is_told():
     made = CrashLedger()
     for _ in range(5):
-        made.server_ended(end(1, BAD), 0.0)
-    assert made.ends_under(BAD) == 1
-    assert made.server_ended(end(1, BAD, "x"), 0.0)[0]
-    assert made.ends_under("x") == 1
+        made.record_crash(end(1, BAD), 0.0)
+    assert made.crash_count(BAD) == 1
+    assert made.record_crash(end(1, BAD, "x"), 0.0)[0]
+    assert made.crash_count("x") == 1
 
 
 def test_two_runs_under_one_id_are_two_ends():
     made = CrashLedger()
-    for born in range(ENDS_MOST):
-        made.server_ended(end(1, BAD, born=born), 0.0)
+    for born in range(MAX_CRASHES_PER_REQUEST):
+        made.record_crash(end(1, BAD, born=born), 0.0)
     assert BAD in made.quarantine
 
 
@@ -78,11 +78,11 @@
     # answered by the next one each time, and who asks for it must not be refused.
     made = CrashLedger()
     for number in range(10):
-        assert made.server_ended(end(number, "popular"), 0.0) == (True, [])
+        assert made.record_crash(end(number, "popular"), 0.0) == (True, [])
         assert made.answered("popular")
     # A late report of an end that it was cleared of is void.
-    assert not made.server_ended(end(3, "popular"), 0.0)[0]
-    assert made.ends_under("popular") == 0
+    assert not made.record_crash(end(3, "popular"), 0.0)[0]
+    assert made.crash_count("popular") == 0
     assert not made.watches
 
 
@@ -105,7 +105,7 @@
 
 def test_a_trial_that_ends_a_server_puts_off_the_next_one_everywhere():
     made = quarantined()
-    made.server_ended(end(9, BAD), TRIAL_EVERY_S)
+    made.record_crash(end(9, BAD), TRIAL_EVERY_S)
     assert not made.quarantine.trial_due(BAD, 2 * TRIAL_EVERY_S - 1)
     assert made.quarantine.get(BAD).servers[-1] == "i-9"
 
@@ -115,13 +115,13 @@
     # cut off each time. Nothing tells which of the two ends them but to try.
     for reports in ([("popular", BAD)], [("popular",), (BAD,)]):
         made = CrashLedger()
-        for number in range(ENDS_MOST):
+        for number in range(MAX_CRASHES_PER_REQUEST):
             for requests in reports:
-                made.server_ended(end(number, *requests), 0.0)
+                made.record_crash(end(number, *requests), 0.0)
         assert made.quarantine.trial_due("popular", TRIAL_IN_DOUBT_S)
         assert made.quarantine.trial_due(BAD, TRIAL_IN_DOUBT_S)
         assert made.answered("popular")
-        made.server_ended(end(9, BAD), TRIAL_IN_DOUBT_S)
+        made.record_crash(end(9, BAD), TRIAL_IN_DOUBT_S)
         assert not made.quarantine.trial_due(BAD, TRIAL_EVERY_S)
 
 
@@ -136,10 +136,10 @@
 
 def test_a_host_that_saw_an_end_stores_it_also_when_it_heard_of_it_first():
     made = CrashLedger()
-    for number in range(ENDS_MOST - 1):
-        made.server_ended(end(number, "x"), 0.0)
-        made.server_ended(end(number, BAD), 0.0, own=True)
-    made.server_ended(end(9, BAD), 0.0)
+    for number in range(MAX_CRASHES_PER_REQUEST - 1):
+        made.record_crash(end(number, "x"), 0.0)
+        made.record_crash(end(number, BAD), 0.0, own=True)
+    made.record_crash(end(9, BAD), 0.0)
     assert made.quarantine.get(BAD).own
 
 
@@ -147,24 +147,30 @@
     made = quarantined()
     assert made.review(HELD_S - 1) == []
     assert made.review(HELD_S) == [BAD]
-    assert made.server_ended(end(9, BAD), HELD_S) == (True, [])
-    assert made.ends_under(BAD) == 1
+    assert made.record_crash(end(9, BAD), HELD_S) == (True, [])
+    assert made.crash_count(BAD) == 1
 
 
 def test_ends_long_ago_do_not_count():
     made = CrashLedger()
     for number in range(20):
-        now = number * REMEMBERED_S / (ENDS_MOST - 1) + number
+        now = number * REMEMBERED_S / (MAX_CRASHES_PER_REQUEST - 1) + number
         made.review(now)
-        assert made.server_ended(end(number, BAD), now)[1] == []
+        assert made.record_crash(end(number, BAD), now)[1] == []
 
 
 def test_what_is_kept_is_bounded_when_every_request_is_different():
     made = CrashLedger()
-    for number in range(3 * ENDS_KEPT):
-        made.server_ended(end(number, f"r{number}", f"q{number}"), 0.0)
-    assert sum(made.has_ended((f"i-{n}", 0)) for n in range(3 * ENDS_KEPT)) == ENDS_KEPT
-    assert sum(made.ends_under(f"r{n}") for n in range(3 * ENDS_KEPT)) == ENDS_KEPT
+    for number in range(3 * MAX_CRASHES_KEPT):
+        made.record_crash(end(number, f"r{number}", f"q{number}"), 0.0)
+    assert (
+        sum(made.has_crashed((f"i-{n}", 0)) for n in range(3 * MAX_CRASHES_KEPT))
+        == MAX_CRASHES_KEPT
+    )
+    assert (
+        sum(made.crash_count(f"r{n}") for n in range(3 * MAX_CRASHES_KEPT))
+        == MAX_CRASHES_KEPT
+    )
     for number in range(KEPT + 10):
         made.stored(f"s{number}", (), 0.0)
     assert len(made.quarantine) == KEPT
@@ -209,7 +215,7 @@
             self.running[self.next_id] = []
             self.next_id += 1
             requests = {request for request, _, _ in held}
-            self.quarantined += self.ledger.server_ended(end(server, *requests), now)[1]
+            self.quarantined += self.ledger.record_crash(end(server, *requests), now)[1]
         for request, _, tries in cut:
             if tries > 1:
                 self.arrive(request, now, tries - 1)
@@ -258,7 +264,7 @@
     played.play(0.5)
     played.restart(NAMES[4])
     played.play(0.5)
-    assert played.hosts[NAMES[4]].ledger.ends_under(BAD) == 2
+    assert played.hosts[NAMES[4]].ledger.crash_count(BAD) == 2
 
 
 def test_a_quarantine_outlives_all_hosts():
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -207,7 +207,7 @@
             else:
                 assert got.status == 502
             ledger = app.gateway.crashes.ledger
-            await until(lambda: ledger.has_ended(("i-1", 0)))
+            await until(lambda: ledger.has_crashed(("i-1", 0)))
             assert ledger.watches
 
     play()
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from lacewingcross.core.duties import part_of_fleet, part_of_region, rank
+from lacewingcross.core.fleet_shares import fleet_share, rank, region_share
 from lacewingcross.core.named_hosts import addresses_for
 
 from .fleet_model import Played, assert_settled, infos
@@ -74,10 +74,10 @@
         living = played.living()
         ranks = [rank(made, played.now) for made in living]
         assert ranks.count(0) == 1
-        assert sum(part_of_fleet(made, played.now) for made in living) <= 1 + 1e-9
+        assert sum(fleet_share(made, played.now) for made in living) <= 1 + 1e-9
         for region in "ab":
             here = [made for made in living if made.own.region == region]
-            parts = sum(part_of_region(made, played.now) for made in here)
+            parts = sum(region_share(made, played.now) for made in here)
             assert parts <= 1 + 1e-9
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lacewingcross.core.duties import rank
+from lacewingcross.core.fleet_shares import rank
 from lacewingcross.core.replica import Kind
 from lacewingcross.core.steering import OUTAGE_S
 from lacewingcross.gateway.settings import Bounds
@@ -247,7 +247,7 @@
     return [
         app
         for app in apps
-        if app.gateway.duty.mine(
+        if app.gateway.watch_election.should_watch(
             kind, rank(app.gateway.roster, app.gateway.now()), app.gateway.now()
         )
     ]
@@ -370,7 +370,7 @@
         made.configure()
         await made.add_server(answers_at_once)
         first = await made.ready(await made.add_host())
-        telling = first._peers._telling
+        telling = first._peers._gossip_sender
         greeting = type(telling).greeting
         broken = [True, True]
 
@@ -426,7 +426,7 @@
         leaving = await made.ready(await made.add_host())
         other = await made.ready(await made.add_host(domain="a2"))
         entries = other.gateway.roster.entries
-        await until(lambda: "host-0" in entries and entries["host-0"].heard_at > 0)
+        await until(lambda: "host-0" in entries and entries["host-0"].last_heard_at > 0)
         asking = asyncio.ensure_future(
             ask(leaving, "/unsafe/a", method="POST", body=b"x")
         )
--- a/tests/test_telling.py
+++ b/tests/test_gossip_sender.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from lacewingcross.core.known_servers import KnownServers
-from lacewingcross.gateway.telling import changed_counts
+from lacewingcross.gateway.gossip_sender import changed_counts
 from tests.gateway_parts import answers_at_once, fleet, until
 from tests.test_gateway import in_loop
 
--- a/tests/test_evidence.py
+++ b/tests/test_passive_health.py
@@ -1,12 +1,12 @@
 """What one host concludes from its own attempts at a server."""
 
-from lacewingcross.core.evidence import Evidence, FailureShare
+from lacewingcross.core.passive_health import FailureShare, PassiveHealth
 
 PATIENCE_S = 0.4
 
 
 def test_a_server_that_cannot_be_reached_is_left_alone_for_longer_each_time():
-    evidence = Evidence()
+    evidence = PassiveHealth()
     evidence.sent(1, 0.0, PATIENCE_S)
     evidence.unreachable(1, 0.0)
     assert not evidence.usable(0.4)
@@ -20,7 +20,7 @@
 def test_after_a_pause_one_request_goes_first():
     # A crashed server's pause is over. Sending all its keys at once would lose them
     # all together if it is still down.
-    evidence = Evidence()
+    evidence = PassiveHealth()
     evidence.unreachable(1, 0.0)
     assert evidence.usable(1.0)
     evidence.sent(2, 1.0, PATIENCE_S)
@@ -32,7 +32,7 @@
 
 def test_a_server_that_has_gone_dark_is_passed_over_until_it_answers():
     # A server loses power: connections stay open and nothing ever comes back.
-    evidence = Evidence()
+    evidence = PassiveHealth()
     evidence.sent(1, 0.0, PATIENCE_S)
     assert evidence.usable(0.3)
     assert not evidence.usable(0.5)
@@ -41,7 +41,7 @@
 
 
 def test_a_busy_server_that_still_answers_is_not_silent():
-    evidence = Evidence()
+    evidence = PassiveHealth()
     evidence.sent(1, 0.0, PATIENCE_S)
     evidence.sent(2, 0.0, PATIENCE_S)
     evidence.answered(1, 0.35, good=True)
@@ -49,7 +49,7 @@
 
 
 def test_a_server_that_fails_half_its_requests_is_passed_over():
-    evidence = Evidence()
+    evidence = PassiveHealth()
     for number in range(20):
         evidence.sent(number, 0.0, PATIENCE_S)
         if number % 2:
@@ -61,7 +61,7 @@
 
 
 def test_a_full_server_that_sheds_is_not_held_against_it():
-    evidence = Evidence()
+    evidence = PassiveHealth()
     for number in range(20):
         evidence.sent(number, 0.0, PATIENCE_S)
         evidence.shed(number, 0.0, full=True)
@@ -71,7 +71,7 @@
 def test_a_request_given_up_at_a_dark_server_takes_it_out():
     # A server loses power with its connections open. Each read sent there would wait
     # for as long as the patience of its caller allows.
-    evidence = Evidence()
+    evidence = PassiveHealth()
     evidence.sent(1, 0.0, PATIENCE_S)
     evidence.timed_out(1, 0.4)
     assert not evidence.usable(0.8)
@@ -79,7 +79,7 @@
 
 
 def test_a_request_given_up_at_a_busy_server_does_not():
-    evidence = Evidence()
+    evidence = PassiveHealth()
     evidence.sent(1, 0.0, PATIENCE_S)
     evidence.sent(2, 0.0, PATIENCE_S)
     evidence.answered(2, 0.9, good=True)
@@ -90,7 +90,7 @@
 def test_patience_is_that_of_each_request():
     # A history takes 1.6 s on a cold server and a level 80 ms. Waiting for the history
     # with the patience of the level would count the server as dark.
-    evidence = Evidence()
+    evidence = PassiveHealth()
     evidence.sent(1, 0.0, 4.0)
     assert evidence.usable(1.0)
     evidence.sent(2, 1.0, PATIENCE_S)
--- a/tests/test_contacts.py
+++ b/tests/test_peer_selection.py
@@ -5,20 +5,20 @@
 
 import pytest
 
-from lacewingcross.core import contacts, duties, roster
-from lacewingcross.core.contacts import (
+from lacewingcross.core import fleet_shares, peer_selection, roster
+from lacewingcross.core.fleet_shares import fleet_share, rank, region_share
+from lacewingcross.core.membership import HostInfo
+from lacewingcross.core.named_hosts import addresses_for
+from lacewingcross.core.peer_selection import (
     LINGER_S,
     RELAYS,
     TELLERS,
     first_hops,
-    hearers,
-    hosts_to_tell,
+    full_view_peers,
+    hosts_to_advertise,
     next_hops,
-    wanted,
+    subscriptions,
 )
-from lacewingcross.core.duties import part_of_fleet, part_of_region, rank
-from lacewingcross.core.membership import HostInfo
-from lacewingcross.core.named_hosts import addresses_for
 from lacewingcross.core.roster import SILENT_AFTER_S
 
 from .fleet_model import LARGE, Played, assert_settled, infos
@@ -31,7 +31,7 @@
     assert_settled(played)
     for made in played.living():
         if not made.is_active:
-            relays = wanted(made, played.now)
+            relays = subscriptions(made, played.now)
             assert len(relays) == RELAYS
             domains = {made.entries[r].info.failure_domain for r in relays}
             assert len(domains) == RELAYS
@@ -43,7 +43,7 @@
         played = Played(infos(small=small))
         played.play(1.0)
         standby = [r for r in played.living() if not r.is_active]
-        return max(len(wanted(r, played.now)) for r in standby)
+        return max(len(subscriptions(r, played.now)) for r in standby)
 
     assert spoken_to(4) == spoken_to(24) == RELAYS
 
@@ -62,10 +62,10 @@
         played = Played(even(count), needed=1e9)
         played.play(1.0)
         made = next(iter(played.rosters.values()))
-        told_all = hearers(made)
+        told_all = full_view_peers(made)
         others = made.active.keys() - {made.own.host_id}
         now = played.now
-        return sum(len(hosts_to_tell(made, o, now, told_all)) for o in others)
+        return sum(len(hosts_to_advertise(made, o, now, told_all)) for o in others)
 
     assert told(100) <= TELLERS * 100
     assert told(40) <= TELLERS * 40
@@ -74,7 +74,7 @@
 def test_each_active_host_hears_from_enough_tellers():
     played = Played(even(40), needed=1e9)
     played.play(1.0)
-    tellers = Counter(h for r in played.living() for h in hearers(r))
+    tellers = Counter(h for r in played.living() for h in full_view_peers(r))
     assert set(tellers.values()) == {TELLERS}
     assert len(tellers) == 40
 
@@ -91,8 +91,8 @@
     for name in told:
         reached |= next_hops(played.rosters[name])
     assert reached == set(played.rosters)
-    assert len(told) <= max(contacts.TOLD_DIRECTLY, 2 * count**0.5)
-    if count > contacts.TOLD_DIRECTLY:
+    assert len(told) <= max(peer_selection.TOLD_DIRECTLY, 2 * count**0.5)
+    if count > peer_selection.TOLD_DIRECTLY:
         passed_on = [len(next_hops(r)) for r in played.living()]
         assert max(passed_on) <= count**0.5 + 1
 
@@ -141,12 +141,12 @@
     played = Played(infos())
     played.play(3.0)
     standby = next(r for r in played.living() if not r.is_active)
-    relays = wanted(standby, played.now)
+    relays = subscriptions(standby, played.now)
     played.dead.update(relays)
     for _ in range(30):
         played.play(0.1)
         assert not standby.is_active
-    assert len(wanted(standby, played.now) - relays) == RELAYS
+    assert len(subscriptions(standby, played.now) - relays) == RELAYS
     assert rank(standby, played.now) is None
     played.play(1.0)
     assert_settled(played)
@@ -223,9 +223,9 @@
     named = addresses_for(played.rosters["a1-9"], "a", frozenset(), played.now)
     assert played.rosters[leaving].own.entry not in named
     # It goes on telling the active hosts what it has in flight.
-    assert wanted(played.rosters[leaving], played.now) >= played.active()
+    assert subscriptions(played.rosters[leaving], played.now) >= played.active()
     played.play(LINGER_S)
-    assert len(wanted(played.rosters[leaving], played.now)) == RELAYS
+    assert len(subscriptions(played.rosters[leaving], played.now)) == RELAYS
 
 
 def test_parts_of_the_whole_add_up_to_one_at_most():
@@ -241,10 +241,10 @@
             extra = HostInfo("b2-0", "b", "b2", "10.9:1", "10.9:2", cores=LARGE)
             played.start(extra, [r.own for r in played.living()])
         living = played.living()
-        assert sum(part_of_fleet(r, played.now) for r in living) <= 1 + 1e-9
+        assert sum(fleet_share(r, played.now) for r in living) <= 1 + 1e-9
         for region in "ab":
             here = [r for r in living if r.own.region == region]
-            assert sum(part_of_region(r, played.now) for r in here) <= 1 + 1e-9
+            assert sum(region_share(r, played.now) for r in here) <= 1 + 1e-9
 
 
 def test_one_host_follows_the_store_for_a_fleet_of_any_size():
@@ -257,7 +257,7 @@
 
 def test_without_dialling_lost_hosts_a_cut_would_stay(monkeypatch):
     # The guard taken out: each side of a cut goes on alone after it has healed.
-    monkeypatch.setattr(contacts, "_lost_active", lambda roster, now: iter(()))
+    monkeypatch.setattr(peer_selection, "_lost_active", lambda roster, now: iter(()))
     with pytest.raises(AssertionError):
         test_a_cut_between_regions_heals()
 
@@ -271,6 +271,8 @@
 
 def test_without_counting_those_that_share_parts_would_exceed_the_whole(monkeypatch):
     # The guard taken out: once settled, each active host takes the whole for itself.
-    monkeypatch.setattr(duties, "_shares", lambda roster, host_id, entry, now: False)
+    monkeypatch.setattr(
+        fleet_shares, "_shares", lambda roster, host_id, entry, now: False
+    )
     with pytest.raises(AssertionError):
         test_parts_of_the_whole_add_up_to_one_at_most()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,8 +4,8 @@
 from dataclasses import replace
 
 from lacewingcross.core.backend_state import ServerEntry
-from lacewingcross.core.choices import Ask, Choice, Refusal
 from lacewingcross.core.placement import Placement
+from lacewingcross.core.placement_types import Choice, PlacementRequest, Refusal
 from lacewingcross.core.routes import Service
 
 REGION_OF = {"a1": "a", "a2": "a", "b1": "b"}
@@ -32,7 +32,9 @@
 def ask(key="7", *, regions=(), urgent=False, tried=(), target_s=0.2):
     regions = frozenset(regions)
     tried = frozenset(tried)
-    return Ask("calendar", key, regions, urgent, tried, target_s, "listing")
+    return PlacementRequest(
+        "calendar", key, regions, urgent, tried, target_s, "listing"
+    )
 
 
 def evacuate(placed, domains):
@@ -42,7 +44,7 @@
 
 def fill(server, count):
     for number in range(count):
-        server.evidence.sent(number, NOW, 9.0)
+        server.passive_health.sent(number, NOW, 9.0)
         server.own += 1
 
 
@@ -172,8 +174,10 @@
     placed = placement(*six())
     choice = placed.choose(ask(), NOW)
     placed.began(choice, 1, NOW)
-    assert placed.known.handled_news() == [(choice.server.entry.server_id, "listing/7")]
-    assert placed.known.handled_news() == []
+    assert placed.known.take_newly_handled() == [
+        (choice.server.entry.server_id, "listing/7")
+    ]
+    assert placed.known.take_newly_handled() == []
     assert placed.choose(ask(), NOW).estimate.warm
     placed.not_run(choice)
     assert not placed.choose(ask(), NOW).estimate.warm
@@ -270,7 +274,7 @@
         server = choice.server
         placed.began(choice, number, NOW)
         placed.ended(server)
-        server.evidence.forgotten(number)
+        server.passive_health.forgotten(number)
         sent[server.entry.server_id] = sent.get(server.entry.server_id, 0) + 1
     assert all(sent[name] <= 26 for name in ("a0", "a1", "a2", "a3"))
 
@@ -294,8 +298,8 @@
     placed = placement(*six())
     for server in placed.known.servers.values():
         for number in range(20):
-            server.evidence.sent(number, NOW, 9.0)
-            server.evidence.failed(number, NOW)
+            server.passive_health.sent(number, NOW, 9.0)
+            server.passive_health.failed(number, NOW)
     assert chosen(placed)
 
 
--- a/tests/test_quota_desk.py
+++ b/tests/test_quota_admission.py
@@ -9,9 +9,9 @@
 from lacewingcross.core import messages as msg
 from lacewingcross.core.quota import Quota, QuotaBound
 from lacewingcross.core.quota_ledger import Outcome
-from lacewingcross.core.quotas import Quotas, Times
+from lacewingcross.core.quotas import ClockReading, Quotas
 from lacewingcross.core.roster import Roster
-from lacewingcross.gateway.quota_desk import QuotaDesk
+from lacewingcross.gateway.quota_admission import QuotaAdmission
 from lacewingcross.metrics import Metrics
 
 
@@ -23,16 +23,16 @@
         roster = Roster(host_info(0))
         roster.starting = False
         self.keeper = host_info(1)
-        roster.heard(self.keeper, 1, self.now, leaving=False)
+        roster.note_alive(self.keeper, 1, self.now, leaving=False)
         roster.review(self.now)
         quotas = Quotas(roster, QuotaBound(), random.Random(1), first_start=False)
         quotas.configure(accounts_with({"a": Quota(10.0, 10.0)}), self.times())
         quotas.ledger.set_keeper("a", self.keeper.host_id)
         self.ledger = quotas.ledger
-        self.desk = QuotaDesk(quotas, roster, Metrics(), self.times)
+        self.desk = QuotaAdmission(quotas, roster, Metrics(), self.times)
 
     def times(self):
-        return Times(self.now, self.now)
+        return ClockReading(self.now, self.now)
 
     def pay(self, count):
         items = [("a", 0, count, 0.0)]
--- a/tests/test_quotas_gateway.py
+++ b/tests/test_quotas_gateway.py
@@ -103,7 +103,7 @@
         (app,) = [await made.add_host()]
         await until(lambda: app.gateway.steering.table is not None)
         for number in range(130):
-            await app.gateway.quota_desk.admit(f"account-{number}")
+            await app.gateway.quota_admission.admit(f"account-{number}")
         counters = app.gateway.metrics.counters
         named = [name for name in counters if name.startswith("accounts.")]
         assert len({name.split(".", 2)[2] for name in named}) <= 101
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -90,18 +90,18 @@
 def test_an_answer_from_before_the_limit_does_not_end_it():
     limits = RateLimits("h0")
     limits.set_hosts(frozenset({"h0"}), 0.0)
-    assert limits.heard(SERVER, 6.0, 9.9, 10.0)
-    assert not limits.heard(SERVER, None, 9.8, 11.0)
+    assert limits.observe(SERVER, 6.0, 9.9, 10.0)
+    assert not limits.observe(SERVER, None, 9.8, 11.0)
     assert list(limits.in_force())
-    assert limits.heard(SERVER, None, 10.5, 11.0)
+    assert limits.observe(SERVER, None, 10.5, 11.0)
 
 
 def test_old_news_of_another_host_does_not_undo_what_was_heard():
     limits = RateLimits("h0")
-    limits.heard(SERVER, 6.0, 9.9, 10.0)
-    assert not limits.told(SERVER, 30.0, 9.0, 10.1)
-    assert not limits.told(SERVER, None, 9.0, 10.1)
-    assert limits.told(SERVER, 3.0, 10.05, 10.1)
+    limits.observe(SERVER, 6.0, 9.9, 10.0)
+    assert not limits.learn_from_peer(SERVER, 30.0, 9.0, 10.1)
+    assert not limits.learn_from_peer(SERVER, None, 9.0, 10.1)
+    assert limits.learn_from_peer(SERVER, 3.0, 10.05, 10.1)
 
 
 def test_hosts_without_a_share_pass_the_server_over_and_ask_again_by_turns():
@@ -110,7 +110,7 @@
     for name in sorted(names):
         limits = RateLimits(name)
         limits.set_hosts(names, 0.0)
-        limits.heard(SERVER, 0.0, 0.0, 0.0)
+        limits.observe(SERVER, 0.0, 0.0, 0.0)
         for second in range(int(BELIEVED_S) + 60):
             if limits.share_of(SERVER) or not limits.may_send(
                 SERVER, second, urgent=True
@@ -126,14 +126,14 @@
 def test_a_host_that_stands_by_sends_nothing_to_a_server_with_a_limit():
     limits = RateLimits("stands-by")
     limits.set_hosts(frozenset({"h0", "h1"}), 0.0)
-    limits.heard(SERVER, 6.0, 0.0, 0.0)
+    limits.observe(SERVER, 6.0, 0.0, 0.0)
     assert not limits.may_send(SERVER, 100.0, urgent=True)
 
 
 def test_urgent_requests_go_first():
     limits = RateLimits("h0")
     limits.set_hosts(frozenset({"h0"}), 0.0)
-    limits.heard(SERVER, 0.5, 0.0, 0.0)
+    limits.observe(SERVER, 0.5, 0.0, 0.0)
     while limits.may_send(SERVER, 0.0, urgent=True):
         limits.sent(SERVER, 0.0)
     soon = limits.wait_s(SERVER, 0.0)
@@ -147,7 +147,7 @@
     hosts = [RateLimits(f"h{number}") for number in range(40)]
     for limits in hosts:
         limits.set_hosts(frozenset(f"h{number}" for number in range(40)), 0.0)
-        limits.heard(SERVER, 0.5, 0.0, 0.0)
+        limits.observe(SERVER, 0.5, 0.0, 0.0)
     shares = [limits.share_of(SERVER) for limits in hosts]
     assert sum(share > 0 for share in shares) <= bound.sharers_most(0.5)
     assert sum(shares) == pytest.approx(0.5)
@@ -155,7 +155,7 @@
 
 def test_limits_of_servers_that_are_gone_are_forgotten():
     limits = RateLimits("h0")
-    limits.heard(SERVER, 6.0, 0.0, 0.0)
+    limits.observe(SERVER, 6.0, 0.0, 0.0)
     limits.forget_old(REMEMBERED_S + 1.0, {SERVER[0]})
     assert list(limits.in_force())
     limits.forget_old(REMEMBERED_S + 1.0, set())
@@ -166,7 +166,7 @@
     # Three requests come at once; the server takes 1,000 a second.
     limits = RateLimits("h0")
     limits.set_hosts(frozenset({"h0", "h1"}), 0.0)
-    limits.heard(SERVER, 1000.0, 0.0, 0.0)
+    limits.observe(SERVER, 1000.0, 0.0, 0.0)
     for _ in range(3):
         assert limits.may_send(SERVER, 1.0, urgent=False)
         limits.sent(SERVER, 1.0)
@@ -175,5 +175,5 @@
 def test_a_server_that_has_just_named_a_limit_is_asked_on():
     limits = RateLimits("h0")
     limits.set_hosts(frozenset({"h0"}), 0.0)
-    limits.heard(SERVER, 1.0, 0.0, 0.0)
+    limits.observe(SERVER, 1.0, 0.0, 0.0)
     assert limits.may_send(SERVER, 0.0, urgent=False)
--- a/tests/test_rate_limits_gateway.py
+++ b/tests/test_rate_limits_gateway.py
@@ -171,4 +171,4 @@
             assert got.status == 200
         assert counters["retries.connect-refused"]
         good = placement.known.servers["i-1"]
-        assert good.evidence.why == ""
+        assert good.passive_health.why == ""
--- a/tests/test_reserved.py
+++ b/tests/test_region_reservations.py
@@ -1,7 +1,11 @@
 """When a region is left to the requests that may go nowhere else."""
 
 from lacewingcross.core.backend_state import Server, ServerEntry
-from lacewingcross.core.reserved import MOVED_PER_S, Reserved, point_of
+from lacewingcross.core.region_reservations import (
+    MOVED_PER_S,
+    RegionReservations,
+    point_of,
+)
 
 NORTH = frozenset(("n",))
 
@@ -20,7 +24,7 @@
 
 def reviewed(bound_of_ten, known, seconds=30.0, made=None, start=0.0):
     """Ask ten requests every half second, some of them bound to the north."""
-    made = made or Reserved()
+    made = made or RegionReservations()
     for step in range(int(seconds * 2)):
         for number in range(10):
             made.asked("c", NORTH if number < bound_of_ten else frozenset())
@@ -42,7 +46,7 @@
 
 def test_nothing_is_reserved_without_bound_requests_or_with_few_requests_at_all():
     assert not off(reviewed(0, servers(n=2, c=18)))
-    made = Reserved()
+    made = RegionReservations()
     made.asked("c", NORTH)
     made.review(servers(n=2, c=18), 0.0)
     made.review(servers(n=2, c=18), 60.0)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,9 +1,9 @@
 """Which hosts live, who watches the store, whom callers are told to use."""
 
-from lacewingcross.core.contacts import COUNTS_EVERY_S, counts_every_s
-from lacewingcross.core.duties import part_of_fleet, part_of_region, rank
+from lacewingcross.core.fleet_shares import fleet_share, rank, region_share
 from lacewingcross.core.membership import HostInfo
 from lacewingcross.core.named_hosts import addresses_for
+from lacewingcross.core.peer_selection import COUNTS_EVERY_S, counts_every_s
 from lacewingcross.core.roster import Roster
 
 
@@ -18,7 +18,7 @@
     made = Roster(host(0))
     made.starting = False
     for info in others:
-        made.heard(info, 1, 0.0, leaving=False)
+        made.note_alive(info, 1, 0.0, leaving=False)
     made.review(0.0)
     return made
 
@@ -37,10 +37,10 @@
 
 def test_a_leaving_host_is_named_no_longer():
     made = roster(host(1))
-    made.heard(host(1), 1, 1.0, leaving=True)
+    made.note_alive(host(1), 1, 1.0, leaving=True)
     assert addresses_for(made, "a", frozenset(), 1.0) == ["10.0.0.0:1"]
     made.leaving = True
-    made.heard(host(1), 1, 1.0, leaving=False)
+    made.note_alive(host(1), 1, 1.0, leaving=False)
     assert addresses_for(made, "a", frozenset(), 1.0) == ["10.0.0.1:1"]
 
 
@@ -64,7 +64,7 @@
     made.listed = True
     for number in range(1, 24):
         cores = 2.15 if number < 4 else 0.43
-        made.heard(host(number, cores=cores), 1, 0.0, leaving=False)
+        made.note_alive(host(number, cores=cores), 1, 0.0, leaving=False)
     made.review(0.0)
     return made
 
@@ -79,7 +79,7 @@
 def test_small_hosts_step_in_when_large_ones_are_lost():
     made = mixed()
     for number in (1, 2):
-        made.heard(host(number, cores=2.15), 1, 0.5, leaving=True)
+        made.note_alive(host(number, cores=2.15), 1, 0.5, leaving=True)
     made.review(0.5)
     assert len(addresses_for(made, "a", frozenset(), 1.0)) == 22
 
@@ -106,18 +106,18 @@
     # What all hosts together may send to a cold server, or repeat, is divided by what
     # each can carry; a part by number would leave a large host a twenty-fourth.
     made = mixed()
-    assert part_of_region(made, 1.0) == part_of_fleet(made, 1.0)
+    assert region_share(made, 1.0) == fleet_share(made, 1.0)
     # The small hosts stand by, so the four large ones share the whole.
-    assert abs(part_of_region(made, 1.0) - 2.15 / (4 * 2.15)) < 1e-9
-    made.heard(host(2, cores=2.15), 1, 0.5, leaving=True)
-    made.heard(host(3, cores=2.15), 1, 0.5, leaving=True)
+    assert abs(region_share(made, 1.0) - 2.15 / (4 * 2.15)) < 1e-9
+    made.note_alive(host(2, cores=2.15), 1, 0.5, leaving=True)
+    made.note_alive(host(3, cores=2.15), 1, 0.5, leaving=True)
     made.review(0.5)
     others = sum(info.cores for info in (e.info for e in made.entries.values()))
-    assert abs(part_of_region(made, 1.0) - 2.15 / (2.15 + others)) < 1e-9
+    assert abs(region_share(made, 1.0) - 2.15 / (2.15 + others)) < 1e-9
     alone = Roster(host(0))
-    assert part_of_region(alone, 1.0) <= 0.2
+    assert region_share(alone, 1.0) <= 0.2
     alone.listed = True
-    assert part_of_region(alone, 1.0) == 1.0
+    assert region_share(alone, 1.0) == 1.0
 
 
 def test_the_store_is_followed_by_a_large_host():
@@ -127,7 +127,7 @@
         made.starting = False
         for other in infos:
             if other is not own:
-                made.heard(other, 1, 0.0, leaving=False)
+                made.note_alive(other, 1, 0.0, leaving=False)
         made.review(0.0)
         assert (rank(made, 1.0) == 0) == (own.cores == 2.0)
 
@@ -140,7 +140,7 @@
         made.starting = False
         for other in infos:
             if other is not own:
-                made.heard(other, 1, 0.0, leaving=False)
+                made.note_alive(other, 1, 0.0, leaving=False)
         made.review(0.0)
         ranks.append(rank(made, 1.0))
     assert sorted(ranks) == [0, 1, 2, 3, 4]
@@ -155,7 +155,7 @@
         made = Roster(own)
         for other in infos:
             if other is not own:
-                made.heard(other, 1, 0.0, leaving=True)
+                made.note_alive(other, 1, 0.0, leaving=True)
         ranks.append(rank(made, 1.0))
     assert sorted(ranks) == [0, 1, 2, 3, 4, 5]
 
@@ -177,13 +177,13 @@
     # the others. Whoever is next must take over before anyone has to fall silent.
     infos = [host(number) for number in range(1, 4)]
     made = roster(*infos)
-    made.heard(infos[0], 1, 0.0, leaving=True)
-    made.heard(infos[1], 1, 0.0, leaving=False, turned_away=True)
+    made.note_alive(infos[0], 1, 0.0, leaving=True)
+    made.note_alive(infos[1], 1, 0.0, leaving=False, store_unreachable=True)
     assert rank(made, 1.0) <= 1
-    made.heard(infos[2], 1, 0.0, leaving=False, turned_away=True)
+    made.note_alive(infos[2], 1, 0.0, leaving=False, store_unreachable=True)
     assert rank(made, 1.0) == 0
-    made.turned_away = True
-    made.heard(infos[2], 1, 0.0, leaving=False)
+    made.store_unreachable = True
+    made.note_alive(infos[2], 1, 0.0, leaving=False)
     assert rank(made, 1.0) >= 1
 
 
@@ -199,18 +199,18 @@
     assert made.forget_silent(30.0) == []
     assert made.forget_silent(61.0) == ["host-1"]
     made.listed = True
-    assert part_of_region(made, 1.0) == 1.0
+    assert region_share(made, 1.0) == 1.0
 
 
 def test_a_host_that_knows_nobody_yet_does_not_take_the_whole_regions_share():
     # All hosts are killed together while servers come back cold. Each one that starts
     # knows itself only; five of them with a whole share each break the servers again.
     made = roster()
-    assert part_of_region(made, 1.0) <= 1 / 5
-    made.heard(host(1), 1, 0.0, leaving=False)
+    assert region_share(made, 1.0) <= 1 / 5
+    made.note_alive(host(1), 1, 0.0, leaving=False)
     made.review(0.0)
     made.listed = True
-    assert part_of_region(made, 1.0) == 1 / 2
+    assert region_share(made, 1.0) == 1 / 2
 
 
 def test_a_host_that_has_not_read_the_configuration_is_not_named():
@@ -219,5 +219,5 @@
     made = roster(host(1))
     made.starting = True
     assert addresses_for(made, "a", frozenset(), 1.0) == ["10.0.0.1:1"]
-    made.heard(host(1), 1, 1.0, leaving=True)
+    made.note_alive(host(1), 1, 1.0, leaving=True)
     assert len(addresses_for(made, "a", frozenset(), 1.0)) == 2
--- /dev/null
+++ b/tests/test_server_backoffs.py
@@ -0,0 +1,65 @@
+"""Servers that ask a host for rest."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from lacewingcross.core.server_backoffs import REST_MOST_S, TRIAL_S, ServerBackoffs
+
+SERVER = ("i-1", 0)
+
+
+@given(
+    answers=st.lists(st.tuples(st.floats(0.01, 0.5), st.floats(0.0, 5.0)), max_size=60)
+)
+def test_no_request_goes_to_a_resting_server_however_it_asks(answers):
+    backoffs = ServerBackoffs()
+    now = 0.0
+    rests_until = 0.0
+    for passed_s, rest_s in answers:
+        now += passed_s
+        if backoffs.may_send(SERVER, now):
+            assert now >= rests_until
+            backoffs.sent(SERVER, now)
+            backoffs.observe(SERVER, rest_s, now)
+            rests_until = max(rests_until, now + rest_s)
+
+
+def test_a_longer_rest_that_is_asked_for_meanwhile_counts():
+    backoffs = ServerBackoffs()
+    assert backoffs.observe(SERVER, 2.0, 0.0)
+    assert not backoffs.observe(SERVER, 3.0, 0.1)
+    assert not backoffs.observe(SERVER, 0.5, 0.2)
+    assert backoffs.wait_s(SERVER, 1.1) == 2.0
+
+
+def test_an_answer_from_before_the_rest_does_not_end_it():
+    backoffs = ServerBackoffs()
+    backoffs.observe(SERVER, 2.0, 0.0)
+    backoffs.observe(SERVER, 0.0, 0.1)
+    assert not backoffs.may_send(SERVER, 1.9)
+
+
+def test_after_a_rest_one_request_goes_first():
+    backoffs = ServerBackoffs()
+    backoffs.observe(SERVER, 2.0, 0.0)
+    assert backoffs.may_send(SERVER, 2.0)
+    backoffs.sent(SERVER, 2.0)
+    assert not backoffs.may_send(SERVER, 2.1)
+    backoffs.observe(SERVER, 0.0, 2.2)
+    assert backoffs.may_send(SERVER, 2.2)
+
+
+def test_a_first_request_that_is_never_answered_blocks_for_a_moment_only():
+    backoffs = ServerBackoffs()
+    backoffs.observe(SERVER, 2.0, 0.0)
+    backoffs.sent(SERVER, 2.0)
+    assert not backoffs.may_send(SERVER, 2.0 + TRIAL_S / 2)
+    assert backoffs.may_send(SERVER, 2.0 + TRIAL_S)
+
+
+def test_an_absurd_rest_ends():
+    backoffs = ServerBackoffs()
+    backoffs.observe(SERVER, 1e12, 0.0)
+    assert backoffs.wait_s(SERVER, 0.0) == REST_MOST_S
+    backoffs.forget_old(3 * REST_MOST_S)
+    assert backoffs.may_send(SERVER, 3 * REST_MOST_S)
