--- a/lacewingcross/core/request_state.py
+++ b/lacewingcross/core/request_state.py
@@ -1,4 +1,4 @@
-"""What a host knows of one request while it is on its way."""
+"""State of a request that is open on its entry host."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class Phase(Enum):
-    """What a request waits for."""
+    """What an open request waits for."""
 
     CLAIM = "claim"
     PERMIT = "permit"
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class HeldPermit:
-    """A permit in use."""
+    """A permit for a slot of a backend server, used by one request at a time."""
 
     number: int
     server_id: str
@@ -28,7 +28,20 @@
 
 @dataclass(slots=True)
 class RequestState:
-    """One request from arrival to its final answer."""
+    """One request from arrival to its final answer.
+
+    Attributes
+    ----------
+    deadline, give_up_at : float
+        When the caller times out, and the earlier time at which a request without an
+        attempt under way is refused, in seconds on the monotonic clock.
+    exclude : set of str
+        Backend servers to avoid in further attempts.
+    key_hash, claim : str
+        Hash of the idempotency key and id of its claim; empty without a claim.
+    may_have_run : bool
+        Whether an earlier attempt may have run on a backend server.
+    """
 
     req: RequestArrived
     deadline: float
--- a/lacewingcross/core/requests.py
+++ b/lacewingcross/core/requests.py
@@ -1,4 +1,4 @@
-"""The life of each request on its entry host: claim, permit, attempts, ending."""
+"""Life cycle of a request on its entry host: claim, permit, attempts, final answer."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -33,10 +33,12 @@
 ASK_AGAIN_S = 2.0
 MAX_REUSES = 3
 REUSE_BELOW_S = 1.0
-# A refusal sent at the deadline itself arrives after the caller has given up, who then
-# cannot know that nothing ran. It goes out this much earlier.
+# A refusal sent at the deadline would arrive after the caller has timed out, and the
+# caller could not know that nothing ran. Refusals are sent earlier, by the smaller of
+# this margin and a fraction of the time that the request had on arrival.
 ANSWER_MARGIN_S = 0.03
 ANSWER_MARGIN_PART = 0.1
+# An attempt must start within this fraction of its permit's lease.
 START_PART = 0.5
 COME_BACK_S = (0.5, 2.0)
 
@@ -57,14 +59,14 @@
 
 
 class RequestTable:
-    """All requests of this host.
+    """The open requests of this host, from arrival to the final answer.
 
     Parameters
     ----------
     view : View
         Shared state.
     claims : ClaimKeeper
-        Knows who owns which shard of idempotency keys.
+        Finds the host that owns a shard of idempotency keys.
     """
 
     __slots__ = (
@@ -93,10 +95,8 @@
     def _is_open(self, state: RequestState) -> bool:
         return self.requests.get(state.req.request_id) is state
 
-    # Arrival
-
     def arrived(self, req: RequestArrived, now: float) -> Iterator[Action]:
-        """Take in a request, or refuse it at once."""
+        """Open a request, or refuse it immediately."""
         view = self._view
         if not view.config.complete:
             yield from self._refuse_unlisted(req, 503, "no-config")
@@ -143,19 +143,17 @@
         heappush(self._deadlines, (state.give_up_at, req.request_id))
         return state
 
-    # Keyed requests
-
     def _review_claim(self, state: RequestState, now: float) -> Iterator[Action]:
-        """Ask again when the shard's owner changed or its answer was lost.
+        """Send the claim again if the shard's owner changed or its answer was lost.
 
-        The claim's id is the same, so asking twice cannot make it a duplicate.
+        The claim keeps its id, so that a repeated claim is not taken for a duplicate.
         """
         if self._keys.owner_moved(state, now) or now - state.asked_at > ASK_AGAIN_S:
             yield Count("retries.claim-again")
             yield self._keys.ask(state, now)
 
     def claim_ended(self, ended: msg.ClaimEnded, now: float) -> Iterator[Action]:
-        """Go on once a claim is decided."""
+        """Continue a request whose claim is decided."""
         state = self.requests.get(ended.request_id)
         waits = state is not None and state.phase is Phase.CLAIM
         if not waits or state.claim != ended.claim:
@@ -163,15 +161,13 @@
         if ended.outcome == CLAIMED:
             yield from self._ask(state, now)
         elif ended.outcome == TAKEN:
-            # The first holder may have run it; this copy did not, but saying
-            # "not run" would invite the caller to book again under a new key.
+            # The request that holds the key may have run. This copy did not, but the
+            # outcome "not run" would invite the caller to book again under a new key.
             state.key_hash = ""
             yield from self._finish(state, 409, UNKNOWN, "duplicate-key", now)
         else:
             yield from self._refuse(state, "store-unavailable", self._come_back(), now)
 
-    # Permits
-
     def _ask(self, state: RequestState, now: float) -> Iterator[Action]:
         if now >= state.give_up_at:
             yield from self._refuse(state, "deadline", self._come_back(), now)
@@ -194,7 +190,7 @@
         return SendPeer(state.keeper, ask)
 
     def granted(self, host_id: str, grant: msg.Grant, now: float) -> Iterator[Action]:
-        """Start an attempt with a permit, or give back one nobody waits for."""
+        """Start an attempt with a permit, or release it if no request waits for it."""
         state = self.requests.get(grant.request_id)
         wanted = (
             state is not None
@@ -221,7 +217,8 @@
         server = self._view.server(state.req.service, server_id)
         leaving = self._view.leaving_servers(state.req.service)
         if server is None or server_id in leaving:
-            # Granted before the keeper saw the drain: no new work may start there.
+            # The permit was granted before the keeper saw that the server was removed
+            # or is draining: no new request may start there.
             yield from self._give_back(state, UNUSED, 0.0)
             state.exclude.add(server_id)
             yield from self._ask(state, now)
@@ -243,7 +240,7 @@
         )
 
     def denied(self, host_id: str, no: msg.Denied, now: float) -> Iterator[Action]:
-        """Give the caller the keeper's refusal, or look for the right keeper."""
+        """Refuse the request as the keeper did, or look for the right keeper."""
         state = self.requests.get(no.request_id)
         if state is None or state.phase is not Phase.PERMIT:
             return
@@ -275,10 +272,11 @@
     ) -> RequestState | None:
         """Return the oldest waiting request that can use the permit next, or None.
 
-        A slot stands idle while its permit travels to the keeper and back, which at
-        20 ms of service costs several percent of the pool. Passing it on to a request
-        of the same host saves that trip. It may be done a few times in a row only:
-        otherwise the hosts that came first would keep the slots from the others.
+        A slot is idle while its permit is released to the keeper and granted again. At
+        a service time of 20 ms that costs several percent of the pool's capacity.
+        Passing the permit on to a request of the same host saves the network round
+        trip. A permit is passed on only a few times in a row: otherwise the first hosts
+        to get slots would keep them from the other hosts.
         """
         held = state.held
         if held is None or ended.ending is not Ending.ANSWERED:
@@ -318,16 +316,14 @@
             and state.region == region
         ]
 
-    # Attempts
-
     def first_byte(self, request_id: str, number: int) -> None:
-        """Note that the backend server may run the request from now on."""
+        """Record that the backend server may run the request from now on."""
         attempt = self._attempt(request_id, number)
         if attempt is not None:
             attempt.first_byte_written()
 
     def head_forwarded(self, request_id: str, number: int) -> None:
-        """Note that the caller has begun to get its answer."""
+        """Record that the caller has begun to receive the response."""
         attempt = self._attempt(request_id, number)
         if attempt is not None:
             attempt.head_forwarded = True
@@ -339,7 +335,7 @@
         return state.attempt
 
     def attempt_ended(self, ended: AttemptEnded, now: float) -> Iterator[Action]:
-        """Release the slot, then decide: done, retry, refuse, unknown or abort."""
+        """Free the permit, then decide: done, retry, refuse, unknown or abort."""
         state = self.requests.get(ended.request_id)
         attempt = self._attempt(ended.request_id, ended.attempt)
         if state is None or attempt is None:
@@ -389,15 +385,14 @@
             self._close(state)
             yield Count("answered")
 
-    # Endings
-
     def _refuse(
         self, state: RequestState, reason: str, retry_after_s: float, now: float
     ) -> Iterator[Action]:
         """Refuse as not run, unless an earlier attempt may have run.
 
-        Failure: a read is tried, its answer is lost, and the second try is refused.
-        "Not run" would be true of the second try and a lie about the request.
+        Guards against a false "not run": the first attempt of a read loses its
+        response and the second attempt is refused. "Not run" would be true of the
+        second attempt, but not of the request.
         """
         self.last_refusals[state.req.service] = reason
         if state.may_have_run:
@@ -425,7 +420,7 @@
         self.requests.pop(state.req.request_id, None)
 
     def cancelled(self, request_id: str, now: float) -> Iterator[Action]:
-        """The caller has gone: stop what can be stopped."""
+        """Stop a request whose caller has disconnected, as far as it can be stopped."""
         state = self.requests.get(request_id)
         if state is None:
             return
@@ -443,10 +438,8 @@
         gone = msg.Withdraw(state.req.service, state.region, state.req.request_id)
         yield SendPeer(state.keeper, gone)
 
-    # Time
-
     def tick(self, now: float) -> Iterator[Action]:
-        """End what is late, follow keeper changes, renew leases."""
+        """End overdue requests, follow keeper changes and renew leases."""
         yield from self._end_late(now)
         self._waiting.sweep()
         for state in list(self.requests.values()):
@@ -473,8 +466,9 @@
 
     def _late(self, state: RequestState, now: float) -> Iterator[Action]:
         if state.phase is Phase.ATTEMPT:
-            # The driver answers with an AttemptEnded, which settles the stage. An
-            # answer already on its way to the caller is left to arrive whole.
+            # The driver reports the cancelled attempt with an AttemptEnded, which
+            # settles its stage. A response that is already being forwarded to the
+            # caller is left to complete.
             if not state.attempt.head_forwarded:
                 number = state.attempt.number
                 yield CancelAttempt(state.req.request_id, number, Ending.TIMED_OUT)
@@ -484,7 +478,7 @@
         yield from self._refuse(state, "deadline", self._come_back(), now)
 
     def _review_wait(self, state: RequestState, now: float) -> Iterator[Action]:
-        """Ask the new keeper after a change; use the fixed share in a silence."""
+        """Ask the new keeper after a change; use the fixed share if it is silent."""
         view = self._view
         keeper = view.keeper_of(state.req.service, state.region, now)
         if keeper != state.keeper:
@@ -493,8 +487,8 @@
             yield from self._ask(state, now)
             return
         if now >= state.ask_again_at:
-            # The ask or its answer may have been lost with a connection; the keeper
-            # knows a repeated ask by its request id.
+            # The message to the keeper or its reply may have been lost with a
+            # connection. The keeper recognises a repeated one by its request id.
             yield Count("retries.ask-again")
             yield self._send_ask(state, now)
             return
@@ -520,7 +514,7 @@
                 continue
             key = (state.req.service, state.region)
             held[key].append((state.held.server_id, state.held.number))
-            # Renewals go to the keeper of the day, and so does the release.
+            # The current keeper gets the renewal, so it must get the release as well.
             state.held.keeper = self._view.keeper_of(*key, now)
         for (service, region), slots in held.items():
             keeper = self._view.keeper_of(service, region, now)
