--- a/lacewingcross/core/request_state.py
+++ b/lacewingcross/core/request_state.py
@@ -20,7 +20,7 @@
 class HeldPermit:
     """A permit for a slot of a backend server, used by one request at a time."""
 
-    number: int
+    permit_id: int
     server_id: str
     keeper: str
     reuses: int = 0
--- a/lacewingcross/core/requests.py
+++ b/lacewingcross/core/requests.py
@@ -27,22 +27,22 @@
 from .view import View
 from .waiting_requests import WaitingRequests
 
-RENEW_S = 1.0
-KEEPER_SILENCE_S = 0.9
-NOT_KEEPER_PAUSE_S = 0.05
-ASK_AGAIN_S = 2.0
+LEASE_RENEWAL_PERIOD_S = 1.0
+KEEPER_SILENCE_TIMEOUT_S = 0.9
+NOT_KEEPER_RETRY_DELAY_S = 0.05
+REPEAT_ASK_AFTER_S = 2.0
 MAX_REUSES = 3
-REUSE_BELOW_S = 1.0
+MAX_REUSE_SERVICE_TIME_S = 1.0
 # A refusal sent at the deadline would arrive after the caller has timed out, and the
 # caller could not know that nothing ran. Refusals are sent earlier, by the smaller of
 # this margin and a fraction of the time that the request had on arrival.
-ANSWER_MARGIN_S = 0.03
-ANSWER_MARGIN_PART = 0.1
+REFUSAL_MARGIN_S = 0.03
+REFUSAL_MARGIN_FRACTION = 0.1
 # An attempt must start within this fraction of its permit's lease.
-START_PART = 0.5
-COME_BACK_S = (0.5, 2.0)
+LEASE_START_FRACTION = 0.5
+RETRY_AFTER_RANGE_S = (0.5, 2.0)
 
-_RESULTS = {
+_RELEASE_RESULTS = {
     Ending.CONNECT_FAILED: UNREACHABLE,
     Ending.SERVER_NOT_RUN: SHED,
     Ending.ANSWERED: ANSWERED,
@@ -70,11 +70,11 @@
     """
 
     __slots__ = (
-        "_budgets",
         "_deadlines",
-        "_keys",
+        "_fixed_share",
+        "_key_claims",
         "_renewed_at",
-        "_share",
+        "_retry_budgets",
         "_view",
         "_waiting",
         "last_refusals",
@@ -83,12 +83,12 @@
 
     def __init__(self, view: View, claims: ClaimKeeper) -> None:
         self._view = view
-        self._keys = KeyClaims(view, claims)
-        self._share = FixedShare(view)
+        self._key_claims = KeyClaims(view, claims)
+        self._fixed_share = FixedShare(view)
         self._waiting = WaitingRequests(self._is_open)
         self.requests: dict[str, RequestState] = {}
         self.last_refusals: dict[str, str] = {}
-        self._budgets: dict[str, RetryBudget] = defaultdict(RetryBudget)
+        self._retry_budgets: dict[str, RetryBudget] = defaultdict(RetryBudget)
         self._deadlines: list[tuple[float, str]] = []
         self._renewed_at = float("-inf")
 
@@ -99,7 +99,7 @@
         """Open a request, or refuse it immediately."""
         view = self._view
         if not view.config.complete:
-            yield from self._refuse_unlisted(req, 503, "no-config")
+            yield from self._refuse_on_arrival(req, 503, "no-config")
             return
         policy = view.config.policies.get(req.service)
         if policy is None or req.service not in view.config.pools:
@@ -107,27 +107,27 @@
             yield Finish(req.request_id, 404, NOT_RUN, "unknown-service")
             return
         if req.request_id in self.requests:
-            yield from self._refuse_unlisted(req, 409, "duplicate-request-id")
+            yield from self._refuse_on_arrival(req, 409, "duplicate-request-id")
             return
         region = view.region_of(req.service, req.address, req.caller)
         if region is None:
-            yield from self._refuse_unlisted(req, 503, "no-plan")
+            yield from self._refuse_on_arrival(req, 503, "no-plan")
             return
         state = self._open(req, policy, region, now)
-        self._budgets[req.service].earn()
+        self._retry_budgets[req.service].earn()
         if req.key and policy.keyed and not state.repeatable:
-            yield self._keys.ask(state, now)
+            yield self._key_claims.ask(state, now)
             return
-        yield from self._ask(state, now)
+        yield from self._request_permit(state, now)
 
-    def _refuse_unlisted(
+    def _refuse_on_arrival(
         self, req: RequestArrived, status: int, reason: str
     ) -> Iterator[Action]:
         yield Count(f"refused.{reason}")
-        yield Finish(req.request_id, status, NOT_RUN, reason, self._come_back())
+        yield Finish(req.request_id, status, NOT_RUN, reason, self._retry_after_s())
 
-    def _come_back(self) -> float:
-        return self._view.rng.uniform(*COME_BACK_S)
+    def _retry_after_s(self) -> float:
+        return self._view.rng.uniform(*RETRY_AFTER_RANGE_S)
 
     def _open(
         self, req: RequestArrived, policy: SteeringPolicy, region: str, now: float
@@ -138,7 +138,7 @@
             repeatable = req.method.upper() not in policy.non_repeatable
         state = RequestState(req, now + remaining, region, repeatable)
         self.requests[req.request_id] = state
-        margin = min(ANSWER_MARGIN_S, ANSWER_MARGIN_PART * remaining)
+        margin = min(REFUSAL_MARGIN_S, REFUSAL_MARGIN_FRACTION * remaining)
         state.give_up_at = state.deadline - margin
         heappush(self._deadlines, (state.give_up_at, req.request_id))
         return state
@@ -148,61 +148,66 @@
 
         The claim keeps its id, so that a repeated claim is not taken for a duplicate.
         """
-        if self._keys.owner_moved(state, now) or now - state.asked_at > ASK_AGAIN_S:
+        if (
+            self._key_claims.owner_moved(state, now)
+            or now - state.asked_at > REPEAT_ASK_AFTER_S
+        ):
             yield Count("retries.claim-again")
-            yield self._keys.ask(state, now)
+            yield self._key_claims.ask(state, now)
 
     def claim_ended(self, ended: msg.ClaimEnded, now: float) -> Iterator[Action]:
         """Continue a request whose claim is decided."""
         state = self.requests.get(ended.request_id)
-        waits = state is not None and state.phase is Phase.CLAIM
-        if not waits or state.claim != ended.claim:
+        awaits_claim = state is not None and state.phase is Phase.CLAIM
+        if not awaits_claim or state.claim != ended.claim:
             return
         if ended.outcome == CLAIMED:
-            yield from self._ask(state, now)
+            yield from self._request_permit(state, now)
         elif ended.outcome == TAKEN:
             # The request that holds the key may have run. This copy did not, but the
             # outcome "not run" would invite the caller to book again under a new key.
             state.key_hash = ""
             yield from self._finish(state, 409, UNKNOWN, "duplicate-key", now)
         else:
-            yield from self._refuse(state, "store-unavailable", self._come_back(), now)
+            yield from self._refuse(
+                state, "store-unavailable", self._retry_after_s(), now
+            )
 
-    def _ask(self, state: RequestState, now: float) -> Iterator[Action]:
+    def _request_permit(self, state: RequestState, now: float) -> Iterator[Action]:
         if now >= state.give_up_at:
-            yield from self._refuse(state, "deadline", self._come_back(), now)
+            yield from self._refuse(state, "deadline", self._retry_after_s(), now)
             return
         state.phase = Phase.PERMIT
         state.asked_at = now
         state.keeper = self._view.keeper_of(state.req.service, state.region, now)
         self._waiting.add(state)
-        yield self._send_ask(state, now)
+        yield self._send_acquire(state, now)
 
-    def _send_ask(self, state: RequestState, now: float) -> SendPeer:
-        state.ask_again_at = now + ASK_AGAIN_S
-        ask = msg.Acquire(
+    def _send_acquire(self, state: RequestState, now: float) -> SendPeer:
+        state.ask_again_at = now + REPEAT_ASK_AFTER_S
+        acquire = msg.Acquire(
             state.req.service,
             state.region,
             state.req.request_id,
             state.deadline - now,
             sorted(state.exclude),
         )
-        return SendPeer(state.keeper, ask)
+        return SendPeer(state.keeper, acquire)
 
     def granted(self, host_id: str, grant: msg.Grant, now: float) -> Iterator[Action]:
         """Start an attempt with a permit, or release it if no request waits for it."""
         state = self.requests.get(grant.request_id)
-        wanted = (
+        is_awaited = (
             state is not None
             and state.phase is Phase.PERMIT
             and state.keeper == host_id
             and state.region == grant.region
         )
-        if not wanted:
+        if not is_awaited:
             yield self._release_unused(host_id, grant)
             return
         state.held = HeldPermit(grant.permit, grant.server_id, host_id)
-        yield from self._start(state, grant.lease_s * START_PART, now)
+        yield from self._start(state, grant.lease_s * LEASE_START_FRACTION, now)
 
     def _release_unused(self, host_id: str, grant: msg.Grant) -> SendPeer:
         release = msg.Release(
@@ -219,9 +224,9 @@
         if server is None or server_id in leaving:
             # The permit was granted before the keeper saw that the server was removed
             # or is draining: no new request may start there.
-            yield from self._give_back(state, UNUSED, 0.0)
+            yield from self._release_permit(state, UNUSED, 0.0)
             state.exclude.add(server_id)
-            yield from self._ask(state, now)
+            yield from self._request_permit(state, now)
             return
         state.phase = Phase.ATTEMPT
         state.attempts += 1
@@ -239,21 +244,21 @@
             state.repeatable,
         )
 
-    def denied(self, host_id: str, no: msg.Denied, now: float) -> Iterator[Action]:
+    def denied(self, host_id: str, denial: msg.Denied, now: float) -> Iterator[Action]:
         """Refuse the request as the keeper did, or look for the right keeper."""
-        state = self.requests.get(no.request_id)
+        state = self.requests.get(denial.request_id)
         if state is None or state.phase is not Phase.PERMIT:
             return
-        if state.keeper != host_id or state.region != no.region:
+        if state.keeper != host_id or state.region != denial.region:
             return
-        if no.reason == "not-keeper":
+        if denial.reason == "not-keeper":
             state.phase = Phase.PAUSE
-            state.resume_at = now + NOT_KEEPER_PAUSE_S
+            state.resume_at = now + NOT_KEEPER_RETRY_DELAY_S
             yield Count("retries.not-keeper")
             return
-        yield from self._refuse(state, no.reason, no.retry_after_s, now)
+        yield from self._refuse(state, denial.reason, denial.retry_after_s, now)
 
-    def _give_back(
+    def _release_permit(
         self, state: RequestState, result: str, service_s: float
     ) -> Iterator[Action]:
         held = state.held
@@ -262,12 +267,12 @@
             return
         service = state.req.service
         release = msg.Release(
-            service, state.region, held.number, held.server_id, result, service_s
+            service, state.region, held.permit_id, held.server_id, result, service_s
         )
-        current = held.keeper
-        yield SendPeer(current, release)
+        keeper = held.keeper
+        yield SendPeer(keeper, release)
 
-    def _heir(
+    def _next_for_permit(
         self, state: RequestState, ended: AttemptEnded, now: float
     ) -> RequestState | None:
         """Return the oldest waiting request that can use the permit next, or None.
@@ -281,56 +286,60 @@
         held = state.held
         if held is None or ended.ending is not Ending.ANSWERED:
             return None
-        if held.reuses >= MAX_REUSES or ended.service_s > REUSE_BELOW_S:
+        if held.reuses >= MAX_REUSES or ended.service_s > MAX_REUSE_SERVICE_TIME_S:
             return None
         if held.server_id in self._view.leaving_servers(state.req.service):
             return None
         return self._waiting.take_for(state.req.service, state.region, held, now)
 
-    def _hand_over(
-        self, state: RequestState, heir: RequestState, service_s: float, now: float
+    def _pass_permit_on(
+        self, state: RequestState, successor: RequestState, service_s: float, now: float
     ) -> Iterator[Action]:
         held = state.held
         state.held = None
         held.reuses += 1
-        heir.held = held
+        successor.held = held
         yield Count("permits.reused")
         reuse = msg.Reuse(
-            heir.req.service,
-            heir.region,
-            held.number,
+            successor.req.service,
+            successor.region,
+            held.permit_id,
             held.server_id,
             service_s,
-            heir.req.request_id,
+            successor.req.request_id,
         )
         yield SendPeer(held.keeper, reuse)
-        yield from self._start(heir, KEEPER_SILENCE_S, now)
+        yield from self._start(successor, KEEPER_SILENCE_TIMEOUT_S, now)
 
     def held(self, service: str, region: str) -> list[tuple[str, int]]:
         """Return backend server and permit of every slot in use."""
         return [
-            (state.held.server_id, state.held.number)
+            (state.held.server_id, state.held.permit_id)
             for state in self.requests.values()
             if state.held is not None
             and state.req.service == service
             and state.region == region
         ]
 
-    def first_byte(self, request_id: str, number: int) -> None:
+    def first_byte(self, request_id: str, attempt_number: int) -> None:
         """Record that the backend server may run the request from now on."""
-        attempt = self._attempt(request_id, number)
+        attempt = self._attempt(request_id, attempt_number)
         if attempt is not None:
             attempt.first_byte_written()
 
-    def head_forwarded(self, request_id: str, number: int) -> None:
+    def head_forwarded(self, request_id: str, attempt_number: int) -> None:
         """Record that the caller has begun to receive the response."""
-        attempt = self._attempt(request_id, number)
+        attempt = self._attempt(request_id, attempt_number)
         if attempt is not None:
             attempt.head_forwarded = True
 
-    def _attempt(self, request_id: str, number: int) -> Attempt | None:
+    def _attempt(self, request_id: str, attempt_number: int) -> Attempt | None:
         state = self.requests.get(request_id)
-        if state is None or state.attempt is None or state.attempt.number != number:
+        if (
+            state is None
+            or state.attempt is None
+            or state.attempt.number != attempt_number
+        ):
             return None
         return state.attempt
 
@@ -343,14 +352,14 @@
         attempt.end(ended.ending)
         if attempt.stage is Stage.UNKNOWN:
             state.may_have_run = True
-        heir = self._heir(state, ended, now)
-        if heir is not None:
-            yield from self._hand_over(state, heir, ended.service_s, now)
+        successor = self._next_for_permit(state, ended, now)
+        if successor is not None:
+            yield from self._pass_permit_on(state, successor, ended.service_s, now)
         else:
-            result = _RESULTS[ended.ending]
-            yield from self._give_back(state, result, ended.service_s)
+            result = _RELEASE_RESULTS[ended.ending]
+            yield from self._release_permit(state, result, ended.service_s)
         yield Count(f"attempts.{ended.ending.value}")
-        budget = self._budgets[state.req.service]
+        budget = self._retry_budgets[state.req.service]
         verdict = decide(
             attempt,
             ended.ending,
@@ -364,7 +373,7 @@
             yield Count(f"retries.{ended.ending.value}")
             if ended.ending is not Ending.SERVER_NOT_RUN:
                 state.exclude.add(attempt.server_id)
-            yield from self._ask(state, now)
+            yield from self._request_permit(state, now)
             return
         yield from self._settle(state, verdict, ended.ending, now)
 
@@ -373,7 +382,7 @@
     ) -> Iterator[Action]:
         if verdict is Verdict.REFUSE:
             reason = _REFUSAL_REASONS.get(ending, "not-sent")
-            yield from self._refuse(state, reason, self._come_back(), now)
+            yield from self._refuse(state, reason, self._retry_after_s(), now)
         elif verdict is Verdict.UNKNOWN:
             status = 504 if ending is Ending.TIMED_OUT else 502
             yield from self._finish(state, status, UNKNOWN, ending.value, now)
@@ -413,7 +422,7 @@
         kind = "refused" if outcome == NOT_RUN else "unknown"
         yield Count(f"{kind}.{reason}")
         if outcome == NOT_RUN:
-            yield from self._keys.free(state, now)
+            yield from self._key_claims.free(state, now)
         yield Finish(state.req.request_id, status, outcome, reason, retry_after_s)
 
     def _close(self, state: RequestState) -> None:
@@ -428,32 +437,32 @@
         if state.phase is Phase.PERMIT:
             yield from self._withdraw(state)
         if state.phase is Phase.ATTEMPT:
-            number = state.attempt.number
-            yield CancelAttempt(request_id, number, Ending.CANCELLED)
+            attempt_number = state.attempt.number
+            yield CancelAttempt(request_id, attempt_number, Ending.CANCELLED)
             return
         self._close(state)
-        yield from self._keys.free(state, now)
+        yield from self._key_claims.free(state, now)
 
     def _withdraw(self, state: RequestState) -> Iterator[Action]:
-        gone = msg.Withdraw(state.req.service, state.region, state.req.request_id)
-        yield SendPeer(state.keeper, gone)
+        withdrawal = msg.Withdraw(state.req.service, state.region, state.req.request_id)
+        yield SendPeer(state.keeper, withdrawal)
 
     def tick(self, now: float) -> Iterator[Action]:
         """End overdue requests, follow keeper changes and renew leases."""
-        yield from self._end_late(now)
+        yield from self._end_overdue(now)
         self._waiting.sweep()
         for state in list(self.requests.values()):
             if state.phase is Phase.PERMIT:
-                yield from self._review_wait(state, now)
+                yield from self._review_permit_wait(state, now)
             elif state.phase is Phase.CLAIM:
                 yield from self._review_claim(state, now)
             elif state.phase is Phase.PAUSE and now >= state.resume_at:
-                yield from self._ask(state, now)
-        if now - self._renewed_at >= RENEW_S:
+                yield from self._request_permit(state, now)
+        if now - self._renewed_at >= LEASE_RENEWAL_PERIOD_S:
             self._renewed_at = now
             yield from self._renew(now)
 
-    def _end_late(self, now: float) -> Iterator[Action]:
+    def _end_overdue(self, now: float) -> Iterator[Action]:
         while self._deadlines and self._deadlines[0][0] <= now:
             due, request_id = heappop(self._deadlines)
             state = self.requests.get(request_id)
@@ -462,50 +471,52 @@
             if state.phase is Phase.ATTEMPT and due < state.deadline:
                 heappush(self._deadlines, (state.deadline, request_id))
                 continue
-            yield from self._late(state, now)
+            yield from self._time_out(state, now)
 
-    def _late(self, state: RequestState, now: float) -> Iterator[Action]:
+    def _time_out(self, state: RequestState, now: float) -> Iterator[Action]:
         if state.phase is Phase.ATTEMPT:
             # The driver reports the cancelled attempt with an AttemptEnded, which
             # settles its stage. A response that is already being forwarded to the
             # caller is left to complete.
             if not state.attempt.head_forwarded:
-                number = state.attempt.number
-                yield CancelAttempt(state.req.request_id, number, Ending.TIMED_OUT)
+                attempt_number = state.attempt.number
+                yield CancelAttempt(
+                    state.req.request_id, attempt_number, Ending.TIMED_OUT
+                )
             return
         if state.phase is Phase.PERMIT:
             yield from self._withdraw(state)
-        yield from self._refuse(state, "deadline", self._come_back(), now)
+        yield from self._refuse(state, "deadline", self._retry_after_s(), now)
 
-    def _review_wait(self, state: RequestState, now: float) -> Iterator[Action]:
+    def _review_permit_wait(self, state: RequestState, now: float) -> Iterator[Action]:
         """Ask the new keeper after a change; use the fixed share if it is silent."""
         view = self._view
         keeper = view.keeper_of(state.req.service, state.region, now)
         if keeper != state.keeper:
             yield Count("retries.keeper-changed")
             yield from self._withdraw(state)
-            yield from self._ask(state, now)
+            yield from self._request_permit(state, now)
             return
         if now >= state.ask_again_at:
             # The message to the keeper or its reply may have been lost with a
             # connection. The keeper recognises a repeated one by its request id.
             yield Count("retries.ask-again")
-            yield self._send_ask(state, now)
+            yield self._send_acquire(state, now)
             return
-        silent = view.members.silence(keeper, now)
-        if min(silent, now - state.asked_at) > KEEPER_SILENCE_S:
-            yield from self._use_share(state, now)
+        silence_s = view.members.silence(keeper, now)
+        if min(silence_s, now - state.asked_at) > KEEPER_SILENCE_TIMEOUT_S:
+            yield from self._use_fixed_share(state, now)
 
-    def _use_share(self, state: RequestState, now: float) -> Iterator[Action]:
+    def _use_fixed_share(self, state: RequestState, now: float) -> Iterator[Action]:
         """Start without a keeper's permit, within this host's fixed share."""
         in_use = self.held(state.req.service, state.region)
-        held = self._share.take(state, in_use, now)
+        held = self._fixed_share.take(state, in_use, now)
         if held is None:
             return
         yield from self._withdraw(state)
         yield Count("attempts.fixed-share")
         state.held = held
-        yield from self._start(state, KEEPER_SILENCE_S, now)
+        yield from self._start(state, KEEPER_SILENCE_TIMEOUT_S, now)
 
     def _renew(self, now: float) -> Iterator[Action]:
         held: dict[tuple[str, str], list[tuple[str, int]]] = defaultdict(list)
@@ -513,7 +524,7 @@
             if state.held is None:
                 continue
             key = (state.req.service, state.region)
-            held[key].append((state.held.server_id, state.held.number))
+            held[key].append((state.held.server_id, state.held.permit_id))
             # The current keeper gets the renewal, so it must get the release as well.
             state.held.keeper = self._view.keeper_of(*key, now)
         for (service, region), slots in held.items():
