--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests on one host: outcomes, claims and retries, driven without I/O."""
+"""Outcomes, claims and retries of requests on one host, without I/O."""
 
 import random
 
@@ -37,7 +37,7 @@
 
 
 class OneHost:
-    """A core with a configuration, whose plan writes take effect at once."""
+    """A host core with a configuration; its plan writes succeed immediately."""
 
     def __init__(self, servers=2):
         self.now = 100.0
@@ -82,11 +82,11 @@
         )
 
 
-def test_refusal_after_a_lost_answer_is_not_called_not_run():
-    """A read's answer is lost and every further try is shed.
+def test_refusal_after_a_lost_response_is_not_reported_as_not_run():
+    """The first attempt of a read loses its response; all further attempts are shed.
 
-    What a user would see: "not run" for a request that a ledger shows as run. The
-    first attempt may have run, so nothing later can prove that the request did not.
+    Guards against the outcome "not run" for a request that did run. The first attempt
+    may have run, so no later attempt can prove that the request did not.
     """
     host = OneHost()
     host.request("r")
@@ -102,10 +102,11 @@
     assert finish.outcome == act.UNKNOWN
 
 
-def test_read_that_failed_on_every_server_is_tried_again():
-    """All servers of a region lose one answer each; the read has time left.
+def test_read_that_failed_on_every_server_is_retried():
+    """Each server of a region loses one response; the read has time left.
 
-    What a user would see: a wait until the deadline for a server that is not there.
+    Guards against a request that excludes every server and so waits until its deadline
+    for a server that does not exist.
     """
     host = OneHost(servers=2)
     host.request("r")
@@ -115,7 +116,7 @@
     assert len(host.of(act.StartAttempt)) == 3
 
 
-def test_booking_is_never_sent_again_once_a_byte_was_written():
+def test_booking_is_not_retried_after_its_first_byte_was_written():
     host = OneHost()
     host.request("r", "POST")
     host.end(host.of(act.StartAttempt)[-1], Ending.BROKEN)
@@ -124,7 +125,7 @@
     assert len(host.of(act.StartAttempt)) == 1
 
 
-def test_booking_is_sent_again_after_a_refused_connection():
+def test_booking_is_retried_after_a_refused_connection():
     host = OneHost()
     host.request("r", "POST")
     host.end(host.of(act.StartAttempt)[-1], Ending.CONNECT_FAILED, sent=False)
@@ -132,7 +133,7 @@
     assert first.server_id != second.server_id
 
 
-def test_upload_too_large_to_replay_is_refused_not_resent():
+def test_upload_too_large_to_replay_is_refused_and_not_retried():
     host = OneHost()
     host.request("r", "PUT")
     start = host.of(act.StartAttempt)[-1]
@@ -142,8 +143,8 @@
     assert finish.retry_after_s > 0
 
 
-def test_late_booking_ends_as_unknown_with_its_connection_closed():
-    """The deadline passes while a backend server works on a booking."""
+def test_overdue_booking_ends_as_unknown_with_its_connection_closed():
+    """The deadline passes while a backend server runs a booking."""
     host = OneHost()
     host.request("r", "POST")
     start = host.of(act.StartAttempt)[-1]
@@ -155,11 +156,12 @@
     assert (finish.status, finish.outcome) == (504, act.UNKNOWN)
 
 
-def test_retry_budget_bounds_what_a_broken_pool_can_cause():
-    """Every server breaks every answer; reads must not multiply the load.
+def test_retry_budget_limits_retries_when_all_servers_fail():
+    """Every server breaks off every response.
 
-    What a user would see: a surge that failing servers amplify until all fail. The
-    budget starts with ten retries and earns one for every ten requests.
+    Guards against retries of reads that multiply the load of failing servers until all
+    of them fail. The budget starts with ten retries and earns one for every ten
+    requests.
     """
     host = OneHost()
     attempts = 0
@@ -175,7 +177,7 @@
 
 
 class Keyed(OneHost):
-    """A host whose claims of keys are answered by the test as the platform."""
+    """A host whose claims of idempotency keys the test answers as the platform."""
 
     def head(self):
         return [a for a in self.of(act.CreateObject) if a.key.endswith("/head")][-1]
@@ -195,11 +197,11 @@
     assert len(host.of(act.StartAttempt)) == 1
 
 
-def test_key_is_freed_when_the_caller_leaves_before_its_claim_is_stored():
-    """A caller leaves while its key's claim is on the way to the platform.
+def test_key_is_freed_when_the_caller_disconnects_before_its_claim_is_stored():
+    """A caller disconnects while its key's claim is being written to the platform.
 
-    What a user would see: the same booking, sent again, refused as a duplicate of
-    one that never ran.
+    Guards against a repeated booking that is refused as a duplicate of one that never
+    ran.
     """
     host = Keyed()
     host.request("r", "POST", key="k")
@@ -213,7 +215,7 @@
     assert not host.of(act.StartAttempt)
 
 
-def test_keyed_booking_is_refused_as_not_run_when_the_platform_is_away():
+def test_keyed_booking_is_refused_as_not_run_when_the_platform_is_unreachable():
     host = Keyed()
     host.request("r", "POST", key="k")
     host.load(None)
@@ -225,8 +227,8 @@
 def test_waiting_request_is_refused_before_its_deadline():
     """A request waits for a permit that never comes.
 
-    What a user would see: the refusal arrives after the caller has given up, who must
-    take the outcome for unknown although nothing ran.
+    Guards against a refusal that arrives after the caller has timed out, so that the
+    caller must consider the outcome unknown although nothing ran.
     """
     host = OneHost(servers=1)
     for num in range(3):
