--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -1,4 +1,8 @@
-"""Claims of idempotency keys: kept in the platform, written in batches."""
+"""Claims of idempotency keys: stored in the platform, written in batches.
+
+A claim gives one request the right to run with its key. The claims of a service are
+divided into shards. The platform is the object store that all hosts share.
+"""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -40,23 +44,23 @@
 
 
 def hash_key(service: str, key: str) -> str:
-    """Return 128 bits of a key's hash in hex; keys themselves are not stored."""
+    """Return a 128-bit hash of a key in hex; the keys themselves are not stored."""
     return f"{hash64(service, key, 'a'):016x}{hash64(service, key, 'b'):016x}"
 
 
 def claim_id(host_id: str, incarnation: int, request_id: str) -> str:
-    """Return the short id of a request's claim, the same for each of its asks."""
+    """Return the id of a request's claim, the same each time the request asks."""
     return f"{hash64(host_id, str(incarnation), request_id):016x}"
 
 
 def shard_kind(service: str, shard: int) -> str:
-    """Return the kind of the objects that hold a shard's claims."""
+    """Return the kind of the platform objects that hold a shard's claims."""
     return f"{KIND_PREFIX}.{service}.{shard}"
 
 
 @dataclass(slots=True)
 class Pending:
-    """A claim that waits for its batch."""
+    """A claim that has not been written yet."""
 
     host_id: str
     request_id: str
@@ -69,10 +73,25 @@
 class Shard:
     """The claims of one shard as this host knows them.
 
-    In the platform: an object ``head`` with the newest claims and the names of the
-    segments, which hold older ones and never change. Every batch is one conditional
-    update of the head. So two owners at once are harmless: the one that does not know
-    the newest head fails, reads it, and finds the keys that the other has claimed.
+    In the platform a shard is an object ``head`` with the newest claims and the names
+    of the segments, which are objects with older claims that never change. Each batch
+    is one conditional update of the head. Two owners at the same time therefore do no
+    harm: the update of the owner that does not know the newest head fails, and that
+    owner then reads the head and finds the keys that the other one has claimed.
+
+    Attributes
+    ----------
+    head, freed : dict of str to str
+        Claims in the head, and claims in segments that have been freed since, by the
+        hash of the key.
+    first_seen : dict of str to float
+        When this host first saw each segment, in seconds on the monotonic clock.
+    waiting : list of Pending
+        Claims for the next batch.
+    freeing : dict of str to str
+        Claims that the next batch frees, by the hash of the key.
+    call_id : int
+        The platform call under way, 0 for none.
     """
 
     service: str
@@ -93,14 +112,14 @@
 
     @property
     def kind(self) -> str:
-        """Return the kind of its objects."""
+        """Return the kind of the shard's objects."""
         return shard_kind(self.service, self.number)
 
     def holder(self, key_hash: str) -> str:
         """Return the claim that holds a key, or an empty string.
 
-        The newest claim of a key decides. An older one lies in an older segment still,
-        but it had been freed before the newer one was let in.
+        The newest claim of a key counts. An older claim may still be in an older
+        segment, but it was freed before the newer one was accepted.
         """
         claim = self.head.get(key_hash, "")
         for segment in reversed(self.segments.values()):
@@ -108,13 +127,17 @@
         return "" if self.freed.get(key_hash) == claim else claim
 
     def forget(self) -> None:
-        """Drop what was read; it may no longer be what is stored."""
+        """Read the shard again before its next use: the stored objects may differ."""
         self.loaded = False
 
 
 @dataclass(slots=True)
 class Batch:
-    """What one write of the head carries, to be taken over when it has ended."""
+    """The content of one write of the head; it replaces the shard's on success.
+
+    `rolled` names the segment that takes the claims of the old head, if the batch
+    makes one.
+    """
 
     items: list[Pending]
     head: dict[str, str]
@@ -125,10 +148,11 @@
 
 
 class ClaimKeeper:
-    """Answers claims for the shards this host is asked for.
+    """Decides claims for the shards that this host is asked for.
 
-    One host is the owner of a shard by rendezvous, so that claims come in batches and
-    writes do not collide. Any host that is asked serves: ownership is for cost only.
+    Rendezvous hashing makes one host the owner of a shard, so that claims come in
+    batches and writes do not conflict. A host that is asked decides the claim even if
+    it is not the owner: ownership saves writes and is not needed for safety.
 
     Parameters
     ----------
@@ -145,17 +169,15 @@
         self._next_call = CALL_BASE
 
     def owner_of(self, service: str, number: int, now: float) -> str:
-        """Return the host to ask for a shard's claims."""
+        """Return the host that owns a shard."""
         return self._view.owner_among_live(f"claims/{service}/{number}", now)
 
     def busy(self) -> bool:
-        """Tell whether a claim waits to be written."""
+        """Return whether a claim or a freed key is still to be written."""
         return any(shard.waiting or shard.freeing for shard in self.shards.values())
 
-    # Asks
-
     def on_claim(self, host_id: str, claim: msg.Claim, now: float) -> Iterator[Action]:
-        """Queue a claim, or answer it at once when its key is held."""
+        """Queue a claim, or answer it immediately if its key is claimed."""
         shard = self._shard(claim.service, claim.key_hash, now)
         item = Pending(host_id, claim.request_id, claim.key_hash, claim.claim, now)
         if shard.loaded and not shard.call_id and shard.holder(claim.key_hash):
@@ -165,7 +187,7 @@
         yield from self._advance(shard, now)
 
     def on_unclaim(self, unclaim: msg.Unclaim, now: float) -> Iterator[Action]:
-        """Give back the key of a request that is proved not to have run."""
+        """Free the key of a request that is proved not to have run."""
         shard = self._shard(unclaim.service, unclaim.key_hash, now)
         shard.waiting = [it for it in shard.waiting if it.claim != unclaim.claim]
         shard.freeing[unclaim.key_hash] = unclaim.claim
@@ -186,10 +208,8 @@
         message = msg.ClaimEnded(shard.service, item.request_id, item.claim, outcome)
         return SendPeer(item.host_id, message)
 
-    # Platform calls
-
     def owns_call(self, call_id: int) -> bool:
-        """Tell whether a platform call is this part's."""
+        """Return whether a platform call was made for claims."""
         return call_id in self._calls
 
     def _new_call(self, shard: Shard) -> int:
@@ -204,7 +224,7 @@
         return shard
 
     def _advance(self, shard: Shard, now: float) -> Iterator[Action]:
-        """Read the shard if it is not known, else write the next batch."""
+        """Read the shard if it is not loaded, else write the next batch."""
         if shard.call_id or not (shard.waiting or shard.freeing):
             return
         if not shard.loaded:
@@ -253,7 +273,7 @@
         return changed
 
     def _drop_old(self, batch: Batch, shard: Shard, now: float) -> None:
-        """Leave out segments past their time, counted from this host's first sight."""
+        """Drop segments past their TTL, counted from when this host first saw them."""
         for name in list(batch.segments):
             if now - shard.first_seen.get(name, now) > SEGMENT_TTL_S:
                 old = batch.segments.pop(name)
@@ -262,8 +282,8 @@
                         del batch.freed[key_hash]
 
     def _roll(self, shard: Shard, batch: Batch) -> CreateObject:
-        """Put the head's claims into a segment first, then go on with a short head."""
-        # Names sort in the order in which segments were made.
+        """Write the head's claims to a segment; a head without them is written next."""
+        # The names sort in the order in which the segments were written.
         batch.rolled = f"s{shard.head_version:015d}"
         spec = {"claimed": shard.head}
         return CreateObject(self._new_call(shard), f"{shard.kind}/{batch.rolled}", spec)
@@ -281,13 +301,13 @@
         return UpdateObject(call_id, key, spec, shard.head_version)
 
     def write_ended(self, ended: WriteEnded, now: float) -> Iterator[Action]:
-        """Go on after a write of a segment or of the head."""
+        """Continue after a write of a segment or of the head."""
         shard = self._end_call(ended.call_id)
         batch = shard.batch
         yield Count(f"claims.write-{ended.outcome}")
         if batch.rolled and batch.rolled not in batch.segments:
-            # The segment is a copy under a name made of the head's version; a conflict
-            # means that an earlier try of the same copy is there already.
+            # The segment copies the head under a name made of the head's version. A
+            # conflict means that an earlier attempt has already written the same copy.
             if ended.outcome in ("ok", "conflict"):
                 batch.segments[batch.rolled] = shard.head
                 batch.head = {it.key_hash: it.claim for it in batch.items}
@@ -297,8 +317,8 @@
             yield from self._taken_over(shard, batch, ended.version, now)
             yield from self._advance(shard, now)
             return
-        # Somebody else was first, or it is not clear what happened: nothing is
-        # answered or written before the shard has been read again.
+        # Another owner has written the head first, or the outcome of the write is
+        # unknown. Nothing is answered or written until the shard has been read again.
         shard.batch = None
         shard.waiting = batch.items + shard.waiting
         shard.freeing = {**batch.freeing, **shard.freeing}
@@ -323,7 +343,7 @@
             yield DeleteObject(f"{shard.kind}/{name}")
 
     def loaded(self, event: ObjectsLoaded, now: float) -> Iterator[Action]:
-        """Take over what was read from the platform."""
+        """Replace a shard by what was read from the platform."""
         shard = self._end_call(event.call_id)
         if event.objects is None or not _read_objects(shard, event.objects, now):
             yield Count("claims.load-failed")
@@ -335,16 +355,17 @@
         )
         held = [item for item in shard.waiting if shard.holder(item.key_hash)]
         for item in held:
-            # Our own claim there: its write took effect although that was unclear.
+            # If the item's own claim is there, its write took effect although the
+            # outcome was unknown.
             shard.waiting.remove(item)
             yield self._answer(shard, item, self._verdict(shard, item))
         yield from self._advance(shard, now)
 
     def _refuse_waiting(self, shard: Shard, items: list[Pending]) -> Iterator[Action]:
-        """Answer claims that the platform keeps from being decided.
+        """Answer claims that cannot be decided because the platform does not respond.
 
-        A write of such a claim may still have taken effect; giving its key back is
-        queued, so that the caller's next try does not find it taken.
+        A write of such a claim may still have taken effect. Its key is queued to be
+        freed, so that the caller's next attempt does not find the key taken.
         """
         for item in list(items):
             shard.waiting.remove(item)
@@ -352,26 +373,27 @@
             yield self._answer(shard, item, UNAVAILABLE)
 
     def tick(self, now: float) -> Iterator[Action]:
-        """Write what waits; give up what has waited for too long."""
+        """Write queued claims; refuse those that have waited too long."""
         for shard in self.shards.values():
             late = [it for it in shard.waiting if now - it.since > ANSWER_WITHIN_S]
             yield from self._refuse_waiting(shard, late)
             yield from self._advance(shard, now)
             if shard.loaded and not shard.call_id and now - shard.used_at > UNUSED_S:
-                # Read again before the next use, and hold no memory until then.
+                # The claims take no memory until the shard is read for its next use.
                 shard.forget()
                 shard.head = {}
                 shard.segments = {}
 
 
 def _read_objects(shard: Shard, objects: list[StoredSpec], now: float) -> bool:
-    """Fill a shard from its stored objects; False when a segment is missing."""
+    """Fill a shard from its stored objects; return False if a segment is missing."""
     specs = {item.name: item for item in objects}
     head = specs.get(HEAD)
     fields = head.spec if head is not None else {}
     names = fields.get("segments", [])
     if any(name not in specs for name in names):
-        # Listed while an owner was dropping an old one: read again.
+        # The objects were listed while an owner dropped an old segment; they have to
+        # be read again.
         return False
     shard.head_version = head.version if head is not None else 0
     shard.head = dict(fields.get("claimed", {}))
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,7 @@
-"""Idempotency keys: two owners, lost answers, outages; nothing is claimed twice."""
+"""Claims of idempotency keys: two owners, lost responses and platform outages.
+
+No key is claimed twice.
+"""
 
 import random
 from collections import Counter
@@ -25,7 +28,7 @@
 
 
 class Owners(RuleBasedStateMachine):
-    """Two hosts that both take themselves for the owner of one shard."""
+    """Two hosts that both consider themselves the owner of one shard."""
 
     def __init__(self):
         super().__init__()
@@ -46,7 +49,7 @@
             if isinstance(action, act.SendPeer):
                 message = action.message
                 if message.outcome == cl.UNAVAILABLE:
-                    # The host refuses the request and frees its key, as it must.
+                    # The host must refuse the request and free its key.
                     self.refused.add(message.claim)
                 self.outcomes.setdefault(message.claim, []).append(message.outcome)
             elif isinstance(action, act.DeleteObject):
@@ -78,7 +81,7 @@
 
     @rule(name=st.sampled_from("ab"), key=st.sampled_from(KEYS))
     def claim_and_settle(self, name, key):
-        """Let a claim go through undisturbed, so that runs get somewhere."""
+        """Complete a claim without faults, so that runs reach more states."""
         self.claim(name, key)
         for _ in range(6):
             self.pass_time(0.6)
@@ -138,7 +141,7 @@
 
 
 class SmallHeads(Owners):
-    """The same with heads that roll into segments after two claims."""
+    """The same with heads that move to segments after two claims."""
 
     def __init__(self):
         super().__init__()
@@ -153,7 +156,7 @@
 
 
 class Faultless:
-    """A platform without faults around one owner."""
+    """One owner and a platform without faults."""
 
     def __init__(self):
         self.owner = keeper()
@@ -204,11 +207,12 @@
     assert all(len(str(spec)) < 60_000 for spec in platform.store.values())
 
 
-def test_key_claimed_again_stays_claimed_when_heads_have_rolled(monkeypatch):
-    """A key is freed, claimed again, and both claims lie in segments by then.
+def test_key_claimed_again_stays_claimed_in_segments(monkeypatch):
+    """A key is freed and claimed again, and both claims have moved to segments.
 
-    What a user would see: the first request's host gives its key back once more, the
-    second request's claim counts as free, and a third copy of the booking runs.
+    Guards against a second copy of a booking: the first request's host frees its key
+    again, the second request's claim must not count as freed, and a third copy of the
+    booking must not run.
     """
     monkeypatch.setattr(cl, "HEAD_MAX", 2)
     platform = Faultless()
