--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -23,14 +23,14 @@
 from .view import View
 
 SHARDS = 4
-HEAD_MAX = 400
+MAX_HEAD_CLAIMS = 400
 SEGMENT_TTL_S = 3600.0
-BATCH_PAUSE_S = 0.03
-LOAD_RETRY_S = 0.5
-UNUSED_S = 30.0
-ANSWER_WITHIN_S = 2.5
+MIN_BATCH_INTERVAL_S = 0.03
+LOAD_RETRY_INTERVAL_S = 0.5
+UNUSED_SHARD_TTL_S = 30.0
+MAX_CLAIM_WAIT_S = 2.5
 HEAD = "head"
-CALL_BASE = 1 << 45
+CALL_ID_BASE = 1 << 45
 KIND_PREFIX = "Claims"
 
 CLAIMED = "ok"
@@ -59,14 +59,14 @@
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingClaim:
     """A claim that has not been written yet."""
 
     host_id: str
     request_id: str
     key_hash: str
     claim: str
-    since: float
+    received_at: float
 
 
 @dataclass(slots=True)
@@ -95,7 +95,7 @@
     """
 
     service: str
-    number: int
+    index: int
     loaded: bool = False
     loading_since: float = float("-inf")
     head_version: int = 0
@@ -103,7 +103,7 @@
     freed: dict[str, str] = field(default_factory=dict)
     segments: dict[str, dict[str, str]] = field(default_factory=dict)
     first_seen: dict[str, float] = field(default_factory=dict)
-    waiting: list[Pending] = field(default_factory=list)
+    waiting: list[PendingClaim] = field(default_factory=list)
     freeing: dict[str, str] = field(default_factory=dict)
     batch: "Batch | None" = None
     call_id: int = 0
@@ -113,7 +113,7 @@
     @property
     def kind(self) -> str:
         """Return the kind of the shard's objects."""
-        return shard_kind(self.service, self.number)
+        return shard_kind(self.service, self.index)
 
     def holder(self, key_hash: str) -> str:
         """Return the claim that holds a key, or an empty string.
@@ -126,7 +126,7 @@
             claim = claim or segment.get(key_hash, "")
         return "" if self.freed.get(key_hash) == claim else claim
 
-    def forget(self) -> None:
+    def unload(self) -> None:
         """Read the shard again before its next use: the stored objects may differ."""
         self.loaded = False
 
@@ -135,16 +135,16 @@
 class Batch:
     """The content of one write of the head; it replaces the shard's on success.
 
-    `rolled` names the segment that takes the claims of the old head, if the batch
+    `new_segment` names the segment that takes the claims of the old head, if the batch
     makes one.
     """
 
-    items: list[Pending]
+    items: list[PendingClaim]
     head: dict[str, str]
     freed: dict[str, str]
     segments: dict[str, dict[str, str]]
     freeing: dict[str, str]
-    rolled: str = ""
+    new_segment: str = ""
 
 
 class ClaimKeeper:
@@ -166,11 +166,11 @@
         self._view = view
         self.shards: dict[tuple[str, int], Shard] = {}
         self._calls: dict[int, tuple[str, int]] = {}
-        self._next_call = CALL_BASE
+        self._next_call = CALL_ID_BASE
 
-    def owner_of(self, service: str, number: int, now: float) -> str:
+    def owner_of(self, service: str, shard_index: int, now: float) -> str:
         """Return the host that owns a shard."""
-        return self._view.owner_among_live(f"claims/{service}/{number}", now)
+        return self._view.owner_among_live(f"claims/{service}/{shard_index}", now)
 
     def busy(self) -> bool:
         """Return whether a claim or a freed key is still to be written."""
@@ -179,9 +179,9 @@
     def on_claim(self, host_id: str, claim: msg.Claim, now: float) -> Iterator[Action]:
         """Queue a claim, or answer it immediately if its key is claimed."""
         shard = self._shard(claim.service, claim.key_hash, now)
-        item = Pending(host_id, claim.request_id, claim.key_hash, claim.claim, now)
+        item = PendingClaim(host_id, claim.request_id, claim.key_hash, claim.claim, now)
         if shard.loaded and not shard.call_id and shard.holder(claim.key_hash):
-            yield self._answer(shard, item, self._verdict(shard, item))
+            yield self._answer(shard, item, self._outcome(shard, item))
             return
         shard.waiting.append(item)
         yield from self._advance(shard, now)
@@ -194,17 +194,17 @@
         yield from self._advance(shard, now)
 
     def _shard(self, service: str, key_hash: str, now: float) -> Shard:
-        number = shard_of(key_hash)
-        key = (service, number)
+        index = shard_of(key_hash)
+        key = (service, index)
         if key not in self.shards:
-            self.shards[key] = Shard(service, number)
+            self.shards[key] = Shard(service, index)
         self.shards[key].used_at = now
         return self.shards[key]
 
-    def _verdict(self, shard: Shard, item: Pending) -> str:
+    def _outcome(self, shard: Shard, item: PendingClaim) -> str:
         return CLAIMED if shard.holder(item.key_hash) == item.claim else TAKEN
 
-    def _answer(self, shard: Shard, item: Pending, outcome: str) -> SendPeer:
+    def _answer(self, shard: Shard, item: PendingClaim, outcome: str) -> SendPeer:
         message = msg.ClaimEnded(shard.service, item.request_id, item.claim, outcome)
         return SendPeer(item.host_id, message)
 
@@ -214,7 +214,7 @@
 
     def _new_call(self, shard: Shard) -> int:
         self._next_call += 1
-        self._calls[self._next_call] = (shard.service, shard.number)
+        self._calls[self._next_call] = (shard.service, shard.index)
         shard.call_id = self._next_call
         return self._next_call
 
@@ -228,10 +228,10 @@
         if shard.call_id or not (shard.waiting or shard.freeing):
             return
         if not shard.loaded:
-            if now - shard.loading_since >= LOAD_RETRY_S:
+            if now - shard.loading_since >= LOAD_RETRY_INTERVAL_S:
                 shard.loading_since = now
                 yield LoadObjects(self._new_call(shard), shard.kind)
-        elif now - shard.written_at >= BATCH_PAUSE_S:
+        elif now - shard.written_at >= MIN_BATCH_INTERVAL_S:
             yield from self._write(shard, now)
 
     def _write(self, shard: Shard, now: float) -> Iterator[Action]:
@@ -239,7 +239,7 @@
             [], dict(shard.head), dict(shard.freed), dict(shard.segments), shard.freeing
         )
         shard.freeing = {}
-        changed = self._free(shard, batch)
+        changed = self._apply_freed(shard, batch)
         for item in shard.waiting:
             holder = batch.head.get(item.key_hash) or shard.holder(item.key_hash)
             if holder and holder != item.claim:
@@ -252,15 +252,15 @@
         shard.waiting = []
         if not changed:
             return
-        self._drop_old(batch, shard, now)
+        self._drop_expired(batch, shard, now)
         shard.batch = batch
         shard.written_at = now
-        if len(batch.head) > HEAD_MAX:
-            yield self._roll(shard, batch)
+        if len(batch.head) > MAX_HEAD_CLAIMS:
+            yield self._write_segment(shard, batch)
         else:
             yield self._write_head(shard, batch)
 
-    def _free(self, shard: Shard, batch: Batch) -> bool:
+    def _apply_freed(self, shard: Shard, batch: Batch) -> bool:
         changed = False
         for key_hash, claim in batch.freeing.items():
             if shard.holder(key_hash) != claim:
@@ -272,7 +272,7 @@
                 batch.freed[key_hash] = claim
         return changed
 
-    def _drop_old(self, batch: Batch, shard: Shard, now: float) -> None:
+    def _drop_expired(self, batch: Batch, shard: Shard, now: float) -> None:
         """Drop segments past their TTL, counted from when this host first saw them."""
         for name in list(batch.segments):
             if now - shard.first_seen.get(name, now) > SEGMENT_TTL_S:
@@ -281,12 +281,14 @@
                     if batch.freed.get(key_hash) == claim:
                         del batch.freed[key_hash]
 
-    def _roll(self, shard: Shard, batch: Batch) -> CreateObject:
+    def _write_segment(self, shard: Shard, batch: Batch) -> CreateObject:
         """Write the head's claims to a segment; a head without them is written next."""
         # The names sort in the order in which the segments were written.
-        batch.rolled = f"s{shard.head_version:015d}"
+        batch.new_segment = f"s{shard.head_version:015d}"
         spec = {"claimed": shard.head}
-        return CreateObject(self._new_call(shard), f"{shard.kind}/{batch.rolled}", spec)
+        return CreateObject(
+            self._new_call(shard), f"{shard.kind}/{batch.new_segment}", spec
+        )
 
     def _write_head(self, shard: Shard, batch: Batch) -> CreateObject | UpdateObject:
         key = f"{shard.kind}/{HEAD}"
@@ -305,16 +307,16 @@
         shard = self._end_call(ended.call_id)
         batch = shard.batch
         yield Count(f"claims.write-{ended.outcome}")
-        if batch.rolled and batch.rolled not in batch.segments:
+        if batch.new_segment and batch.new_segment not in batch.segments:
             # The segment copies the head under a name made of the head's version. A
             # conflict means that an earlier attempt has already written the same copy.
             if ended.outcome in ("ok", "conflict"):
-                batch.segments[batch.rolled] = shard.head
+                batch.segments[batch.new_segment] = shard.head
                 batch.head = {it.key_hash: it.claim for it in batch.items}
                 yield self._write_head(shard, batch)
                 return
         elif ended.outcome == "ok":
-            yield from self._taken_over(shard, batch, ended.version, now)
+            yield from self._batch_written(shard, batch, ended.version, now)
             yield from self._advance(shard, now)
             return
         # Another owner has written the head first, or the outcome of the write is
@@ -322,23 +324,23 @@
         shard.batch = None
         shard.waiting = batch.items + shard.waiting
         shard.freeing = {**batch.freeing, **shard.freeing}
-        shard.forget()
+        shard.unload()
         yield from self._advance(shard, now)
 
-    def _taken_over(
+    def _batch_written(
         self, shard: Shard, batch: Batch, version: int, now: float
     ) -> Iterator[Action]:
         shard.batch = None
         shard.head_version = version
         shard.head = batch.head
         shard.freed = batch.freed
-        gone = [name for name in shard.segments if name not in batch.segments]
+        dropped = [name for name in shard.segments if name not in batch.segments]
         shard.segments = batch.segments
         for name in batch.segments:
             shard.first_seen.setdefault(name, now)
         for item in batch.items:
             yield self._answer(shard, item, CLAIMED)
-        for name in gone:
+        for name in dropped:
             shard.first_seen.pop(name, None)
             yield DeleteObject(f"{shard.kind}/{name}")
 
@@ -351,17 +353,19 @@
             return
         yield Log(
             "claims-loaded",
-            {"service": shard.service, "shard": shard.number, "keys": len(shard.head)},
+            {"service": shard.service, "shard": shard.index, "keys": len(shard.head)},
         )
         held = [item for item in shard.waiting if shard.holder(item.key_hash)]
         for item in held:
             # If the item's own claim is there, its write took effect although the
             # outcome was unknown.
             shard.waiting.remove(item)
-            yield self._answer(shard, item, self._verdict(shard, item))
+            yield self._answer(shard, item, self._outcome(shard, item))
         yield from self._advance(shard, now)
 
-    def _refuse_waiting(self, shard: Shard, items: list[Pending]) -> Iterator[Action]:
+    def _refuse_waiting(
+        self, shard: Shard, items: list[PendingClaim]
+    ) -> Iterator[Action]:
         """Answer claims that cannot be decided because the platform does not respond.
 
         A write of such a claim may still have taken effect. Its key is queued to be
@@ -375,12 +379,18 @@
     def tick(self, now: float) -> Iterator[Action]:
         """Write queued claims; refuse those that have waited too long."""
         for shard in self.shards.values():
-            late = [it for it in shard.waiting if now - it.since > ANSWER_WITHIN_S]
-            yield from self._refuse_waiting(shard, late)
+            overdue = [
+                it for it in shard.waiting if now - it.received_at > MAX_CLAIM_WAIT_S
+            ]
+            yield from self._refuse_waiting(shard, overdue)
             yield from self._advance(shard, now)
-            if shard.loaded and not shard.call_id and now - shard.used_at > UNUSED_S:
+            if (
+                shard.loaded
+                and not shard.call_id
+                and now - shard.used_at > UNUSED_SHARD_TTL_S
+            ):
                 # The claims take no memory until the shard is read for its next use.
-                shard.forget()
+                shard.unload()
                 shard.head = {}
                 shard.segments = {}
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -89,21 +89,21 @@
                 self._answer(name, "done")
 
     @precondition(lambda self: any(self.calls.values()))
-    @rule(data=st.data(), fate=st.sampled_from(["done", "done", "lost", "down"]))
-    def platform_answers(self, data, fate):
+    @rule(data=st.data(), result=st.sampled_from(["done", "done", "lost", "down"]))
+    def platform_answers(self, data, result):
         name = data.draw(st.sampled_from([n for n in "ab" if self.calls[n]]))
-        self._answer(name, fate)
+        self._answer(name, result)
 
-    def _answer(self, name, fate):
+    def _answer(self, name, result):
         action = self.calls[name].pop(0)
         if isinstance(action, act.LoadObjects):
-            objects = None if fate == "down" else self._listed()
+            objects = None if result == "down" else self._listed()
             event = ObjectsLoaded(action.call_id, objects)
             self._take(name, self.keepers[name].loaded(event, self.now))
             return
-        outcome = "unavailable" if fate == "down" else self._write(action)
+        outcome = "unavailable" if result == "down" else self._write(action)
         version = self.version if outcome == "ok" else 0
-        if fate == "lost":
+        if result == "lost":
             outcome = "unavailable"
         ended = WriteEnded(action.call_id, outcome, version)
         self._take(name, self.keepers[name].write_ended(ended, self.now))
@@ -145,10 +145,10 @@
 
     def __init__(self):
         super().__init__()
-        cl.HEAD_MAX = 2
+        cl.MAX_HEAD_CLAIMS = 2
 
     def teardown(self):
-        cl.HEAD_MAX = 400
+        cl.MAX_HEAD_CLAIMS = 400
 
 
 TestSmallHeads = SmallHeads.TestCase
@@ -214,7 +214,7 @@
     again, the second request's claim must not count as freed, and a third copy of the
     booking must not run.
     """
-    monkeypatch.setattr(cl, "HEAD_MAX", 2)
+    monkeypatch.setattr(cl, "MAX_HEAD_CLAIMS", 2)
     platform = Faultless()
 
     def claim(key, name):
@@ -225,15 +225,15 @@
 
     key, *others = KEYS
     assert claim(key, "first") == [cl.CLAIMED]
-    for number, other in enumerate(others[:3]):
-        claim(other, f"x{number}")
+    for index, other in enumerate(others[:3]):
+        claim(other, f"x{index}")
     platform.free(key, "first")
     platform.tick()
     assert claim(key, "second") == [cl.CLAIMED]
-    for number, other in enumerate(KEYS[4:] + others[:1]):
-        platform.free(other, f"x{number}")
+    for index, other in enumerate(KEYS[4:] + others[:1]):
+        platform.free(other, f"x{index}")
         platform.tick()
-        claim(other, f"y{number}")
+        claim(other, f"y{index}")
     assert len([name for name in platform.store if "/s" in name]) >= 2
     platform.free(key, "first")
     platform.tick()
