--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -1,4 +1,9 @@
-"""The slot keeper of one service in one region: a joint queue and slot permits."""
+"""The slot keeper of one service in one region.
+
+A slot is the room for one request at a backend server. Entry hosts ask the keeper for
+permits, each of which lets them use one slot for a leased time; requests that get none
+wait in one queue for all hosts.
+"""
 
 from collections import deque
 from collections.abc import Iterator
@@ -21,7 +26,10 @@
 
 @dataclass(slots=True)
 class Waiting:
-    """A request in the joint queue."""
+    """A queued request.
+
+    `exclude` holds the backend servers to skip, which have failed the request before.
+    """
 
     host_id: str
     request_id: str
@@ -32,7 +40,7 @@
 
 @dataclass(slots=True)
 class Permit:
-    """A slot that a host may use until its lease ends."""
+    """The right of a host to use one slot of a backend server until `expires`."""
 
     host_id: str
     server_id: str
@@ -42,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """A message for one host."""
+    """A message to one host."""
 
     host_id: str
     message: msg.Grant | msg.Denied | msg.HeldQuery
@@ -50,7 +58,18 @@
 
 @dataclass(slots=True)
 class KeeperPolicy:
-    """How the queue admits; the bench varies these."""
+    """Admission settings of the queue; benchmarks vary them.
+
+    Attributes
+    ----------
+    accept_test : bool
+        Whether a request is refused when the time left to its deadline, after the
+        expected wait, is shorter than a typical service time.
+    accept_quantile : float
+        The quantile of recent service times that counts as typical.
+    queue_deadline_part : float
+        Fraction of its remaining time that a request may be expected to wait.
+    """
 
     accept_test: bool = True
     accept_quantile: float = ACCEPT_QUANTILE
@@ -63,12 +82,13 @@
     Parameters
     ----------
     service, region : str
-        What it keeps.
+        Service and region whose slots are granted.
     term : int
-        Number of this keeper's reign, unique over hosts and incarnations; it makes
-        permit numbers unique so that a successor can adopt them.
+        Identifies this keeper among its predecessors and successors. It is unique over
+        hosts and incarnations, and so are the permit ids made from it, so that a
+        successor can adopt the permits.
     rng : RandomSource
-        Source of the spread in retry times.
+        Source of the jitter in retry times.
     policy : KeeperPolicy, optional
         Admission settings.
     """
@@ -120,9 +140,10 @@
     def start(self, holders: list[str], now: float) -> Iterator[Reply]:
         """Ask every live host which slots its requests occupy.
 
-        Failure: the predecessor dies with permits out. Granting their slots again
-        would overfill the backend servers and shed work. No slot is granted until
-        each host has answered, or `RECOVERY_S` has passed for one that cannot.
+        Guards against overload after a crash of the predecessor: its permits are still
+        in use, and granting their slots again would overfill the backend servers, which
+        then shed requests. No slot is granted until each host has answered, or until
+        `RECOVERY_S` has passed for one that cannot answer.
         """
         self._rate_since = now
         self._awaiting = set(holders)
@@ -132,13 +153,13 @@
             yield Reply(host_id, query)
 
     def recovering(self, now: float) -> bool:
-        """Tell whether reports of held slots are still awaited."""
+        """Return whether reports of held slots are still awaited."""
         return bool(self._awaiting) and now < self._recovering_until
 
     def on_held(
         self, host_id: str, report: msg.HeldReport, now: float
     ) -> Iterator[Reply]:
-        """Adopt the permits that a host still holds."""
+        """Adopt the permits that a host reports as held."""
         if report.term != self.term:
             return
         for server_id, number in report.held:
@@ -148,20 +169,21 @@
         yield from self.dispatch(now)
 
     def host_down(self, host_id: str, now: float) -> Iterator[Reply]:
-        """Forget a dead host's queued requests; its permits run out by lease.
+        """Drop the queued requests of a host that is down; its permits expire.
 
-        Its backend connections broke with it, but a request may still run there,
-        so the slot stays taken until the lease ends.
+        The host's connections to backend servers broke with it, but its requests may
+        still run there, so their slots stay taken until the leases end.
         """
         self.queue = deque(item for item in self.queue if item.host_id != host_id)
         self._awaiting.discard(host_id)
         yield from self.dispatch(now)
 
     def acquire(self, host_id: str, ask: msg.Acquire, now: float) -> Iterator[Reply]:
-        """Queue a request, or refuse it at once when it cannot make its deadline."""
+        """Grant a permit, or queue the request, or refuse it if it would be late."""
         if self._is_queued(host_id, ask.request_id):
-            # Asked again by a host that cannot know that its ask arrived: answering
-            # later is enough, and a place at the back would undo the wait so far.
+            # The host asks again because it cannot know that its first message arrived.
+            # The reply to the first one is enough; queueing the request again would
+            # move it to the back.
             return
         if self._vacate_lost(host_id, ask.request_id):
             yield from self.dispatch(now)
@@ -196,11 +218,11 @@
         )
 
     def _vacate_lost(self, host_id: str, request_id: str) -> bool:
-        """Take back a permit whose grant was lost with its connection.
+        """Revoke a permit whose grant was lost with a connection.
 
-        The host asks again, and the lost permit would keep its slot empty until the
-        lease ends. A host asks only while it has no attempt under way, so nothing
-        runs on that permit.
+        The host asks again for the same request, and the lost permit would keep its
+        slot unused until the lease ends. A host asks only while the request has no
+        attempt under way, so nothing runs with that permit.
         """
         for number, permit in self.permits.items():
             if permit.request_id == request_id and permit.host_id == host_id:
@@ -223,7 +245,7 @@
         return ""
 
     def expected_wait(self, waiting: int, capacity: float) -> float:
-        """Return the seconds until `waiting` requests ahead have been started."""
+        """Return the time in seconds until `waiting` queued requests have started."""
         return (waiting + 1) * self.times.mean_s / max(1.0, capacity)
 
     def _accept_s(self) -> float:
@@ -240,10 +262,10 @@
         return Reply(item.host_id, message)
 
     def retry_after(self, now: float) -> float:
-        """Return when to come back: backlog times overload, spread evenly.
+        """Return after how many seconds to retry: backlog times overload, jittered.
 
-        Without the spread every refused caller of an hourly surge would return in
-        the same instant and meet the same full queue.
+        Without the jitter all refused callers of an hourly surge would return at the
+        same moment and find the queue full again.
         """
         capacity = max(1.0, self._capacity(now))
         backlog = self.expected_wait(len(self.queue), capacity)
@@ -252,7 +274,7 @@
         return min(RETRY_MAX_S, base * self._rng.uniform(0.5, 1.5))
 
     def dispatch(self, now: float) -> Iterator[Reply]:
-        """Grant free slots to the queue's head; dismiss what became infeasible."""
+        """Grant free slots from the queue's head; refuse what would be late."""
         yield from self._dismiss(now)
         if self.recovering(now):
             return
@@ -269,10 +291,10 @@
         self.queue.extendleft(reversed(skipped))
 
     def _effective_exclude(self, item: Waiting, now: float) -> frozenset[str]:
-        """Return the servers to pass over; none when nothing else is usable.
+        """Return the servers to skip; none if no other server is usable.
 
-        A request that has failed on every server would wait for one that does not
-        exist until its deadline.
+        Otherwise a request that has failed on every server would wait until its
+        deadline for a server that does not exist.
         """
         if not item.exclude:
             return item.exclude
@@ -282,16 +304,16 @@
         return frozenset()
 
     def _dismiss(self, now: float) -> Iterator[Reply]:
-        """Refuse requests at the queue's head that can no longer make it."""
+        """Refuse requests at the queue's head that would miss their deadline."""
         needed = self._accept_s() if self.policy.accept_test else 0.0
         while self.queue and self.queue[0].deadline - now < needed:
             yield self._denied(self.queue.popleft(), "deadline", now)
 
     def _dismiss_everywhere(self, now: float) -> Iterator[Reply]:
-        """Refuse such requests wherever they wait, once a tick.
+        """Refuse requests that would miss their deadline in the whole queue.
 
-        Deadlines differ, so a late one may wait behind others; walking the whole
-        queue for each grant would cost more than the grant.
+        Deadlines differ, so such a request may be queued behind others. This runs once
+        a tick, since a pass over the whole queue costs more than a grant.
         """
         needed = self._accept_s() if self.policy.accept_test else 0.0
         late = [item for item in self.queue if item.deadline - now < needed]
@@ -328,7 +350,7 @@
         return permit
 
     def release(self, done: msg.Release, now: float) -> Iterator[Reply]:
-        """Take back a permit and learn from its attempt."""
+        """Take back a permit and record the result of its attempt."""
         self._vacate(done.permit)
         if done.result == ANSWERED:
             self.times.add(done.service_s)
@@ -336,7 +358,7 @@
         yield from self.dispatch(now)
 
     def reuse(self, host_id: str, done: msg.Reuse, now: float) -> None:
-        """Let a permit go on to another waiting request of its host."""
+        """Record that a host uses a permit for another of its waiting requests."""
         self.times.add(done.service_s)
         self.servers.learn(done.server_id, ANSWERED, now)
         self.withdraw(host_id, done.request_id)
@@ -345,10 +367,10 @@
         permit.request_id = done.request_id
 
     def renew(self, host_id: str, held: list[tuple[str, int]], now: float) -> None:
-        """Extend the leases of running requests; adopt unknown ones.
+        """Extend the leases of running requests; adopt unknown permits.
 
-        A lease can lapse while its holder is paused. The request may still run, so
-        a renewal for a permit that lapsed takes its slot again.
+        A lease can expire while the process of its host is paused. The request may
+        still run, so a renewal of an expired permit takes its slot again.
         """
         for server_id, number in held:
             permit = self.permits.get(number)
@@ -358,14 +380,14 @@
                 permit.expires = now + LEASE_S
 
     def withdraw(self, host_id: str, request_id: str) -> None:
-        """Forget a queued request whose caller has gone."""
+        """Drop a queued request that its host withdrew, as when its caller has gone."""
         for item in self.queue:
             if item.request_id == request_id and item.host_id == host_id:
                 self.queue.remove(item)
                 return
 
     def tick(self, now: float) -> Iterator[Reply]:
-        """End lapsed leases, update the demand figure, grant what became free."""
+        """End expired leases, update the demand rate and grant free slots."""
         lapsed = [num for num, permit in self.permits.items() if permit.expires <= now]
         for number in lapsed:
             self._vacate(number)
@@ -383,7 +405,7 @@
         self._rate_since = now
 
     def load(self, now: float) -> msg.RegionLoad:
-        """Return the figures the planner needs; the limit counts usable slots."""
+        """Return the region's load for the planner; the limit counts usable slots."""
         return msg.RegionLoad(
             self.service,
             self.region,
