--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -17,15 +17,15 @@
 LEASE_S = 5.0
 RECOVERY_S = 1.0
 ACCEPT_QUANTILE = 0.9
-QUEUE_DEADLINE_PART = 0.5
-RETRY_MIN_S = 0.5
-RETRY_MAX_S = 30.0
+QUEUE_WAIT_FRACTION = 0.5
+MIN_RETRY_AFTER_S = 0.5
+MAX_RETRY_AFTER_S = 30.0
 DEMAND_GAIN = 0.2
-PERMIT_BITS = 24
+PERMIT_SEQUENCE_BITS = 24
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedRequest:
     """A queued request.
 
     `exclude` holds the backend servers to skip, which have failed the request before.
@@ -73,7 +73,7 @@
 
     accept_test: bool = True
     accept_quantile: float = ACCEPT_QUANTILE
-    queue_deadline_part: float = QUEUE_DEADLINE_PART
+    queue_wait_fraction: float = QUEUE_WAIT_FRACTION
 
 
 class SlotKeeper:
@@ -95,9 +95,9 @@
 
     __slots__ = (
         "_arrivals",
-        "_awaiting",
-        "_next_permit",
-        "_rate_since",
+        "_awaited_hosts",
+        "_last_permit_id",
+        "_rate_window_start",
         "_recovering_until",
         "_rng",
         "demand_rate",
@@ -108,8 +108,8 @@
         "region",
         "servers",
         "service",
+        "service_times",
         "term",
-        "times",
     )
 
     def __init__(
@@ -125,17 +125,17 @@
         self.term = term
         self.policy = policy or KeeperPolicy()
         self.servers = ServerTable()
-        self.times = ServiceTimes()
-        self.queue: deque[Waiting] = deque()
+        self.service_times = ServiceTimes()
+        self.queue: deque[QueuedRequest] = deque()
         self.permits: dict[int, Permit] = {}
         self.limit = 0.0
         self.demand_rate = 0.0
         self._rng = rng
-        self._next_permit = term << PERMIT_BITS
-        self._awaiting: set[str] = set()
+        self._last_permit_id = term << PERMIT_SEQUENCE_BITS
+        self._awaited_hosts: set[str] = set()
         self._recovering_until = 0.0
         self._arrivals = 0
-        self._rate_since = 0.0
+        self._rate_window_start = 0.0
 
     def start(self, holders: list[str], now: float) -> Iterator[Reply]:
         """Ask every live host which slots its requests occupy.
@@ -145,8 +145,8 @@
         then shed requests. No slot is granted until each host has answered, or until
         `RECOVERY_S` has passed for one that cannot answer.
         """
-        self._rate_since = now
-        self._awaiting = set(holders)
+        self._rate_window_start = now
+        self._awaited_hosts = set(holders)
         self._recovering_until = now + RECOVERY_S
         for host_id in holders:
             query = msg.HeldQuery(self.service, self.region, self.term)
@@ -154,7 +154,7 @@
 
     def recovering(self, now: float) -> bool:
         """Return whether reports of held slots are still awaited."""
-        return bool(self._awaiting) and now < self._recovering_until
+        return bool(self._awaited_hosts) and now < self._recovering_until
 
     def on_held(
         self, host_id: str, report: msg.HeldReport, now: float
@@ -162,10 +162,10 @@
         """Adopt the permits that a host reports as held."""
         if report.term != self.term:
             return
-        for server_id, number in report.held:
-            if number not in self.permits:
-                self._occupy(number, Permit(host_id, server_id, now + LEASE_S))
-        self._awaiting.discard(host_id)
+        for server_id, permit_id in report.held:
+            if permit_id not in self.permits:
+                self._add_permit(permit_id, Permit(host_id, server_id, now + LEASE_S))
+        self._awaited_hosts.discard(host_id)
         yield from self.dispatch(now)
 
     def host_down(self, host_id: str, now: float) -> Iterator[Reply]:
@@ -175,39 +175,41 @@
         still run there, so their slots stay taken until the leases end.
         """
         self.queue = deque(item for item in self.queue if item.host_id != host_id)
-        self._awaiting.discard(host_id)
+        self._awaited_hosts.discard(host_id)
         yield from self.dispatch(now)
 
-    def acquire(self, host_id: str, ask: msg.Acquire, now: float) -> Iterator[Reply]:
+    def acquire(
+        self, host_id: str, message: msg.Acquire, now: float
+    ) -> Iterator[Reply]:
         """Grant a permit, or queue the request, or refuse it if it would be late."""
-        if self._is_queued(host_id, ask.request_id):
+        if self._is_queued(host_id, message.request_id):
             # The host asks again because it cannot know that its first message arrived.
             # The reply to the first one is enough; queueing the request again would
             # move it to the back.
             return
-        if self._vacate_lost(host_id, ask.request_id):
+        if self._revoke_lost(host_id, message.request_id):
             yield from self.dispatch(now)
         self._arrivals += 1
-        item = Waiting(
+        item = QueuedRequest(
             host_id,
-            ask.request_id,
-            now + ask.remaining_s,
+            message.request_id,
+            now + message.remaining_s,
             now,
-            frozenset(ask.exclude),
+            frozenset(message.exclude),
         )
-        if self._grants_at_once(now):
+        if self._can_grant_now(now):
             server = self.servers.pick(now, item.exclude)
             if server is not None:
                 yield self._grant(item, server.declared.server_id, now)
                 return
-        reason = self._refusal(item, ask.remaining_s, now)
+        reason = self._refusal_reason(item, message.remaining_s, now)
         if reason:
             yield self._denied(item, reason, now)
             return
         self.queue.append(item)
         yield from self.dispatch(now)
 
-    def _grants_at_once(self, now: float) -> bool:
+    def _can_grant_now(self, now: float) -> bool:
         free = not self.queue and len(self.permits) < self.limit
         return free and not self.recovering(now)
 
@@ -217,20 +219,22 @@
             for item in self.queue
         )
 
-    def _vacate_lost(self, host_id: str, request_id: str) -> bool:
+    def _revoke_lost(self, host_id: str, request_id: str) -> bool:
         """Revoke a permit whose grant was lost with a connection.
 
         The host asks again for the same request, and the lost permit would keep its
         slot unused until the lease ends. A host asks only while the request has no
         attempt under way, so nothing runs with that permit.
         """
-        for number, permit in self.permits.items():
+        for permit_id, permit in self.permits.items():
             if permit.request_id == request_id and permit.host_id == host_id:
-                self._vacate(number)
+                self._remove_permit(permit_id)
                 return True
         return False
 
-    def _refusal(self, item: Waiting, remaining_s: float, now: float) -> str:
+    def _refusal_reason(
+        self, item: QueuedRequest, remaining_s: float, now: float
+    ) -> str:
         capacity = self._capacity(now)
         if capacity < 1:
             return "" if self.recovering(now) else "no-capacity"
@@ -238,28 +242,28 @@
         if waiting == 0 and len(self.permits) < capacity:
             return ""
         wait = self.expected_wait(waiting, capacity)
-        if wait > remaining_s * self.policy.queue_deadline_part:
+        if wait > remaining_s * self.policy.queue_wait_fraction:
             return "queue-full"
-        if self.policy.accept_test and remaining_s - wait < self._accept_s():
+        if self.policy.accept_test and remaining_s - wait < self._min_remaining_s():
             return "deadline"
         return ""
 
     def expected_wait(self, waiting: int, capacity: float) -> float:
         """Return the time in seconds until `waiting` queued requests have started."""
-        return (waiting + 1) * self.times.mean_s / max(1.0, capacity)
+        return (waiting + 1) * self.service_times.mean_s / max(1.0, capacity)
 
-    def _accept_s(self) -> float:
-        return self.times.quantile(self.policy.accept_quantile)
+    def _min_remaining_s(self) -> float:
+        return self.service_times.quantile(self.policy.accept_quantile)
 
     def _capacity(self, now: float) -> float:
         return min(self.limit, float(self.servers.total_capacity(now)))
 
-    def _denied(self, item: Waiting, reason: str, now: float) -> Reply:
+    def _denied(self, item: QueuedRequest, reason: str, now: float) -> Reply:
         retry_after = self.retry_after(now)
-        message = msg.Denied(
+        denied = msg.Denied(
             self.service, self.region, item.request_id, reason, retry_after
         )
-        return Reply(item.host_id, message)
+        return Reply(item.host_id, denied)
 
     def retry_after(self, now: float) -> float:
         """Return after how many seconds to retry: backlog times overload, jittered.
@@ -269,16 +273,16 @@
         """
         capacity = max(1.0, self._capacity(now))
         backlog = self.expected_wait(len(self.queue), capacity)
-        overload = max(1.0, self.demand_rate * self.times.mean_s / capacity)
-        base = max(RETRY_MIN_S, backlog * overload)
-        return min(RETRY_MAX_S, base * self._rng.uniform(0.5, 1.5))
+        overload = max(1.0, self.demand_rate * self.service_times.mean_s / capacity)
+        base = max(MIN_RETRY_AFTER_S, backlog * overload)
+        return min(MAX_RETRY_AFTER_S, base * self._rng.uniform(0.5, 1.5))
 
     def dispatch(self, now: float) -> Iterator[Reply]:
         """Grant free slots from the queue's head; refuse what would be late."""
-        yield from self._dismiss(now)
+        yield from self._refuse_late_at_head(now)
         if self.recovering(now):
             return
-        skipped: list[Waiting] = []
+        skipped: list[QueuedRequest] = []
         while self.queue and len(self.permits) < self.limit:
             item = self.queue.popleft()
             server = self.servers.pick(now, self._effective_exclude(item, now))
@@ -290,7 +294,7 @@
             yield self._grant(item, server.declared.server_id, now)
         self.queue.extendleft(reversed(skipped))
 
-    def _effective_exclude(self, item: Waiting, now: float) -> frozenset[str]:
+    def _effective_exclude(self, item: QueuedRequest, now: float) -> frozenset[str]:
         """Return the servers to skip; none if no other server is usable.
 
         Otherwise a request that has failed on every server would wait until its
@@ -303,45 +307,45 @@
             return item.exclude
         return frozenset()
 
-    def _dismiss(self, now: float) -> Iterator[Reply]:
+    def _refuse_late_at_head(self, now: float) -> Iterator[Reply]:
         """Refuse requests at the queue's head that would miss their deadline."""
-        needed = self._accept_s() if self.policy.accept_test else 0.0
-        while self.queue and self.queue[0].deadline - now < needed:
+        min_remaining_s = self._min_remaining_s() if self.policy.accept_test else 0.0
+        while self.queue and self.queue[0].deadline - now < min_remaining_s:
             yield self._denied(self.queue.popleft(), "deadline", now)
 
-    def _dismiss_everywhere(self, now: float) -> Iterator[Reply]:
+    def _refuse_late(self, now: float) -> Iterator[Reply]:
         """Refuse requests that would miss their deadline in the whole queue.
 
         Deadlines differ, so such a request may be queued behind others. This runs once
         a tick, since a pass over the whole queue costs more than a grant.
         """
-        needed = self._accept_s() if self.policy.accept_test else 0.0
-        late = [item for item in self.queue if item.deadline - now < needed]
+        min_remaining_s = self._min_remaining_s() if self.policy.accept_test else 0.0
+        late = [item for item in self.queue if item.deadline - now < min_remaining_s]
         if not late:
             return
-        gone = {id(item) for item in late}
-        self.queue = deque(item for item in self.queue if id(item) not in gone)
+        late_ids = {id(item) for item in late}
+        self.queue = deque(item for item in self.queue if id(item) not in late_ids)
         for item in late:
             yield self._denied(item, "deadline", now)
 
-    def _grant(self, item: Waiting, server_id: str, now: float) -> Reply:
-        self._next_permit += 1
-        number = self._next_permit
+    def _grant(self, item: QueuedRequest, server_id: str, now: float) -> Reply:
+        self._last_permit_id += 1
+        permit_id = self._last_permit_id
         permit = Permit(item.host_id, server_id, now + LEASE_S, item.request_id)
-        self._occupy(number, permit)
+        self._add_permit(permit_id, permit)
         grant = msg.Grant(
-            self.service, self.region, item.request_id, number, server_id, LEASE_S
+            self.service, self.region, item.request_id, permit_id, server_id, LEASE_S
         )
         return Reply(item.host_id, grant)
 
-    def _occupy(self, number: int, permit: Permit) -> None:
-        self.permits[number] = permit
+    def _add_permit(self, permit_id: int, permit: Permit) -> None:
+        self.permits[permit_id] = permit
         state = self.servers.states.get(permit.server_id)
         if state is not None:
             state.granted += 1
 
-    def _vacate(self, number: int) -> Permit | None:
-        permit = self.permits.pop(number, None)
+    def _remove_permit(self, permit_id: int) -> Permit | None:
+        permit = self.permits.pop(permit_id, None)
         if permit is None:
             return None
         state = self.servers.states.get(permit.server_id)
@@ -349,22 +353,22 @@
             state.granted = max(0, state.granted - 1)
         return permit
 
-    def release(self, done: msg.Release, now: float) -> Iterator[Reply]:
+    def release(self, message: msg.Release, now: float) -> Iterator[Reply]:
         """Take back a permit and record the result of its attempt."""
-        self._vacate(done.permit)
-        if done.result == ANSWERED:
-            self.times.add(done.service_s)
-        self.servers.learn(done.server_id, done.result, now)
+        self._remove_permit(message.permit)
+        if message.result == ANSWERED:
+            self.service_times.add(message.service_s)
+        self.servers.learn(message.server_id, message.result, now)
         yield from self.dispatch(now)
 
-    def reuse(self, host_id: str, done: msg.Reuse, now: float) -> None:
+    def reuse(self, host_id: str, message: msg.Reuse, now: float) -> None:
         """Record that a host uses a permit for another of its waiting requests."""
-        self.times.add(done.service_s)
-        self.servers.learn(done.server_id, ANSWERED, now)
-        self.withdraw(host_id, done.request_id)
-        self.renew(host_id, [(done.server_id, done.permit)], now)
-        permit = self.permits[done.permit]
-        permit.request_id = done.request_id
+        self.service_times.add(message.service_s)
+        self.servers.learn(message.server_id, ANSWERED, now)
+        self.withdraw(host_id, message.request_id)
+        self.renew(host_id, [(message.server_id, message.permit)], now)
+        permit = self.permits[message.permit]
+        permit.request_id = message.request_id
 
     def renew(self, host_id: str, held: list[tuple[str, int]], now: float) -> None:
         """Extend the leases of running requests; adopt unknown permits.
@@ -372,10 +376,10 @@
         A lease can expire while the process of its host is paused. The request may
         still run, so a renewal of an expired permit takes its slot again.
         """
-        for server_id, number in held:
-            permit = self.permits.get(number)
+        for server_id, permit_id in held:
+            permit = self.permits.get(permit_id)
             if permit is None:
-                self._occupy(number, Permit(host_id, server_id, now + LEASE_S))
+                self._add_permit(permit_id, Permit(host_id, server_id, now + LEASE_S))
             elif permit.host_id == host_id:
                 permit.expires = now + LEASE_S
 
@@ -388,21 +392,25 @@
 
     def tick(self, now: float) -> Iterator[Reply]:
         """End expired leases, update the demand rate and grant free slots."""
-        lapsed = [num for num, permit in self.permits.items() if permit.expires <= now]
-        for number in lapsed:
-            self._vacate(number)
+        expired = [
+            permit_id
+            for permit_id, permit in self.permits.items()
+            if permit.expires <= now
+        ]
+        for permit_id in expired:
+            self._remove_permit(permit_id)
         self._update_demand(now)
-        yield from self._dismiss_everywhere(now)
+        yield from self._refuse_late(now)
         yield from self.dispatch(now)
 
     def _update_demand(self, now: float) -> None:
-        elapsed = now - self._rate_since
+        elapsed = now - self._rate_window_start
         if elapsed < 0.5:
             return
         rate = self._arrivals / elapsed
         self.demand_rate += DEMAND_GAIN * (rate - self.demand_rate)
         self._arrivals = 0
-        self._rate_since = now
+        self._rate_window_start = now
 
     def load(self, now: float) -> msg.RegionLoad:
         """Return the region's load for the planner; the limit counts usable slots."""
@@ -416,4 +424,4 @@
         )
 
 
-__all__ = ["KeeperPolicy", "Permit", "Reply", "SlotKeeper", "Waiting"]
+__all__ = ["KeeperPolicy", "Permit", "QueuedRequest", "Reply", "SlotKeeper"]
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -148,7 +148,7 @@
 def test_refusals_are_spread_and_come_at_once():
     """A full queue: every refused caller is told a different time to come back."""
     keeper = keeper_with(1, count=1)
-    keeper.times.add(0.5)
+    keeper.service_times.add(0.5)
     waits = []
     for num in range(60):
         for message in ask(keeper, f"r{num}", 1.0, remaining=1.0):
