--- a/lacewingcross/core/keeper_set.py
+++ b/lacewingcross/core/keeper_set.py
@@ -1,4 +1,4 @@
-"""The slot keepers that this host runs, and their life cycle."""
+"""The slot keepers that this host runs: start, stop, messages and load reports."""
 
 from collections.abc import Iterator
 
@@ -35,7 +35,7 @@
         self.keepers: dict[KeeperKey, SlotKeeper] = {}
 
     def review(self, now: float) -> Iterator[Action]:
-        """Start keepers that fell to this host, stop those that moved away."""
+        """Start the keepers that this host should run and stop all others."""
         view = self._view
         own = view.own.host_id
         wanted: set[KeeperKey] = set()
@@ -57,8 +57,8 @@
     def _start(self, key: KeeperKey, now: float) -> Iterator[Action]:
         view = self._view
         self._terms += 1
-        # Unique over hosts and incarnations: the incarnation is random, and the
-        # low bits count this host's own terms.
+        # The term is unique over hosts and incarnations: the incarnation is random,
+        # and the low bits count the terms of this host.
         term = (view.incarnation << 8) + self._terms % 256
         keeper = SlotKeeper(*key, term, view.rng, self._policy)
         self.keepers[key] = keeper
@@ -86,7 +86,7 @@
     def on_message(
         self, host_id: str, message: msg.Message, now: float
     ) -> Iterator[Action]:
-        """Handle a message meant for a keeper."""
+        """Pass a message to its keeper; refuse permits if this host does not run it."""
         keeper = self.keepers.get((message.service, message.region))
         if keeper is None:
             if isinstance(message, msg.Acquire):
@@ -109,14 +109,14 @@
         return msg.Denied(ask.service, ask.region, ask.request_id, "not-keeper", 0.0)
 
     def host_down(self, host_id: str, now: float) -> Iterator[Action]:
-        """Tell every keeper that a host has gone."""
+        """Report to every keeper that a host is down."""
         for keeper in self.keepers.values():
             yield from self._send(keeper.host_down(host_id, now))
 
     def probed(
         self, service: str, server_id: str, reachable: bool, now: float
     ) -> Iterator[Action]:
-        """Pass on what a health probe showed."""
+        """Pass the result of a health probe to the keepers of the server's service."""
         for key, keeper in self.keepers.items():
             if key[0] != service:
                 continue
@@ -136,7 +136,7 @@
         ]
 
     def loads(self, now: float) -> list[tuple[str, int, int, float]]:
-        """Return in flight, queued and limit of each service and region kept."""
+        """Return name, in flight, queued and limit of each service and region kept."""
         loads = (keeper.load(now) for keeper in self.keepers.values())
         return [
             (f"{load.service}/{load.region}", load.in_flight, load.queued, load.limit)
@@ -144,17 +144,17 @@
         ]
 
     def _report_pause(self) -> float:
-        """Return the time between load reports, longer with more regions.
+        """Return the time between load reports, which grows with the regions.
 
-        All keepers of a service report to one planner; its share of the control
-        bytes bounds how many reports a second it can take.
+        All keepers of a service report to one planner, and its share of the control
+        traffic limits how many reports it can receive in a second.
         """
         pools = self._view.config.pools.values()
         regions = max((len(pool.by_region) for pool in pools), default=0)
         return max(LOAD_REPORT_S, EACH_REGION_S * regions)
 
     def tick(self, now: float) -> Iterator[Action]:
-        """Run every keeper's clock and report loads to the planners."""
+        """Call every keeper's `tick` and report loads to the planners."""
         for keeper in self.keepers.values():
             yield from self._send(keeper.tick(now))
         if now - self._reported_at < self._report_pause():
