--- a/lacewingcross/core/keeper_set.py
+++ b/lacewingcross/core/keeper_set.py
@@ -8,8 +8,8 @@
 from .membership import DOWN
 from .view import View
 
-LOAD_REPORT_S = 0.5
-EACH_REGION_S = 0.03
+MIN_LOAD_REPORT_PERIOD_S = 0.5
+LOAD_REPORT_S_PER_REGION = 0.03
 
 KeeperKey = tuple[str, str]
 
@@ -25,12 +25,12 @@
         Admission settings of every keeper.
     """
 
-    __slots__ = ("_policy", "_reported_at", "_terms", "_view", "keepers")
+    __slots__ = ("_policy", "_reported_at", "_term_count", "_view", "keepers")
 
     def __init__(self, view: View, policy: KeeperPolicy) -> None:
         self._view = view
         self._policy = policy
-        self._terms = 0
+        self._term_count = 0
         self._reported_at = float("-inf")
         self.keepers: dict[KeeperKey, SlotKeeper] = {}
 
@@ -41,8 +41,8 @@
         wanted: set[KeeperKey] = set()
         for service, pool in view.config.pools.items():
             for region in pool.by_region:
-                away = region != view.own.region
-                if away and view.members.live(now, region):
+                is_remote = region != view.own.region
+                if is_remote and view.members.live(now, region):
                     continue
                 if view.keeper_of(service, region, now) == own:
                     wanted.add((service, region))
@@ -56,10 +56,10 @@
 
     def _start(self, key: KeeperKey, now: float) -> Iterator[Action]:
         view = self._view
-        self._terms += 1
+        self._term_count += 1
         # The term is unique over hosts and incarnations: the incarnation is random,
         # and the low bits count the terms of this host.
-        term = (view.incarnation << 8) + self._terms % 256
+        term = (view.incarnation << 8) + self._term_count % 256
         keeper = SlotKeeper(*key, term, view.rng, self._policy)
         self.keepers[key] = keeper
         self._declare(key, now)
@@ -105,8 +105,10 @@
         elif isinstance(message, msg.HeldReport):
             yield from self._send(keeper.on_held(host_id, message, now))
 
-    def _not_keeper(self, ask: msg.Acquire) -> msg.Denied:
-        return msg.Denied(ask.service, ask.region, ask.request_id, "not-keeper", 0.0)
+    def _not_keeper(self, acquire: msg.Acquire) -> msg.Denied:
+        return msg.Denied(
+            acquire.service, acquire.region, acquire.request_id, "not-keeper", 0.0
+        )
 
     def host_down(self, host_id: str, now: float) -> Iterator[Action]:
         """Report to every keeper that a host is down."""
@@ -143,7 +145,7 @@
             for load in loads
         ]
 
-    def _report_pause(self) -> float:
+    def _report_period_s(self) -> float:
         """Return the time between load reports, which grows with the regions.
 
         All keepers of a service report to one planner, and its share of the control
@@ -151,13 +153,13 @@
         """
         pools = self._view.config.pools.values()
         regions = max((len(pool.by_region) for pool in pools), default=0)
-        return max(LOAD_REPORT_S, EACH_REGION_S * regions)
+        return max(MIN_LOAD_REPORT_PERIOD_S, LOAD_REPORT_S_PER_REGION * regions)
 
     def tick(self, now: float) -> Iterator[Action]:
         """Call every keeper's `tick` and report loads to the planners."""
         for keeper in self.keepers.values():
             yield from self._send(keeper.tick(now))
-        if now - self._reported_at < self._report_pause():
+        if now - self._reported_at < self._report_period_s():
             return
         self._reported_at = now
         for (service, _), keeper in self.keepers.items():
