--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -1,4 +1,8 @@
-"""The planner of a service: moves buckets under the cap and the headroom."""
+"""The planner of a service: moves buckets of callers between regions.
+
+A step moves no more buckets than the shift cap allows within its window, and no more
+than the receiving regions have room for.
+"""
 
 import math
 from collections import Counter
@@ -30,13 +34,19 @@
 
 @dataclass(slots=True)
 class RegionView:
-    """The last figures on one region, and when they came.
+    """The last load report of one region.
 
     Attributes
     ----------
+    load : RegionLoad
+        The report.
+    at : float
+        When it was received, in seconds on this host's monotonic clock.
     mean : float
-        Decaying mean of the demand. A single reading of a pool of a few slots jumps
-        between idle and full; judged alone it would shift traffic for nothing.
+        Decaying mean of the demand in slots. A single reading of a pool of a few slots
+        jumps between idle and full, and on its own would shift traffic needlessly.
+    zero_since : float or None
+        Since when the reported limit is zero; None while it is above zero.
     """
 
     load: msg.RegionLoad
@@ -45,11 +55,11 @@
     zero_since: float | None = None
 
     def demand(self) -> float:
-        """Return slots that are or would be in use, the cautious one of two."""
+        """Return the slots in use or asked for: the larger of mean and last reading."""
         return max(self.mean, _demand(self.load))
 
     def part(self) -> float:
-        """Return the mean demand over the declared limit."""
+        """Return the mean demand divided by the reported limit."""
         return self.mean / max(1.0, self.load.limit)
 
 
@@ -59,7 +69,11 @@
 
 @dataclass(slots=True)
 class PlannerInput:
-    """What a step decides on, besides the plan itself."""
+    """What a step depends on besides the plan.
+
+    `drained` holds the regions that operators drain, `lost` those without a usable
+    backend server.
+    """
 
     policy: SteeringPolicy
     pool: BackendPool
@@ -70,7 +84,7 @@
 
 @dataclass(slots=True)
 class Step:
-    """A new plan to be written, with the cause of the change."""
+    """A new plan to be written, and the cause of the change."""
 
     plan: Plan
     cause: str
@@ -80,15 +94,23 @@
 class Planner:
     """Planning state of one service on one host.
 
-    Every host keeps this state and feeds it every plan it sees; only the one that
-    owns the service writes. So a successor has usually seen all moves in time.
+    Every host keeps this state and updates it with every plan that it receives, but
+    only the host that owns the service writes plans. A host that takes over the service
+    has therefore usually seen each move when it was made.
 
     Parameters
     ----------
     service : str
         The service planned for.
     tag : str
-        Unique over hosts and incarnations; prefix of move ids.
+        Prefix of move ids, unique over hosts and incarnations.
+
+    Attributes
+    ----------
+    regions : dict of str to RegionView
+        The last load report of each region.
+    hold_reason : str
+        Why the last step held back a move; empty if it held back none.
     """
 
     service: str
@@ -100,12 +122,12 @@
     _changed_at: float = -math.inf
 
     def on_plan(self, plan: Plan, now: float) -> None:
-        """Note when each move was first seen, on this host's own clock.
+        """Record when each move was first seen, on this host's own clock.
 
-        A move counts against the cap until a full window has passed since this
-        host first saw it. No clock of another host is trusted: a planner that has
-        just started counts every move of the ledger as made now, and one that was
-        paused fails its conditional update.
+        A move counts against the cap until a full window has passed since this host
+        first saw it. The clocks of other hosts are not used: a planner that has just
+        started counts every move of the ledger as made now, and the conditional update
+        of a planner that was paused fails.
         """
         current = {move.move_id for move in plan.ledger}
         for move_id in current:
@@ -115,7 +137,7 @@
         self._seen = {key: at for key, at in self._seen.items() if key in current}
 
     def on_load(self, load: msg.RegionLoad, now: float) -> None:
-        """Take in a keeper's figures."""
+        """Record a keeper's load report."""
         known = self.regions.get(load.region)
         mean = _demand(load)
         zero_since = now if load.limit <= 0 else None
@@ -126,10 +148,10 @@
         self.regions[load.region] = RegionView(load, now, mean, zero_since)
 
     def lost(self, now: float) -> frozenset[str]:
-        """Return the regions whose keeper reports no usable server for a while.
+        """Return the regions whose keeper has reported no usable server for a while.
 
-        Missing figures are not a loss: they prove nothing, and nothing is shifted
-        on them.
+        A region without fresh reports is not considered lost: missing reports prove
+        nothing, and no traffic is moved because of them.
         """
         return frozenset(
             region
@@ -153,7 +175,7 @@
         return max(0, math.floor(cap.fraction * BUCKETS + 1e-9) - spent)
 
     def step(self, plan: Plan | None, given: PlannerInput, now: float) -> Step | None:
-        """Return the next plan, or None when nothing should change."""
+        """Return the next plan, or None if nothing should change."""
         if plan is None:
             return self._first_plan(given)
         self.hold_reason = ""
@@ -188,7 +210,7 @@
         budget: int,
         now: float,
     ) -> tuple[list[str], str]:
-        """Return a group's next table and the cause; takes its gains from `room`."""
+        """Return a group's next table and the cause; subtract its gains from `room`."""
         have = Counter(table)
         target, cause = self._target(group, have, given, now)
         if target == have:
@@ -205,7 +227,7 @@
         moved: dict[str, int],
         cause: str,
     ) -> Step | None:
-        """Put the new tables and their move together, if the ledger has room."""
+        """Return a step to the new tables, or None if the ledger has no room."""
         if not moved:
             return Step(Plan(self.service, tables, moves), cause)
         if len(moves) >= LEDGER_MAX:
@@ -228,7 +250,13 @@
     def _base_counts(
         self, group: ClientGroup, given: PlannerInput, avoid: frozenset[str]
     ) -> Counter[str]:
-        """Return the wanted split, weights of avoided regions spread on the rest."""
+        """Return the wanted buckets of each region, none in the avoided regions.
+
+        They are split by the group's weights. If no region with a weight is left, all
+        go to the first failover region that is left, else they are split by the limits
+        of the regions that are left. If there are none, all go to the first region by
+        name of the group's weights.
+        """
         usable = [reg for reg in given.pool.regions() if reg not in avoid]
         weights = {
             region: weight
@@ -251,7 +279,7 @@
     def _target(
         self, group: ClientGroup, have: Counter[str], given: PlannerInput, now: float
     ) -> tuple[Counter[str], str]:
-        """Return the counts to move towards, and the cause."""
+        """Return the wanted buckets of each region for this step, and the cause."""
         avoid = given.drained | given.lost
         base = self._base_counts(group, given, avoid)
         if avoid & set(have):
@@ -267,7 +295,7 @@
     def _leave(
         self, have: Counter[str], base: Counter[str], avoid: frozenset[str]
     ) -> Counter[str]:
-        """Empty the avoided regions; what is already elsewhere stays there."""
+        """Empty the avoided regions; buckets in other regions stay where they are."""
         leaving = sum(have[region] for region in avoid)
         target = Counter({reg: num for reg, num in have.items() if reg not in avoid})
         gains = apportion(base)
@@ -285,7 +313,7 @@
         return view
 
     def _hot(self, have: Counter[str], now: float) -> str | None:
-        """Return the hottest region of the group, judged on fresh figures only."""
+        """Return the hottest region of the group, judged by fresh reports only."""
         hottest = None
         part = HOT_PART
         for region in have:
@@ -298,7 +326,7 @@
     def _relieve(
         self, have: Counter[str], hot: str, given: PlannerInput, now: float
     ) -> Counter[str]:
-        """Move a small step from the hot region to the coolest one."""
+        """Move a few buckets from the hot region to the coolest one."""
         coolest = None
         part = COOL_PART
         for region in given.pool.regions():
@@ -318,7 +346,7 @@
         return target
 
     def _may_return(self, have: Counter[str], base: Counter[str], now: float) -> bool:
-        """Tell whether every region that would gain has room to take buckets back."""
+        """Return whether every region that would gain buckets has room for them."""
         for region, count in base.items():
             if count <= have[region]:
                 continue
@@ -331,9 +359,10 @@
     def _room(self, plan: Plan, given: PlannerInput, now: float) -> dict[str, float]:
         """Return how many buckets each region could take without overload.
 
-        Failure: figures are stale, or an earlier step has not shown in them yet.
-        Then a step would be decided on room that is gone. A region without fresh
-        figures, or with figures older than the last step, is given no buckets.
+        Guards against a step into room that is already taken, because the load reports
+        are stale or do not show an earlier step yet. A region without a fresh report,
+        or whose report is not at least `SETTLE_S` later than the last step, is given no
+        buckets.
         """
         buckets = plan.region_buckets()
         demand = 0.0
@@ -357,7 +386,7 @@
     def _within_room(
         self, table: list[str], target: Counter[str], room: dict[str, float]
     ) -> Counter[str]:
-        """Cut gains down to the room of each region."""
+        """Limit the buckets that each region gains to its room."""
         have = Counter(table)
         kept = Counter()
         for region in set(have) | set(target):
