--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -86,7 +86,7 @@
         hash of the key.
     first_seen : dict of str to float
         When this host first saw each segment, in seconds on the monotonic clock.
-    waiting : list of Pending
+    waiting : list of PendingClaim
         Claims for the next batch.
     freeing : dict of str to str
         Claims that the next batch frees, by the hash of the key.
--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -67,7 +67,7 @@
         expected wait, is shorter than a typical service time.
     accept_quantile : float
         The quantile of recent service times that counts as typical.
-    queue_deadline_part : float
+    queue_wait_fraction : float
         Fraction of its remaining time that a request may be expected to wait.
     """
 
--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -20,16 +20,16 @@
 )
 from .resources import BackendPool, ClientGroup, ShiftCap, SteeringPolicy
 
-FRESH_S = 4.0
-MEAN_GAIN = 0.3
-HOT_PART = 0.95
-COOL_PART = 0.7
-RETURN_PART = 0.6
-FILL_PART = 0.85
+MAX_REPORT_AGE_S = 4.0
+DEMAND_MEAN_GAIN = 0.3
+HOT_UTILISATION = 0.95
+COOL_UTILISATION = 0.7
+RETURN_UTILISATION = 0.6
+MAX_FILL_FRACTION = 0.85
 SETTLE_S = 1.0
 REGION_LOST_S = 2.0
-HEADROOM_STEP = 20
-LEDGER_MAX = 500
+HEADROOM_STEP_BUCKETS = 20
+MAX_LEDGER_MOVES = 500
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
     ----------
     load : RegionLoad
         The report.
-    at : float
+    received_at : float
         When it was received, in seconds on this host's monotonic clock.
     mean : float
         Decaying mean of the demand in slots. A single reading of a pool of a few slots
@@ -50,7 +50,7 @@
     """
 
     load: msg.RegionLoad
-    at: float
+    received_at: float
     mean: float
     zero_since: float | None = None
 
@@ -58,7 +58,7 @@
         """Return the slots in use or asked for: the larger of mean and last reading."""
         return max(self.mean, _demand(self.load))
 
-    def part(self) -> float:
+    def utilisation(self) -> float:
         """Return the mean demand divided by the reported limit."""
         return self.mean / max(1.0, self.load.limit)
 
@@ -117,8 +117,8 @@
     tag: str
     regions: dict[str, RegionView] = field(default_factory=dict)
     hold_reason: str = ""
-    _seen: dict[str, float] = field(default_factory=dict)
-    _counter: int = 0
+    _first_seen: dict[str, float] = field(default_factory=dict)
+    _move_count: int = 0
     _changed_at: float = -math.inf
 
     def on_plan(self, plan: Plan, now: float) -> None:
@@ -129,20 +129,24 @@
         started counts every move of the ledger as made now, and the conditional update
         of a planner that was paused fails.
         """
-        current = {move.move_id for move in plan.ledger}
-        for move_id in current:
-            if move_id not in self._seen:
-                self._seen[move_id] = now
+        ledger_ids = {move.move_id for move in plan.ledger}
+        for move_id in ledger_ids:
+            if move_id not in self._first_seen:
+                self._first_seen[move_id] = now
                 self._changed_at = now
-        self._seen = {key: at for key, at in self._seen.items() if key in current}
+        self._first_seen = {
+            key: seen_at
+            for key, seen_at in self._first_seen.items()
+            if key in ledger_ids
+        }
 
     def on_load(self, load: msg.RegionLoad, now: float) -> None:
         """Record a keeper's load report."""
         known = self.regions.get(load.region)
         mean = _demand(load)
         zero_since = now if load.limit <= 0 else None
-        if known is not None and now - known.at <= FRESH_S:
-            mean = known.mean + MEAN_GAIN * (mean - known.mean)
+        if known is not None and now - known.received_at <= MAX_REPORT_AGE_S:
+            mean = known.mean + DEMAND_MEAN_GAIN * (mean - known.mean)
             if zero_since is not None and known.zero_since is not None:
                 zero_since = known.zero_since
         self.regions[load.region] = RegionView(load, now, mean, zero_since)
@@ -157,16 +161,16 @@
             region
             for region, view in self.regions.items()
             if view.zero_since is not None
-            and now - view.at <= FRESH_S
+            and now - view.received_at <= MAX_REPORT_AGE_S
             and now - view.zero_since >= REGION_LOST_S
         )
 
-    def live_moves(self, plan: Plan, cap: ShiftCap, now: float) -> tuple[Move, ...]:
+    def counted_moves(self, plan: Plan, cap: ShiftCap, now: float) -> tuple[Move, ...]:
         """Return the moves that still count against the cap."""
         return tuple(
             move
             for move in plan.ledger
-            if now - self._seen.get(move.move_id, now) <= cap.window_s
+            if now - self._first_seen.get(move.move_id, now) <= cap.window_s
         )
 
     def budget(self, moves: tuple[Move, ...], cap: ShiftCap, group: str) -> int:
@@ -174,24 +178,24 @@
         spent = sum(move.moved.get(group, 0) for move in moves)
         return max(0, math.floor(cap.fraction * BUCKETS + 1e-9) - spent)
 
-    def step(self, plan: Plan | None, given: PlannerInput, now: float) -> Step | None:
+    def step(self, plan: Plan | None, inputs: PlannerInput, now: float) -> Step | None:
         """Return the next plan, or None if nothing should change."""
         if plan is None:
-            return self._first_plan(given)
+            return self._first_plan(inputs)
         self.hold_reason = ""
-        moves = self.live_moves(plan, given.cap, now)
-        room = self._room(plan, given, now)
+        moves = self.counted_moves(plan, inputs.cap, now)
+        room = self._room_in_buckets(plan, inputs, now)
         tables: dict[str, list[str]] = {}
         moved: dict[str, int] = {}
         causes: set[str] = set()
-        for group in given.policy.groups:
+        for group in inputs.policy.groups:
             table = plan.tables.get(group.name)
             if table is None:
-                tables[group.name] = self._initial_table(group, given)
+                tables[group.name] = self._initial_table(group, inputs)
                 causes.add("new-group")
                 continue
-            budget = self.budget(moves, given.cap, group.name)
-            new_table, cause = self._next_table(group, table, given, room, budget, now)
+            budget = self.budget(moves, inputs.cap, group.name)
+            new_table, cause = self._next_table(group, table, inputs, room, budget, now)
             tables[group.name] = new_table
             count = sum(map(ne, table, new_table))
             if count:
@@ -199,28 +203,28 @@
                 causes.add(cause)
         if not moved and set(tables) == set(plan.tables):
             return None
-        return self._as_step(tables, moves, moved, ",".join(sorted(causes)))
+        return self._build_step(tables, moves, moved, ",".join(sorted(causes)))
 
     def _next_table(
         self,
         group: ClientGroup,
         table: list[str],
-        given: PlannerInput,
+        inputs: PlannerInput,
         room: dict[str, float],
         budget: int,
         now: float,
     ) -> tuple[list[str], str]:
         """Return a group's next table and the cause; subtract its gains from `room`."""
-        have = Counter(table)
-        target, cause = self._target(group, have, given, now)
-        if target == have:
+        current = Counter(table)
+        target, cause = self._target(group, current, inputs, now)
+        if target == current:
             return table, ""
-        target = self._within_room(table, target, room)
+        target = self._limit_gains(table, target, room)
         new_table, _ = move_towards(table, target, budget)
-        self._take_room(table, new_table, room)
+        self._subtract_gains(table, new_table, room)
         return new_table, cause
 
-    def _as_step(
+    def _build_step(
         self,
         tables: dict[str, list[str]],
         moves: tuple[Move, ...],
@@ -230,25 +234,25 @@
         """Return a step to the new tables, or None if the ledger has no room."""
         if not moved:
             return Step(Plan(self.service, tables, moves), cause)
-        if len(moves) >= LEDGER_MAX:
+        if len(moves) >= MAX_LEDGER_MOVES:
             self.hold_reason = "ledger-full"
             return None
-        self._counter += 1
-        move = Move(f"{self.tag}.{self._counter}", moved, cause)
+        self._move_count += 1
+        move = Move(f"{self.tag}.{self._move_count}", moved, cause)
         return Step(Plan(self.service, tables, (*moves, move)), cause)
 
-    def _first_plan(self, given: PlannerInput) -> Step:
+    def _first_plan(self, inputs: PlannerInput) -> Step:
         tables = {
-            group.name: self._initial_table(group, given)
-            for group in given.policy.groups
+            group.name: self._initial_table(group, inputs)
+            for group in inputs.policy.groups
         }
         return Step(Plan(self.service, tables), "first")
 
-    def _initial_table(self, group: ClientGroup, given: PlannerInput) -> list[str]:
-        return fresh_table(self._base_counts(group, given, frozenset()))
+    def _initial_table(self, group: ClientGroup, inputs: PlannerInput) -> list[str]:
+        return fresh_table(self._base_counts(group, inputs, frozenset()))
 
     def _base_counts(
-        self, group: ClientGroup, given: PlannerInput, avoid: frozenset[str]
+        self, group: ClientGroup, inputs: PlannerInput, avoid: frozenset[str]
     ) -> Counter[str]:
         """Return the wanted buckets of each region, none in the avoided regions.
 
@@ -257,7 +261,7 @@
         of the regions that are left. If there are none, all go to the first region by
         name of the group's weights.
         """
-        usable = [reg for reg in given.pool.regions() if reg not in avoid]
+        usable = [reg for reg in inputs.pool.regions() if reg not in avoid]
         weights = {
             region: weight
             for region, weight in group.weights.items()
@@ -266,10 +270,10 @@
         counts = apportion(weights)
         if counts:
             return counts
-        for region in given.policy.failover:
+        for region in inputs.policy.failover:
             if region in usable:
                 return Counter({region: BUCKETS})
-        limits = {region: given.pool.limit(region) for region in usable}
+        limits = {region: inputs.pool.limit(region) for region in usable}
         counts = apportion(limits)
         if counts:
             return counts
@@ -277,86 +281,94 @@
         return Counter({fallback: BUCKETS})
 
     def _target(
-        self, group: ClientGroup, have: Counter[str], given: PlannerInput, now: float
+        self,
+        group: ClientGroup,
+        current: Counter[str],
+        inputs: PlannerInput,
+        now: float,
     ) -> tuple[Counter[str], str]:
         """Return the wanted buckets of each region for this step, and the cause."""
-        avoid = given.drained | given.lost
-        base = self._base_counts(group, given, avoid)
-        if avoid & set(have):
-            cause = "drain" if given.drained & set(have) else "failover"
-            return self._leave(have, base, avoid), cause
-        hot = self._hot(have, now)
+        avoid = inputs.drained | inputs.lost
+        base = self._base_counts(group, inputs, avoid)
+        if avoid & set(current):
+            cause = "drain" if inputs.drained & set(current) else "failover"
+            return self._empty_regions(current, base, avoid), cause
+        hot = self._hottest_region(current, now)
         if hot is not None:
-            return self._relieve(have, hot, given, now), "headroom"
-        if base != have and self._may_return(have, base, now):
+            return self._relieve_hot(current, hot, inputs, now), "headroom"
+        if base != current and self._receivers_have_room(current, base, now):
             return base, "policy"
-        return have, ""
+        return current, ""
 
-    def _leave(
-        self, have: Counter[str], base: Counter[str], avoid: frozenset[str]
+    def _empty_regions(
+        self, current: Counter[str], base: Counter[str], avoid: frozenset[str]
     ) -> Counter[str]:
         """Empty the avoided regions; buckets in other regions stay where they are."""
-        leaving = sum(have[region] for region in avoid)
-        target = Counter({reg: num for reg, num in have.items() if reg not in avoid})
+        leaving = sum(current[region] for region in avoid)
+        target = Counter({reg: num for reg, num in current.items() if reg not in avoid})
         gains = apportion(base)
         for region, count in gains.items():
             target[region] += leaving * count // BUCKETS
-        short = BUCKETS - sum(target.values())
-        if short and gains:
-            target[max(gains, key=lambda key: (gains[key], key))] += short
+        missing = BUCKETS - sum(target.values())
+        if missing and gains:
+            target[max(gains, key=lambda key: (gains[key], key))] += missing
         return target
 
-    def _view(self, region: str, now: float) -> RegionView | None:
+    def _fresh_view(self, region: str, now: float) -> RegionView | None:
         view = self.regions.get(region)
-        if view is None or now - view.at > FRESH_S:
+        if view is None or now - view.received_at > MAX_REPORT_AGE_S:
             return None
         return view
 
-    def _hot(self, have: Counter[str], now: float) -> str | None:
+    def _hottest_region(self, current: Counter[str], now: float) -> str | None:
         """Return the hottest region of the group, judged by fresh reports only."""
         hottest = None
-        part = HOT_PART
-        for region in have:
-            view = self._view(region, now)
-            if view is not None and view.part() > part:
+        utilisation = HOT_UTILISATION
+        for region in current:
+            view = self._fresh_view(region, now)
+            if view is not None and view.utilisation() > utilisation:
                 hottest = region
-                part = view.part()
+                utilisation = view.utilisation()
         return hottest
 
-    def _relieve(
-        self, have: Counter[str], hot: str, given: PlannerInput, now: float
+    def _relieve_hot(
+        self, current: Counter[str], hot: str, inputs: PlannerInput, now: float
     ) -> Counter[str]:
         """Move a few buckets from the hot region to the coolest one."""
         coolest = None
-        part = COOL_PART
-        for region in given.pool.regions():
-            view = self._view(region, now)
-            if region == hot or region in given.drained or view is None:
+        utilisation = COOL_UTILISATION
+        for region in inputs.pool.regions():
+            view = self._fresh_view(region, now)
+            if region == hot or region in inputs.drained or view is None:
                 continue
-            if view.part() < part:
+            if view.utilisation() < utilisation:
                 coolest = region
-                part = view.part()
+                utilisation = view.utilisation()
         if coolest is None:
             self.hold_reason = "no-headroom"
-            return have
-        step = min(HEADROOM_STEP, have[hot])
-        target = Counter(have)
+            return current
+        step = min(HEADROOM_STEP_BUCKETS, current[hot])
+        target = Counter(current)
         target[hot] -= step
         target[coolest] += step
         return target
 
-    def _may_return(self, have: Counter[str], base: Counter[str], now: float) -> bool:
+    def _receivers_have_room(
+        self, current: Counter[str], base: Counter[str], now: float
+    ) -> bool:
         """Return whether every region that would gain buckets has room for them."""
         for region, count in base.items():
-            if count <= have[region]:
+            if count <= current[region]:
                 continue
-            view = self._view(region, now)
-            if view is None or view.part() > RETURN_PART:
+            view = self._fresh_view(region, now)
+            if view is None or view.utilisation() > RETURN_UTILISATION:
                 self.hold_reason = "stale" if view is None else "receiver-busy"
                 return False
         return True
 
-    def _room(self, plan: Plan, given: PlannerInput, now: float) -> dict[str, float]:
+    def _room_in_buckets(
+        self, plan: Plan, inputs: PlannerInput, now: float
+    ) -> dict[str, float]:
         """Return how many buckets each region could take without overload.
 
         Guards against a step into room that is already taken, because the load reports
@@ -366,40 +378,42 @@
         """
         buckets = plan.region_buckets()
         demand = 0.0
-        counted = 0
-        for region, number in buckets.items():
-            view = self._view(region, now)
-            if view is not None and region not in given.lost:
+        counted_buckets = 0
+        for region, count in buckets.items():
+            view = self._fresh_view(region, now)
+            if view is not None and region not in inputs.lost:
                 demand += view.demand()
-                counted += number
-        each = demand / counted if counted else 0.0
+                counted_buckets += count
+        demand_per_bucket = demand / counted_buckets if counted_buckets else 0.0
         room: dict[str, float] = {}
-        for region in given.pool.regions():
-            view = self._view(region, now)
-            if view is None or view.at < self._changed_at + SETTLE_S:
+        for region in inputs.pool.regions():
+            view = self._fresh_view(region, now)
+            if view is None or view.received_at < self._changed_at + SETTLE_S:
                 room[region] = 0.0
                 continue
-            spare = FILL_PART * view.load.limit - view.demand()
-            room[region] = spare / each if each > 0 else math.inf
+            spare = MAX_FILL_FRACTION * view.load.limit - view.demand()
+            room[region] = (
+                spare / demand_per_bucket if demand_per_bucket > 0 else math.inf
+            )
         return room
 
-    def _within_room(
+    def _limit_gains(
         self, table: list[str], target: Counter[str], room: dict[str, float]
     ) -> Counter[str]:
         """Limit the buckets that each region gains to its room."""
-        have = Counter(table)
-        kept = Counter()
-        for region in set(have) | set(target):
-            gain = target[region] - have[region]
+        current = Counter(table)
+        limited = Counter()
+        for region in set(current) | set(target):
+            gain = target[region] - current[region]
             if gain > 0:
                 allowed = room.get(region, 0.0)
                 gain = gain if allowed >= gain else max(0, int(allowed))
-                kept[region] = have[region] + gain
+                limited[region] = current[region] + gain
             else:
-                kept[region] = target[region]
-        return kept
+                limited[region] = target[region]
+        return limited
 
-    def _take_room(
+    def _subtract_gains(
         self, before: list[str], after: list[str], room: dict[str, float]
     ) -> None:
         gained = Counter(after)
