--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Planning decisions: headroom, stale figures, drains, lost regions."""
+"""Decisions of the planner: headroom, stale load reports, drains, lost regions."""
 
 from lacewingcross.core import messages as msg
 from lacewingcross.core.plan import BUCKETS, Move, Plan, fresh_table
@@ -43,11 +43,11 @@
     return Plan("s", {"g": fresh_table({region: BUCKETS})})
 
 
-def test_stale_figures_hold_a_policy_change_and_shift_nothing():
-    """Measurements stop arriving and an operator sends traffic to another region.
+def test_stale_reports_hold_a_policy_change_and_move_nothing():
+    """Load reports stop arriving and an operator moves traffic to another region.
 
-    What a user would see: a region that was full all along is given more. Without
-    fresh figures nothing moves, and the reason is shown.
+    Guards against moving traffic to a region that is full. Without fresh reports
+    nothing moves, and the planner gives the reason.
     """
     planner = planner_with([load(reg, 10) for reg in REGIONS], 0.0)
     assert planner.step(all_at("a"), given({"b": 1.0}), 100.0) is None
@@ -57,14 +57,14 @@
     assert step.plan.counts("g") == {"a": 900, "b": 100}
 
 
-def test_full_receiver_is_given_nothing():
+def test_full_receiver_gets_no_buckets():
     loads = [load("a", 50), load("b", 95), load("c", 10)]
     planner = planner_with(loads, 10.0)
     assert planner.step(all_at("a"), given({"b": 1.0}), 10.0) is None
 
 
-def test_step_is_cut_down_to_the_receivers_room():
-    """The receiver has room for 30 of 100 slots; the cap would allow 80 to move."""
+def test_step_is_limited_to_the_room_of_the_receiver():
+    """The receiver has room for 30 of its 100 slots; the cap would let 80 move."""
     cap = ShiftCap("s", 1.0, 10.0)
     loads = [load("a", 80), load("b", 55, limit=100.0)]
     planner = planner_with(loads, 10.0)
@@ -74,10 +74,10 @@
     assert 0 < demand_moved <= 0.85 * 100 - 55
 
 
-def test_next_step_waits_for_figures_from_after_the_last_one():
-    """The receiver's figures do not show the last step yet.
+def test_next_step_waits_for_reports_from_after_the_last_one():
+    """The receiver's load reports do not show the last step yet.
 
-    What a user would see: step after step into a region that fills up unseen.
+    Guards against further steps into a region that fills up unnoticed.
     """
     cap = ShiftCap("s", 0.5, 1.0)
     planner = planner_with([load(reg, 10) for reg in REGIONS], 10.0)
@@ -89,7 +89,7 @@
     assert planner.step(step.plan, given({"b": 1.0}, cap=cap), 12.7) is not None
 
 
-def test_hot_region_is_relieved_in_small_steps_towards_the_coolest():
+def test_hot_region_is_relieved_in_small_steps_to_the_coolest_region():
     loads = [load("a", 100, queued=50), load("b", 60), load("c", 10)]
     planner = planner_with(loads, 10.0)
     step = planner.step(all_at("a"), given({"a": 1.0}), 10.0)
@@ -99,14 +99,14 @@
     assert counts["b"] == 0
 
 
-def test_hot_region_is_left_alone_when_nobody_has_headroom():
+def test_hot_region_keeps_its_buckets_when_no_region_has_headroom():
     loads = [load("a", 100, queued=50), load("b", 90), load("c", 95)]
     planner = planner_with(loads, 10.0)
     assert planner.step(all_at("a"), given({"a": 1.0}), 10.0) is None
     assert planner.hold_reason == "no-headroom"
 
 
-def test_drained_region_empties_at_the_cap_and_takes_nothing_back():
+def test_drained_region_empties_at_the_cap_and_gets_no_buckets_back():
     planner = planner_with([load(reg, 10) for reg in REGIONS], 10.0)
     start = all_at("a")
     wanted = given({"a": 1.0}, drained=["a"])
@@ -115,8 +115,8 @@
     assert step.plan.counts("g")["a"] == 900
 
 
-def test_region_is_lost_only_on_fresh_figures_that_say_so():
-    """No figures arrive from a region for long: that alone proves nothing."""
+def test_region_is_lost_only_by_fresh_reports_without_usable_servers():
+    """Missing reports from a region do not prove that it is lost."""
     planner = planner_with([load("a", 0, limit=0.0)], 10.0)
     assert planner.lost(10.0) == frozenset()
     planner.on_load(load("a", 0, limit=0.0), 12.5)
@@ -124,10 +124,10 @@
     assert planner.lost(60.0) == frozenset()
 
 
-def test_successor_counts_moves_it_has_just_seen_for_a_full_window():
-    """The planner is replaced; the ledger says what was moved, but not when.
+def test_new_planner_counts_the_moves_it_finds_for_a_full_window():
+    """Another host takes over; the ledger holds what was moved, but not when.
 
-    What a user would see: a second cap's worth moved a moment after the first.
+    Guards against moving as much as the cap allows twice within one window.
     """
     moved = Plan("s", {"g": all_at("a").tables["g"]}, (Move("old.1", {"g": 100}),))
     successor = planner_with([], 0.0)
@@ -141,7 +141,7 @@
     assert successor.step(moved, given({"b": 1.0}), 60.5) is not None
 
 
-def test_lowered_cap_counts_what_was_moved_under_the_old_one():
+def test_lowered_cap_counts_moves_made_under_the_previous_cap():
     planner = planner_with([load(reg, 10) for reg in REGIONS], 10.0)
     step = planner.step(all_at("a"), given({"b": 1.0}), 10.0)
     planner.on_plan(step.plan, 10.0)
@@ -151,10 +151,10 @@
     assert planner.step(step.plan, given({"b": 1.0}, cap=lower), 12.0) is None
 
 
-def test_one_full_reading_shifts_nothing_but_lasting_pressure_does():
-    """A small pool is full for a moment, again and again, on an ordinary hour.
+def test_one_full_reading_moves_nothing_but_lasting_load_does():
+    """A small pool is full for a moment, repeatedly, under ordinary load.
 
-    What a user would see: traffic moved to cold caches and back for nothing.
+    Guards against moving traffic to cold caches and back without need.
     """
     planner = planner_with([load(reg, 40) for reg in REGIONS], 10.0)
     planner.on_load(load("a", 100, queued=20), 10.5)
