--- a/lacewingcross/core/plan.py
+++ b/lacewingcross/core/plan.py
@@ -1,4 +1,9 @@
-"""The plan of a service: which region each bucket of a client group goes to."""
+"""The plan of a service: the region of each bucket of each client group.
+
+Callers are hashed into `BUCKETS` buckets. A move changes the region of some buckets;
+the shift cap limits how many may move within a time window, and the ledger records the
+moves that may still count.
+"""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -18,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """One entry of the cap ledger: buckets moved for each group."""
+    """An entry of the ledger: how many buckets of each group were moved, and why."""
 
     move_id: str
     moved: dict[str, int]
@@ -27,15 +32,16 @@
 
 @dataclass(slots=True)
 class Plan:
-    """A whole plan; replaced only by conditional update.
+    """A whole plan; stored plans are replaced by conditional updates only.
 
     Attributes
     ----------
     service : str
+        The service whose callers are steered.
     tables : dict of str to list of str
         For each group, the region of each of its `BUCKETS` buckets.
     ledger : tuple of Move
-        Moves that may still count against the cap.
+        Moves that may still count against the shift cap, the oldest first.
     """
 
     service: str
@@ -55,7 +61,7 @@
 
 
 def encode_plan(plan: Plan) -> dict[str, object]:
-    """Return the plan as JSON data, tables as runs."""
+    """Return the plan as JSON data, each table as runs of [region, count]."""
     return {
         "groups": {name: _runs(table) for name, table in plan.tables.items()},
         "ledger": [
@@ -81,7 +87,7 @@
     Raises
     ------
     ResourceError
-        When the data is not a plan.
+        If the data is not a plan.
     """
     reader = Reader(data, f"Plan/{service}", ResourceError)
     groups = reader.raw("groups", {})
@@ -113,12 +119,12 @@
 
 
 def apportion(weights: Mapping[str, float]) -> Counter[str]:
-    """Split `BUCKETS` by `weights` with largest remainders.
+    """Split `BUCKETS` in proportion to `weights` by the largest remainder method.
 
     Parameters
     ----------
     weights : mapping of str to float
-        At least one above zero.
+        Weights; those that are not above zero get no bucket.
 
     Returns
     -------
@@ -139,22 +145,22 @@
 
 
 def fresh_table(counts: Mapping[str, int]) -> list[str]:
-    """Return a table with `counts` buckets for each region, in name order."""
+    """Return a table with `counts` buckets for each region, sorted by region."""
     return [region for region in sorted(counts) for _ in range(counts[region])]
 
 
 def move_towards(
     table: list[str], target: Mapping[str, int], budget: int
 ) -> tuple[list[str], int]:
-    """Move at most `budget` buckets so that counts come nearer to `target`.
+    """Move at most `budget` buckets so that the counts come closer to `target`.
 
     Returns
     -------
     table : list of str
-        A new table; no bucket moves but from a region above its target to one
-        below it, so the number moved is the smallest possible.
+        A new table. Buckets move only from a region above its target to one below
+        its target, so no more buckets move than necessary.
     moved : int
-        How many buckets moved.
+        The number of buckets that moved.
     """
     have = Counter(table)
     need = {
--- a/lacewingcross/core/planner_set.py
+++ b/lacewingcross/core/planner_set.py
@@ -1,4 +1,4 @@
-"""The planners of this host: feed them all, let the owned ones write."""
+"""The planners of this host: all are updated, those it owns write their plans."""
 
 from collections.abc import Iterator
 
@@ -22,7 +22,7 @@
     Parameters
     ----------
     view : View
-        Shared state; this part writes `view.plans`.
+        Shared state.
     """
 
     __slots__ = ("_calls", "_next_call", "_stepped_at", "_view", "planners")
@@ -35,13 +35,13 @@
         self._stepped_at = float("-inf")
 
     def on_plan(self, service: str, now: float) -> None:
-        """Take over a plan that the configuration now holds."""
+        """Pass the plan that is now in the configuration to its planner."""
         plan = self._view.config.plans.get(service)
         if plan is not None:
             self._planner(service).on_plan(plan, now)
 
     def on_load(self, load: msg.RegionLoad, now: float) -> None:
-        """Take in a keeper's figures."""
+        """Pass a keeper's load report to the planner of its service."""
         self._planner(load.service).on_load(load, now)
 
     def _planner(self, service: str) -> Planner:
@@ -53,23 +53,23 @@
         return planner
 
     def owns_call(self, call_id: int) -> bool:
-        """Tell whether a write belongs to a planner."""
+        """Return whether a write was made by a planner."""
         return call_id in self._calls
 
     def write_ended(self, ended: WriteEnded) -> Iterator[Action]:
-        """Note the end of a plan write; the new plan arrives by the watch."""
+        """Record the end of a plan write; the new plan arrives by the watch."""
         service, _ = self._calls.pop(ended.call_id)
         yield Count(f"plan.write-{ended.outcome}")
         yield Log("plan-written", {"service": service, "outcome": ended.outcome})
 
     def _pause(self) -> float:
-        """Return the time between steps, longer with more groups to go through."""
+        """Return the time between steps, which grows with the groups of a service."""
         policies = self._view.config.policies.values()
         groups = max((len(policy.groups) for policy in policies), default=0)
         return max(STEP_S, EACH_GROUP_S * groups)
 
     def tick(self, now: float) -> Iterator[Action]:
-        """Plan each owned service, once in a while."""
+        """Plan each service that this host owns, once in each step period."""
         if now - self._stepped_at < self._pause() or not self._view.config.complete:
             return
         self._stepped_at = now
