--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -160,13 +160,13 @@
         Shared state.
     """
 
-    __slots__ = ("_calls", "_next_call", "_view", "shards")
+    __slots__ = ("_calls", "_last_call_id", "_view", "shards")
 
     def __init__(self, view: View) -> None:
         self._view = view
         self.shards: dict[tuple[str, int], Shard] = {}
         self._calls: dict[int, tuple[str, int]] = {}
-        self._next_call = CALL_ID_BASE
+        self._last_call_id = CALL_ID_BASE
 
     def owner_of(self, service: str, shard_index: int, now: float) -> str:
         """Return the host that owns a shard."""
@@ -213,10 +213,10 @@
         return call_id in self._calls
 
     def _new_call(self, shard: Shard) -> int:
-        self._next_call += 1
-        self._calls[self._next_call] = (shard.service, shard.index)
-        shard.call_id = self._next_call
-        return self._next_call
+        self._last_call_id += 1
+        self._calls[self._last_call_id] = (shard.service, shard.index)
+        shard.call_id = self._last_call_id
+        return self._last_call_id
 
     def _end_call(self, call_id: int) -> Shard:
         shard = self.shards[self._calls.pop(call_id)]
--- a/lacewingcross/core/plan.py
+++ b/lacewingcross/core/plan.py
@@ -63,7 +63,7 @@
 def encode_plan(plan: Plan) -> dict[str, object]:
     """Return the plan as JSON data, each table as runs of [region, count]."""
     return {
-        "groups": {name: _runs(table) for name, table in plan.tables.items()},
+        "groups": {name: _encode_runs(table) for name, table in plan.tables.items()},
         "ledger": [
             {"id": move.move_id, "moved": move.moved, "cause": move.cause}
             for move in plan.ledger
@@ -71,7 +71,7 @@
     }
 
 
-def _runs(table: list[str]) -> list[list[object]]:
+def _encode_runs(table: list[str]) -> list[list[object]]:
     runs: list[list[object]] = []
     for region in table:
         if runs and runs[-1][0] == region:
@@ -93,13 +93,13 @@
     groups = reader.raw("groups", {})
     if not isinstance(groups, dict):
         raise reader.fail("groups", "an object of runs", groups)
-    tables = {name: _unroll(reader, runs) for name, runs in groups.items()}
+    tables = {name: _decode_runs(reader, runs) for name, runs in groups.items()}
     ledger = tuple(_read_move(child) for child in reader.children("ledger", []))
     reader.finish()
     return Plan(service, tables, ledger)
 
 
-def _unroll(reader: Reader, runs: object) -> list[str]:
+def _decode_runs(reader: Reader, runs: object) -> list[str]:
     table: list[str] = []
     try:
         for region, length in runs:
@@ -162,30 +162,30 @@
     moved : int
         The number of buckets that moved.
     """
-    have = Counter(table)
-    need = {
-        region: count - have[region]
+    current = Counter(table)
+    deficit = {
+        region: count - current[region]
         for region, count in target.items()
-        if count > have[region]
+        if count > current[region]
     }
     surplus = {
-        region: have[region] - target.get(region, 0)
-        for region in have
-        if have[region] > target.get(region, 0)
+        region: current[region] - target.get(region, 0)
+        for region in current
+        if current[region] > target.get(region, 0)
     }
     result = list(table)
     moved = 0
     for index in range(len(result) - 1, -1, -1):
-        if moved >= budget or not need:
+        if moved >= budget or not deficit:
             break
         region = result[index]
         if surplus.get(region, 0) <= 0:
             continue
-        gainer = max(need, key=lambda key: (need[key], key))
-        result[index] = gainer
+        receiver = max(deficit, key=lambda key: (deficit[key], key))
+        result[index] = receiver
         surplus[region] -= 1
-        need[gainer] -= 1
-        if not need[gainer]:
-            del need[gainer]
+        deficit[receiver] -= 1
+        if not deficit[receiver]:
+            del deficit[receiver]
         moved += 1
     return result, moved
--- a/lacewingcross/core/planner_set.py
+++ b/lacewingcross/core/planner_set.py
@@ -10,10 +10,10 @@
 from .resources import PLAN, object_key
 from .view import View
 
-STEP_S = 1.0
-EACH_GROUP_S = 0.04
-WRITE_PATIENCE_S = 10.0
-CALL_BASE = 1 << 40
+MIN_STEP_PERIOD_S = 1.0
+STEP_S_PER_GROUP = 0.04
+WRITE_TIMEOUT_S = 10.0
+CALL_ID_BASE = 1 << 40
 
 
 class PlannerSet:
@@ -25,13 +25,13 @@
         Shared state.
     """
 
-    __slots__ = ("_calls", "_next_call", "_stepped_at", "_view", "planners")
+    __slots__ = ("_calls", "_last_call_id", "_stepped_at", "_view", "planners")
 
     def __init__(self, view: View) -> None:
         self._view = view
         self.planners: dict[str, Planner] = {}
         self._calls: dict[int, tuple[str, float]] = {}
-        self._next_call = CALL_BASE
+        self._last_call_id = CALL_ID_BASE
         self._stepped_at = float("-inf")
 
     def on_plan(self, service: str, now: float) -> None:
@@ -62,15 +62,18 @@
         yield Count(f"plan.write-{ended.outcome}")
         yield Log("plan-written", {"service": service, "outcome": ended.outcome})
 
-    def _pause(self) -> float:
+    def _step_period_s(self) -> float:
         """Return the time between steps, which grows with the groups of a service."""
         policies = self._view.config.policies.values()
         groups = max((len(policy.groups) for policy in policies), default=0)
-        return max(STEP_S, EACH_GROUP_S * groups)
+        return max(MIN_STEP_PERIOD_S, STEP_S_PER_GROUP * groups)
 
     def tick(self, now: float) -> Iterator[Action]:
         """Plan each service that this host owns, once in each step period."""
-        if now - self._stepped_at < self._pause() or not self._view.config.complete:
+        if (
+            now - self._stepped_at < self._step_period_s()
+            or not self._view.config.complete
+        ):
             return
         self._stepped_at = now
         own = self._view.own.host_id
@@ -81,34 +84,34 @@
     def _step(self, service: str, now: float) -> Iterator[Action]:
         config = self._view.config
         pool = config.pools.get(service)
-        if pool is None or not pool.servers or self._writing(service, now):
+        if pool is None or not pool.servers or self._has_open_write(service, now):
             return
         planner = self._planner(service)
-        given = PlannerInput(
+        inputs = PlannerInput(
             config.policies[service],
             pool,
             config.cap(service),
             config.drained_regions(service),
             planner.lost(now),
         )
-        step = planner.step(config.plans.get(service), given, now)
+        step = planner.step(config.plans.get(service), inputs, now)
         if step is not None:
             yield from self._write(service, step, now)
 
-    def _writing(self, service: str, now: float) -> bool:
+    def _has_open_write(self, service: str, now: float) -> bool:
         return any(
-            name == service and now - since < WRITE_PATIENCE_S
-            for name, since in self._calls.values()
+            name == service and now - written_at < WRITE_TIMEOUT_S
+            for name, written_at in self._calls.values()
         )
 
     def _write(self, service: str, step: Step, now: float) -> Iterator[Action]:
-        self._next_call += 1
-        self._calls[self._next_call] = (service, now)
+        self._last_call_id += 1
+        self._calls[self._last_call_id] = (service, now)
         key = object_key(PLAN, service)
         spec = encode_plan(step.plan)
         yield Log("plan-step", {"service": service, "cause": step.cause})
         version = self._view.config.plan_versions.get(service)
         if version is None:
-            yield CreateObject(self._next_call, key, spec)
+            yield CreateObject(self._last_call_id, key, spec)
         else:
-            yield UpdateObject(self._next_call, key, spec, version)
+            yield UpdateObject(self._last_call_id, key, spec, version)
