--- a/lacewingcross/core/servers.py
+++ b/lacewingcross/core/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers as a slot keeper sees them: slots, slow start, ejection."""
+"""Backend servers as a slot keeper sees them: slots, slow start and ejection."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -23,7 +23,20 @@
 
 @dataclass(slots=True)
 class ServerState:
-    """One backend server: what it is declared as, and what was seen of it."""
+    """One backend server: its declaration and what its keeper observed.
+
+    Attributes
+    ----------
+    since : float
+        Start of the slow start, in seconds on the monotonic clock.
+    granted : int
+        Permits in use.
+    probing : bool
+        Whether the server gets one slot to test it after an ejection.
+    unreachable : bool
+        Whether the server accepted no connection when it was last tried, by a request
+        or by a health probe.
+    """
 
     declared: BackendServer
     since: float
@@ -40,7 +53,7 @@
     paused_until: float = 0.0
 
     def capacity(self, now: float) -> int:
-        """Return the slots that may be used at `now`, slow start included."""
+        """Return the slots that may be used at `now`, fewer during a slow start."""
         slots = self.declared.places
         if self.probing or self.doubted:
             return 1
@@ -51,11 +64,11 @@
 
     @property
     def doubted(self) -> bool:
-        """Tell whether it was ejected and has not answered since."""
+        """Return whether it was ever ejected and has failed since its last response."""
         return self.ejections > 0 and self.failures_in_row > 0
 
     def usable(self, now: float) -> bool:
-        """Tell whether new work may be given to it at `now`."""
+        """Return whether the server may be given new requests at `now`."""
         return not (self.leaving or self.unreachable) and now >= self.ejected_until
 
     def free(self, now: float) -> int:
@@ -65,10 +78,10 @@
         return self.capacity(now) - self.granted
 
     def score(self, now: float) -> float:
-        """Return the cost of choosing it: fuller and failing servers cost more.
+        """Return the cost of choosing the server; full and failing ones cost more.
 
-        The failure rate weighs in so that a server that fails fast, and so looks
-        idle all the time, does not draw the traffic of the whole pool.
+        The failure rate counts so that a server that fails fast, and so always looks
+        idle, does not attract the traffic of the whole pool.
         """
         load = self.granted / max(1, self.capacity(now))
         return load + 4.0 * self.failure_rate
@@ -85,10 +98,11 @@
     def declare(
         self, servers: Iterator[BackendServer], leaving: set[str], now: float
     ) -> None:
-        """Take over the declared pool and the set of leaving servers.
+        """Update the table to the declared pool and the set of leaving servers.
 
-        Servers that are there when the table starts are taken as warm; those that
-        come or come back later ramp up, since their caches are cold.
+        Servers of the first declaration are considered warm, which means that their
+        caches are filled. Those that are added or return later start slowly, since
+        their caches are cold.
         """
         declared = {server.server_id: server for server in servers}
         for server_id in [key for key in self.states if key not in declared]:
@@ -131,7 +145,7 @@
         return best
 
     def learn(self, server_id: str, result: str, now: float) -> bool:
-        """Take in the result of one attempt; return whether it was ejected."""
+        """Record the result of one attempt; return whether it ejects the server."""
         state = self.states.get(server_id)
         if state is None or result == UNUSED:
             return False
@@ -147,9 +161,10 @@
         return self._eject(state, now)
 
     def reachable(self, server_id: str, now: float) -> None:
-        """Note that a health probe got through to a server that took no connection.
+        """Record that a health probe reached a server that accepted no connection.
 
-        The probe only ends the exclusion; trust comes back with real answers.
+        The probe only makes the server usable again. Its failures count until it
+        responds to a request.
         """
         state = self.states.get(server_id)
         if state is not None and state.unreachable:
@@ -163,15 +178,15 @@
         state.sheds_in_row = 0
         state.unreachable = False
         if state.probing:
-            # A server that comes back has cold caches and takes a ramp, not the
-            # full load that ejection had moved away from it.
+            # The caches of a server that returns are cold. It starts slowly instead of
+            # getting the full load that its ejection moved to other servers.
             state.probing = False
             state.since = now
 
     def _learn_shed(self, state: ServerState, now: float) -> None:
-        # A shed request means that somebody else uses slots we counted as free,
-        # such as a second keeper during a split view. Backing off leaves the
-        # slot to its user; asking again at once would only shed again.
+        # A server sheds a request if another keeper uses slots that this one counts as
+        # free, such as while hosts disagree on who keeps the region. A back-off leaves
+        # the slots to that keeper; another request now would only be shed as well.
         state.sheds_in_row += 1
         pause = SHED_PAUSE_S * 2 ** min(state.sheds_in_row, 10)
         state.paused_until = now + min(SHED_PAUSE_MAX_S, pause)
@@ -190,13 +205,13 @@
         return True
 
     def _may_eject(self, now: float) -> bool:
-        """Bound the ejected part of the pool.
+        """Return whether one more server of the pool may be ejected for failures.
 
-        Failure: a fault in the requests themselves, or in our own network, makes
-        every server look bad. Ejecting them all would turn errors into a total
-        refusal; so at most `MAX_EJECTED_PART` of the pool is ever ejected on
-        answers alone. Servers that accept no connection are not counted: nothing
-        can run there.
+        Guards against ejecting all servers when the requests themselves or the hosts'
+        network are at fault and every server appears to fail: all requests would then
+        be refused. At most `MAX_EJECTED_PART` of the pool is ejected for its responses.
+        Servers that accept no connection are not counted as ejected and may all be left
+        out, since nothing can run there.
         """
         judged = [st for st in self.states.values() if not st.unreachable]
         ejected = sum(1 for st in judged if now < st.ejected_until)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers in the keeper's eyes: slow start, ejection, region limits."""
+"""Backend servers and permits of a slot keeper: slow start, ejection, limits."""
 
 import random
 
@@ -21,10 +21,10 @@
     return servers
 
 
-def test_new_server_ramps_up_and_the_first_ones_are_warm():
+def test_new_server_ramps_up_and_the_first_servers_are_warm():
     """A server joins under load with cold caches.
 
-    What a user would see: the whole pool's share at once on caches that are empty.
+    Guards against giving it a full share of the pool's load before its caches fill.
     """
     servers = table(1)
     servers.declare(iter(declared(2)), set(), 100.0)
@@ -33,7 +33,7 @@
     assert [new.capacity(100.0 + t) for t in (0.0, 2.6, 5.0)] == [1, 2, 4]
 
 
-def test_server_back_from_a_drain_ramps_up():
+def test_server_that_returns_from_a_drain_ramps_up():
     servers = table(1)
     servers.declare(iter(declared(1)), {"s0"}, 50.0)
     assert servers.pick(50.0, frozenset()) is None
@@ -41,7 +41,7 @@
     assert servers.states["s0"].capacity(60.0) == 1
 
 
-def test_three_failures_eject_and_one_probe_brings_back():
+def test_three_failures_eject_and_one_answer_ends_the_probing():
     servers = table()
     ejected = [servers.learn("s0", "failed", 10.0) for _ in range(3)]
     assert ejected == [False, False, True]
@@ -53,10 +53,10 @@
     assert state.capacity(20.0) == 4
 
 
-def test_at_most_half_of_the_pool_is_ejected_on_answers():
-    """Every server answers with errors: the fault is in the requests.
+def test_at_most_half_of_the_pool_is_ejected_for_failed_requests():
+    """Every server responds with errors because the requests are at fault.
 
-    What a user would see: errors turned into a refusal of everything.
+    Guards against ejecting all servers, after which every request would be refused.
     """
     servers = table(4)
     for num in range(4):
@@ -65,7 +65,7 @@
     assert sum(state.usable(10.1) for state in servers.states.values()) == 2
 
 
-def test_servers_that_take_no_connection_may_all_be_left_out():
+def test_servers_that_accept_no_connection_may_all_be_excluded():
     servers = table(2)
     for num in range(2):
         servers.learn(f"s{num}", "unreachable", 10.0)
@@ -87,7 +87,7 @@
 
 
 def test_declared_region_limit_binds_below_the_slots():
-    """Operators declare that a region takes three at once, whatever its slots."""
+    """Operators limit a region to three requests at a time, below its slots."""
     keeper = keeper_with(3)
     replies = [ask(keeper, f"r{num}", 1.0) for num in range(5)]
     assert [len(reply) for reply in replies] == [1, 1, 1, 0, 0]
@@ -97,10 +97,10 @@
     assert release.message.request_id == "r3"
 
 
-def test_new_keeper_grants_nothing_it_cannot_account_for():
-    """A keeper dies; its successor starts while the old permits are in use.
+def test_new_keeper_grants_no_slot_that_may_be_in_use():
+    """A keeper crashes; its successor starts while the old permits are in use.
 
-    What a user would see: slots filled twice and work shed by the backend servers.
+    Guards against filling slots twice, after which the backend servers shed requests.
     """
     keeper = keeper_with(8)
     queries = list(keeper.start(["h1", "h2"], 10.0))
@@ -112,7 +112,7 @@
     assert grant.message.server_id == "s1"
 
 
-def test_silent_host_delays_a_new_keeper_only_so_long():
+def test_silent_host_delays_a_new_keeper_until_the_recovery_timeout():
     keeper = keeper_with(8)
     list(keeper.start(["h1"], 10.0))
     assert ask(keeper, "r1", 10.1) == []
@@ -127,7 +127,7 @@
 
 
 def test_lapsed_permit_frees_its_slot_and_a_renewal_takes_it_again():
-    """A holder is paused past its lease, wakes, and its request still runs."""
+    """A host is paused past the end of its lease and wakes; its request still runs."""
     keeper = keeper_with(1, count=1)
     (grant,) = ask(keeper, "r1", 1.0)
     list(keeper.tick(1.0 + LEASE_S))
@@ -137,7 +137,7 @@
 
 
 def test_lost_grant_is_replaced_when_the_host_asks_again():
-    """The link breaks with a grant on it; the host asks again for the same request."""
+    """A grant is lost with its connection; the host asks again for the request."""
     keeper = keeper_with(1, count=1)
     (lost,) = ask(keeper, "r1", 1.0)
     (again,) = ask(keeper, "r1", 3.0)
@@ -145,8 +145,8 @@
     assert len(keeper.permits) == 1
 
 
-def test_refusals_are_spread_and_come_at_once():
-    """A full queue: every refused caller is told a different time to come back."""
+def test_refusals_are_immediate_and_their_retry_times_are_jittered():
+    """With a full queue, every refused caller gets another time to retry after."""
     keeper = keeper_with(1, count=1)
     keeper.service_times.add(0.5)
     waits = []
@@ -160,11 +160,11 @@
     assert min(waits) >= 0.25
 
 
-def test_request_that_asks_again_keeps_its_place_in_the_queue():
-    """A long queue; a host asks again for a request that has waited for two seconds.
+def test_repeated_acquire_keeps_its_place_in_the_queue():
+    """A host asks again for a request that has been queued for two seconds.
 
-    What a user would see: the callers that have waited longest go to the back, wait
-    again, and are refused in the end.
+    Guards against moving the requests that have waited longest to the back of a long
+    queue, where they would wait again and be refused in the end.
     """
     keeper = keeper_with(1, count=1)
     (grant,) = ask(keeper, "r0", 1.0, remaining=9.0)
