--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -210,8 +210,8 @@
         yield from self.dispatch(now)
 
     def _can_grant_now(self, now: float) -> bool:
-        free = not self.queue and len(self.permits) < self.limit
-        return free and not self.recovering(now)
+        has_free_slot = not self.queue and len(self.permits) < self.limit
+        return has_free_slot and not self.recovering(now)
 
     def _is_queued(self, host_id: str, request_id: str) -> bool:
         return any(
@@ -358,13 +358,13 @@
         self._remove_permit(message.permit)
         if message.result == ANSWERED:
             self.service_times.add(message.service_s)
-        self.servers.learn(message.server_id, message.result, now)
+        self.servers.record_result(message.server_id, message.result, now)
         yield from self.dispatch(now)
 
     def reuse(self, host_id: str, message: msg.Reuse, now: float) -> None:
         """Record that a host uses a permit for another of its waiting requests."""
         self.service_times.add(message.service_s)
-        self.servers.learn(message.server_id, ANSWERED, now)
+        self.servers.record_result(message.server_id, ANSWERED, now)
         self.withdraw(host_id, message.request_id)
         self.renew(host_id, [(message.server_id, message.permit)], now)
         permit = self.permits[message.permit]
--- a/lacewingcross/core/keeper_set.py
+++ b/lacewingcross/core/keeper_set.py
@@ -123,9 +123,9 @@
             if key[0] != service:
                 continue
             if reachable:
-                keeper.servers.reachable(server_id, now)
+                keeper.servers.record_reachable(server_id, now)
             else:
-                keeper.servers.learn(server_id, "unreachable", now)
+                keeper.servers.record_result(server_id, "unreachable", now)
             yield from self._send(keeper.dispatch(now))
 
     def leaving(self) -> list[tuple[str, int]]:
--- a/lacewingcross/core/servers.py
+++ b/lacewingcross/core/servers.py
@@ -8,11 +8,11 @@
 RAMP_S = 5.0
 FAILURES_TO_EJECT = 3
 FAILURE_GAIN = 0.1
-EJECT_S = 1.0
-EJECT_MAX_S = 30.0
-MAX_EJECTED_PART = 0.5
-SHED_PAUSE_S = 0.02
-SHED_PAUSE_MAX_S = 1.0
+EJECTION_BASE_S = 1.0
+MAX_EJECTION_S = 30.0
+MAX_EJECTED_FRACTION = 0.5
+SHED_BACKOFF_BASE_S = 0.02
+MAX_SHED_BACKOFF_S = 1.0
 
 ANSWERED = "answered"
 FAILED = "failed"
@@ -27,7 +27,7 @@
 
     Attributes
     ----------
-    since : float
+    ramp_started_at : float
         Start of the slow start, in seconds on the monotonic clock.
     granted : int
         Permits in use.
@@ -39,41 +39,41 @@
     """
 
     declared: BackendServer
-    since: float
+    ramp_started_at: float
     ramp_s: float = RAMP_S
     granted: int = 0
     leaving: bool = False
     failure_rate: float = 0.0
-    failures_in_row: int = 0
+    consecutive_failures: int = 0
     ejected_until: float = 0.0
     ejections: int = 0
     probing: bool = False
     unreachable: bool = False
-    sheds_in_row: int = 0
-    paused_until: float = 0.0
+    consecutive_sheds: int = 0
+    backoff_until: float = 0.0
 
     def capacity(self, now: float) -> int:
         """Return the slots that may be used at `now`, fewer during a slow start."""
         slots = self.declared.places
-        if self.probing or self.doubted:
+        if self.probing or self.on_probation:
             return 1
-        if self.ramp_s <= 0 or now >= self.since + self.ramp_s:
+        if self.ramp_s <= 0 or now >= self.ramp_started_at + self.ramp_s:
             return slots
-        part = max(0.0, now - self.since) / self.ramp_s
-        return max(1, int(slots * part))
+        fraction = max(0.0, now - self.ramp_started_at) / self.ramp_s
+        return max(1, int(slots * fraction))
 
     @property
-    def doubted(self) -> bool:
+    def on_probation(self) -> bool:
         """Return whether it was ever ejected and has failed since its last response."""
-        return self.ejections > 0 and self.failures_in_row > 0
+        return self.ejections > 0 and self.consecutive_failures > 0
 
     def usable(self, now: float) -> bool:
         """Return whether the server may be given new requests at `now`."""
         return not (self.leaving or self.unreachable) and now >= self.ejected_until
 
-    def free(self, now: float) -> int:
+    def free_slots(self, now: float) -> int:
         """Return how many permits could be granted at `now`."""
-        if not self.usable(now) or now < self.paused_until:
+        if not self.usable(now) or now < self.backoff_until:
             return 0
         return self.capacity(now) - self.granted
 
@@ -110,18 +110,18 @@
         for server_id, server in declared.items():
             state = self.states.get(server_id)
             if state is None:
-                since = now if self.started else now - self.ramp_s
-                state = ServerState(server, since, self.ramp_s)
+                ramp_started_at = now if self.started else now - self.ramp_s
+                state = ServerState(server, ramp_started_at, self.ramp_s)
                 self.states[server_id] = state
             if state.declared.address != server.address:
-                state.since = now
+                state.ramp_started_at = now
             state.declared = server
             self._set_leaving(state, server_id in leaving, now)
         self.started = True
 
     def _set_leaving(self, state: ServerState, leaving: bool, now: float) -> None:
         if state.leaving and not leaving:
-            state.since = now
+            state.ramp_started_at = now
         state.leaving = leaving
 
     def total_capacity(self, now: float) -> int:
@@ -134,33 +134,33 @@
         best = None
         best_score = 0.0
         for server_id, state in self.states.items():
-            if server_id in exclude or state.free(now) <= 0:
+            if server_id in exclude or state.free_slots(now) <= 0:
                 continue
             score = state.score(now)
             if best is None or score < best_score:
                 best = state
                 best_score = score
-        if best is not None and best.doubted:
+        if best is not None and best.on_probation:
             best.probing = True
         return best
 
-    def learn(self, server_id: str, result: str, now: float) -> bool:
+    def record_result(self, server_id: str, result: str, now: float) -> bool:
         """Record the result of one attempt; return whether it ejects the server."""
         state = self.states.get(server_id)
         if state is None or result == UNUSED:
             return False
         if result == ANSWERED:
-            self._learn_success(state, now)
+            self._record_success(state, now)
             return False
         if result == SHED:
-            self._learn_shed(state, now)
+            self._record_shed(state, now)
             return False
         state.failure_rate += FAILURE_GAIN * (1.0 - state.failure_rate)
-        state.failures_in_row += 1
+        state.consecutive_failures += 1
         state.unreachable = result == UNREACHABLE
-        return self._eject(state, now)
+        return self._eject_if_due(state, now)
 
-    def reachable(self, server_id: str, now: float) -> None:
+    def record_reachable(self, server_id: str, now: float) -> None:
         """Record that a health probe reached a server that accepted no connection.
 
         The probe only makes the server usable again. Its failures count until it
@@ -170,37 +170,37 @@
         if state is not None and state.unreachable:
             state.unreachable = False
             state.ejected_until = now
-            state.since = now
+            state.ramp_started_at = now
 
-    def _learn_success(self, state: ServerState, now: float) -> None:
+    def _record_success(self, state: ServerState, now: float) -> None:
         state.failure_rate *= 1.0 - FAILURE_GAIN
-        state.failures_in_row = 0
-        state.sheds_in_row = 0
+        state.consecutive_failures = 0
+        state.consecutive_sheds = 0
         state.unreachable = False
         if state.probing:
             # The caches of a server that returns are cold. It starts slowly instead of
             # getting the full load that its ejection moved to other servers.
             state.probing = False
-            state.since = now
+            state.ramp_started_at = now
 
-    def _learn_shed(self, state: ServerState, now: float) -> None:
+    def _record_shed(self, state: ServerState, now: float) -> None:
         # A server sheds a request if another keeper uses slots that this one counts as
         # free, such as while hosts disagree on who keeps the region. A back-off leaves
         # the slots to that keeper; another request now would only be shed as well.
-        state.sheds_in_row += 1
-        pause = SHED_PAUSE_S * 2 ** min(state.sheds_in_row, 10)
-        state.paused_until = now + min(SHED_PAUSE_MAX_S, pause)
+        state.consecutive_sheds += 1
+        backoff_s = SHED_BACKOFF_BASE_S * 2 ** min(state.consecutive_sheds, 10)
+        state.backoff_until = now + min(MAX_SHED_BACKOFF_S, backoff_s)
 
-    def _eject(self, state: ServerState, now: float) -> bool:
-        hard = state.unreachable or state.probing
-        if state.failures_in_row < FAILURES_TO_EJECT and not hard:
+    def _eject_if_due(self, state: ServerState, now: float) -> bool:
+        at_first_failure = state.unreachable or state.probing
+        if state.consecutive_failures < FAILURES_TO_EJECT and not at_first_failure:
             return False
         if now < state.ejected_until:
             return False
         if not state.unreachable and not self._may_eject(now):
             return False
-        backoff = EJECT_S * 2 ** min(state.ejections, 10)
-        state.ejected_until = now + min(EJECT_MAX_S, backoff)
+        ejection_s = EJECTION_BASE_S * 2 ** min(state.ejections, 10)
+        state.ejected_until = now + min(MAX_EJECTION_S, ejection_s)
         state.ejections += 1
         return True
 
@@ -209,10 +209,10 @@
 
         Guards against ejecting all servers when the requests themselves or the hosts'
         network are at fault and every server appears to fail: all requests would then
-        be refused. At most `MAX_EJECTED_PART` of the pool is ejected for its responses.
-        Servers that accept no connection are not counted as ejected and may all be left
-        out, since nothing can run there.
+        be refused. At most `MAX_EJECTED_FRACTION` of the pool is ejected for failed
+        responses. Servers that accept no connection are not counted as ejected and may
+        all be left out, since nothing can run there.
         """
-        judged = [st for st in self.states.values() if not st.unreachable]
-        ejected = sum(1 for st in judged if now < st.ejected_until)
-        return ejected + 1 <= MAX_EJECTED_PART * len(self.states)
+        reachable_states = [st for st in self.states.values() if not st.unreachable]
+        ejected = sum(1 for st in reachable_states if now < st.ejected_until)
+        return ejected + 1 <= MAX_EJECTED_FRACTION * len(self.states)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -43,13 +43,13 @@
 
 def test_three_failures_eject_and_one_answer_ends_the_probing():
     servers = table()
-    ejected = [servers.learn("s0", "failed", 10.0) for _ in range(3)]
+    ejected = [servers.record_result("s0", "failed", 10.0) for _ in range(3)]
     assert ejected == [False, False, True]
     assert not servers.states["s0"].usable(10.5)
     state = servers.states["s0"]
     assert state.usable(11.5)
     assert state.capacity(11.5) == 1
-    servers.learn("s0", "answered", 12.0)
+    servers.record_result("s0", "answered", 12.0)
     assert state.capacity(20.0) == 4
 
 
@@ -61,16 +61,16 @@
     servers = table(4)
     for num in range(4):
         for _ in range(5):
-            servers.learn(f"s{num}", "failed", 10.0)
+            servers.record_result(f"s{num}", "failed", 10.0)
     assert sum(state.usable(10.1) for state in servers.states.values()) == 2
 
 
 def test_servers_that_accept_no_connection_may_all_be_excluded():
     servers = table(2)
     for num in range(2):
-        servers.learn(f"s{num}", "unreachable", 10.0)
+        servers.record_result(f"s{num}", "unreachable", 10.0)
     assert servers.total_capacity(10.1) == 0
-    servers.reachable("s0", 11.0)
+    servers.record_reachable("s0", 11.0)
     assert servers.total_capacity(11.0) == 1
 
 
