--- a/lacewingcross/core/blocks.py
+++ b/lacewingcross/core/blocks.py
@@ -1,4 +1,4 @@
-"""Client blocks in packed arrays: from an address to the index of its group."""
+"""Client address blocks in packed arrays, to look up the group of an address."""
 
 import sys
 from array import array
@@ -12,12 +12,15 @@
 
 
 class BlockIndex:
-    """Sorted block starts with a 16-bit group each (6 bytes a block).
+    """Sorted starts of blocks, each with a 16-bit group index (6 bytes a block).
+
+    A block reaches to the start of the next one.
 
     Parameters
     ----------
     networks : iterable of (str, int)
-        Network in CIDR form and group index; the more specific network wins.
+        IPv4 network in CIDR notation and group index. Of nested networks, the more
+        specific one determines the group.
     """
 
     __slots__ = ("_groups", "_starts")
@@ -33,7 +36,7 @@
         self._flatten(sorted(spans, key=lambda span: (span[0], -span[1])))
 
     def _flatten(self, spans: list[tuple[int, int, int]]) -> None:
-        """Turn nested spans into consecutive starts, innermost group on top."""
+        """Append the starts of nested spans, each with the innermost span's group."""
         open_spans: list[tuple[int, int]] = []
         self._append(0, NO_GROUP)
         for start, end, group in spans:
@@ -58,14 +61,14 @@
 
     @classmethod
     def from_arrays(cls, starts: array, groups: array) -> "BlockIndex":
-        """Return an index over arrays that are sorted by start already."""
+        """Return an index of arrays that are already sorted by start."""
         index = cls(())
         index._starts = starts
         index._groups = groups
         return index
 
     def spans(self) -> Iterator[tuple[int, int]]:
-        """Yield (start, group index) in order."""
+        """Yield (start, group index) of each block in order."""
         yield from zip(self._starts, self._groups, strict=True)
 
     def __len__(self) -> int:
@@ -83,7 +86,7 @@
 
 
 def parse_address(text: str) -> int | None:
-    """Return an IPv4 address as a number, or None when it is not one."""
+    """Return an IPv4 address as an integer, or None if the text is not one."""
     try:
         return int(IPv4Address(text))
     except ValueError:
@@ -91,7 +94,7 @@
 
 
 def pack(typecode: str, numbers: Sequence[int]) -> str:
-    """Return numbers as base64 of a big-endian array (``I`` 32 bits, ``H`` 16)."""
+    """Return integers as base64 of a big-endian array (``I`` 32 bits, ``H`` 16)."""
     packed = array(typecode, numbers)
     if sys.byteorder == "little":
         packed.byteswap()
@@ -99,12 +102,12 @@
 
 
 def unpack(typecode: str, text: str) -> array:
-    """Return the array in what `pack` made.
+    """Return the array that `pack` encoded.
 
     Raises
     ------
     ValueError
-        When the text is not base64 of whole numbers.
+        If the text is not base64 of a whole number of array items.
     """
     numbers = array(typecode)
     numbers.frombytes(b64decode(text, validate=True))
--- a/lacewingcross/core/reports.py
+++ b/lacewingcross/core/reports.py
@@ -1,4 +1,4 @@
-"""Status for operators: what is in force on the hosts of a failure domain."""
+"""Status reports for operators on the hosts of a failure domain."""
 
 from collections.abc import Iterator
 
@@ -18,10 +18,21 @@
 
 
 class Reporter:
-    """Writes one object for each failure domain, not one for each host.
+    """Writes the status of all hosts of this host's failure domain to the platform.
 
-    At thousands of hosts a write for each heartbeat would exceed the platform's
-    rate; one host of each failure domain, chosen by rendezvous, writes for all.
+    With thousands of hosts, a write of each host for each heartbeat would exceed the
+    write rate of the platform, which is the object store that all hosts share. So one
+    host of each failure domain, chosen by rendezvous hashing, writes one object for all
+    of them.
+
+    Parameters
+    ----------
+    view : View
+        Shared state.
+    requests : RequestTable
+        Source of the last refusals.
+    keepers : KeeperSet
+        Source of the loads and of the leaving servers.
     """
 
     __slots__ = (
@@ -48,11 +59,11 @@
         self._loads_at = float("-inf")
 
     def owns_call(self, call_id: int) -> bool:
-        """Tell whether a write is the reporter's."""
+        """Return whether a write was made by the reporter."""
         return call_id == self._call != 0
 
     def write_ended(self, ended: WriteEnded) -> None:
-        """Note the version for the next conditional update."""
+        """Record the version for the next conditional update."""
         self._call = 0
         if ended.outcome in ("ok", "conflict"):
             self._version = ended.version or None
@@ -60,7 +71,7 @@
             self._last = None
 
     def tick(self, now: float) -> Iterator[Action]:
-        """Write when something changed, and now and then when nothing did."""
+        """Write the report after a change, and every `IDLE_S` seconds without one."""
         own = self._view.own
         waited = now - self._written_at
         if self._call or waited < CHANGED_S:
@@ -83,7 +94,7 @@
             yield UpdateObject(self._call, key, spec, self._version)
 
     def _review_loads(self, now: float) -> None:
-        """Take over the loads now and then only: they change all the time."""
+        """Refresh the loads every `LOADS_S` seconds only: they change all the time."""
         if now - self._loads_at < LOADS_S:
             return
         self._loads_at = now
@@ -98,10 +109,10 @@
         }
 
     def _pause(self, now: float) -> float:
-        """Return the shortest time between writes.
+        """Return the shortest time between two writes.
 
-        Every failure domain writes after every change, so the pause grows with
-        their number and all of them together stay within the platform's rate.
+        Every failure domain writes after every change. The time grows with the number
+        of failure domains, so that all of them stay within the platform's write rate.
         """
         domains = self._view.members.live_domains(now)
         return max(CHANGED_S, EACH_DOMAIN_S * domains)
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -1,4 +1,4 @@
-"""Tables of packed client blocks: the same answers as networks, in shards."""
+"""Block tables in shards: they give an address the same group as its network."""
 
 import json
 
@@ -35,7 +35,7 @@
 
 
 @given(st.lists(blocks, max_size=20), st.lists(st.integers(0, 2**32 - 1)))
-def test_shards_answer_as_one_index_does(pairs, probes):
+def test_shards_give_the_same_groups_as_one_index(pairs, probes):
     named = {}
     for number, group in pairs:
         address = number << 8
@@ -76,7 +76,7 @@
         ({"first": "10.0.0.1.2"}, "IPv4"),
     ],
 )
-def test_bad_shards_are_refused_with_their_place(change, says):
+def test_invalid_shards_are_refused_with_the_reason(change, says):
     spec = {
         "first": "0.0.0.4",
         "groups": ["a"],
@@ -89,7 +89,7 @@
     assert says in caught.value.message
 
 
-def test_command_writes_what_apply_takes_and_names_bad_lines(tmp_path):
+def test_command_writes_valid_shards_and_names_invalid_lines(tmp_path):
     source = tmp_path / "clients.csv"
     target = tmp_path / "clients.json"
     source.write_text("10.1.0.0/16,north\n\n10.1.2.0/24, south\n")
