--- a/lacewingcross/core/blocks.py
+++ b/lacewingcross/core/blocks.py
@@ -8,7 +8,7 @@
 from ipaddress import IPv4Address, IPv4Network
 
 NO_GROUP = 0xFFFF
-_TOP = 1 << 32
+_ADDRESS_SPACE_END = 1 << 32
 
 
 class BlockIndex:
@@ -43,13 +43,13 @@
             self._close_until(start, open_spans)
             self._append(start, group)
             open_spans.append((end, group))
-        self._close_until(_TOP, open_spans)
+        self._close_until(_ADDRESS_SPACE_END, open_spans)
 
     def _close_until(self, start: int, open_spans: list[tuple[int, int]]) -> None:
         while open_spans and open_spans[-1][0] <= start:
             end, _ = open_spans.pop()
             group = open_spans[-1][1] if open_spans else NO_GROUP
-            if end < _TOP:
+            if end < _ADDRESS_SPACE_END:
                 self._append(end, group)
 
     def _append(self, start: int, group: int) -> None:
@@ -81,8 +81,8 @@
 
     def find(self, address: int) -> int:
         """Return the group index of an IPv4 address, or NO_GROUP."""
-        place = bisect_right(self._starts, address) - 1
-        return self._groups[place] if place >= 0 else NO_GROUP
+        index = bisect_right(self._starts, address) - 1
+        return self._groups[index] if index >= 0 else NO_GROUP
 
 
 def parse_address(text: str) -> int | None:
--- a/lacewingcross/core/reports.py
+++ b/lacewingcross/core/reports.py
@@ -10,11 +10,11 @@
 from .view import View
 
 REPORT_KIND = "Report"
-CHANGED_S = 0.25
-EACH_DOMAIN_S = 0.01
-IDLE_S = 10.0
-LOADS_S = 5.0
-CALL_BASE = 1 << 50
+MIN_WRITE_PERIOD_S = 0.25
+WRITE_S_PER_DOMAIN = 0.01
+UNCHANGED_WRITE_PERIOD_S = 10.0
+LOAD_REFRESH_PERIOD_S = 5.0
+CALL_ID_BASE = 1 << 50
 
 
 class Reporter:
@@ -36,11 +36,11 @@
     """
 
     __slots__ = (
-        "_call",
+        "_call_id",
         "_keepers",
-        "_last",
+        "_last_spec",
         "_loads",
-        "_loads_at",
+        "_loads_refreshed_at",
         "_requests",
         "_version",
         "_view",
@@ -51,53 +51,53 @@
         self._view = view
         self._requests = requests
         self._keepers = keepers
-        self._call = 0
+        self._call_id = 0
         self._version: int | None = None
-        self._last: object = None
+        self._last_spec: object = None
         self._written_at = float("-inf")
         self._loads: dict[str, dict[str, float]] = {}
-        self._loads_at = float("-inf")
+        self._loads_refreshed_at = float("-inf")
 
     def owns_call(self, call_id: int) -> bool:
         """Return whether a write was made by the reporter."""
-        return call_id == self._call != 0
+        return call_id == self._call_id != 0
 
     def write_ended(self, ended: WriteEnded) -> None:
         """Record the version for the next conditional update."""
-        self._call = 0
+        self._call_id = 0
         if ended.outcome in ("ok", "conflict"):
             self._version = ended.version or None
         if ended.outcome != "ok":
-            self._last = None
+            self._last_spec = None
 
     def tick(self, now: float) -> Iterator[Action]:
-        """Write the report after a change, and every `IDLE_S` seconds without one."""
+        """Write the report after a change, or if the last write is long ago."""
         own = self._view.own
-        waited = now - self._written_at
-        if self._call or waited < CHANGED_S:
+        elapsed_s = now - self._written_at
+        if self._call_id or elapsed_s < MIN_WRITE_PERIOD_S:
             return
-        self._review_loads(now)
+        self._refresh_loads(now)
         if self._view.reporter_of(own.failure_domain, now) != own.host_id:
             return
-        if waited < self._pause(now):
+        if elapsed_s < self._write_period_s(now):
             return
         spec = self._spec(now)
-        if spec == self._last and waited < IDLE_S:
+        if spec == self._last_spec and elapsed_s < UNCHANGED_WRITE_PERIOD_S:
             return
-        self._last = spec
+        self._last_spec = spec
         self._written_at = now
-        self._call = CALL_BASE + int(now * 1000)
+        self._call_id = CALL_ID_BASE + int(now * 1000)
         key = f"{REPORT_KIND}/{own.failure_domain}"
         if self._version is None:
-            yield CreateObject(self._call, key, spec)
+            yield CreateObject(self._call_id, key, spec)
         else:
-            yield UpdateObject(self._call, key, spec, self._version)
+            yield UpdateObject(self._call_id, key, spec, self._version)
 
-    def _review_loads(self, now: float) -> None:
-        """Refresh the loads every `LOADS_S` seconds only: they change all the time."""
-        if now - self._loads_at < LOADS_S:
+    def _refresh_loads(self, now: float) -> None:
+        """Refresh the loads at a low rate only, since they change all the time."""
+        if now - self._loads_refreshed_at < LOAD_REFRESH_PERIOD_S:
             return
-        self._loads_at = now
+        self._loads_refreshed_at = now
         view = self._view
         loads = list(self._keepers.loads(now))
         for state in view.members.others():
@@ -108,14 +108,14 @@
             for name, in_flight, queued, limit in loads
         }
 
-    def _pause(self, now: float) -> float:
+    def _write_period_s(self, now: float) -> float:
         """Return the shortest time between two writes.
 
         Every failure domain writes after every change. The time grows with the number
         of failure domains, so that all of them stay within the platform's write rate.
         """
         domains = self._view.members.live_domains(now)
-        return max(CHANGED_S, EACH_DOMAIN_S * domains)
+        return max(MIN_WRITE_PERIOD_S, WRITE_S_PER_DOMAIN * domains)
 
     def _spec(self, now: float) -> dict[str, object]:
         view = self._view
@@ -130,11 +130,11 @@
         for state in view.members.others():
             if state.info.failure_domain != view.own.failure_domain:
                 continue
-            said = view.members.state_of(state.info.host_id, now)
-            if said != DOWN:
+            host_state = view.members.state_of(state.info.host_id, now)
+            if host_state != DOWN:
                 leaving += state.leaving
                 hosts[state.info.host_id] = {
-                    "state": said,
+                    "state": host_state,
                     "revision": state.revision,
                     "behind": state.behind,
                 }
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -23,9 +23,9 @@
 def config_with(items, table="clients"):
     config = Config()
     entries = [Entry("SteeringPolicy/s", 1, encode_value({"spec": policy(table)}))]
-    for number, item in enumerate(items, 2):
+    for version, item in enumerate(items, 2):
         text = encode_value({"spec": item["spec"]})
-        entries.append(Entry(f"BlockTable/{item['name']}", number, text))
+        entries.append(Entry(f"BlockTable/{item['name']}", version, text))
     config.merge(entries, 100, True)
     assert not config.rejected
     return config
@@ -37,8 +37,8 @@
 @given(st.lists(blocks, max_size=20), st.lists(st.integers(0, 2**32 - 1)))
 def test_shards_give_the_same_groups_as_one_index(pairs, probes):
     named = {}
-    for number, group in pairs:
-        address = number << 8
+    for block, group in pairs:
+        address = block << 8
         text = ".".join(str(address >> shift & 255) for shift in (24, 16, 8, 0))
         named[f"{text}/24"] = group
     index = BlockIndex((net, GROUPS.index(group)) for net, group in named.items())
@@ -48,7 +48,7 @@
         config = config_with(list(command.shards(list(named.items()), "clients")))
     finally:
         command.SHARD_BLOCKS = before
-    for address in [*probes, *(number << 8 for number, _ in pairs)]:
+    for address in [*probes, *(block << 8 for block, _ in pairs)]:
         found = index.find(address)
         expected = GROUPS[found] if found < len(GROUPS) else GROUPS[0]
         assert config.group_of("s", address) == expected
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "reason"),
     [
         ({"starts": "!"}, "base64"),
         ({"starts": pack("I", [5, 4])}, "rising"),
@@ -76,7 +76,7 @@
         ({"first": "10.0.0.1.2"}, "IPv4"),
     ],
 )
-def test_invalid_shards_are_refused_with_the_reason(change, says):
+def test_invalid_shards_are_refused_with_the_reason(change, reason):
     spec = {
         "first": "0.0.0.4",
         "groups": ["a"],
@@ -86,7 +86,7 @@
     assert parse("BlockTable", "t-0", spec)
     with pytest.raises(ResourceError) as caught:
         parse("BlockTable", "t-0", {**spec, **change})
-    assert says in caught.value.message
+    assert reason in caught.value.message
 
 
 def test_command_writes_valid_shards_and_names_invalid_lines(tmp_path):
