--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -49,7 +49,7 @@
 
 
 def claim_id(host_id: str, incarnation: int, request_id: str) -> str:
-    """Return the id of a request's claim, the same each time the request asks."""
+    """Return the short id of a request's claim, the same each time it is sent."""
     return f"{hash64(host_id, str(incarnation), request_id):016x}"
 
 
--- a/lacewingcross/core/requests.py
+++ b/lacewingcross/core/requests.py
@@ -66,7 +66,7 @@
     view : View
         Shared state.
     claims : ClaimKeeper
-        Finds the host that owns a shard of idempotency keys.
+        Finds the host that owns each shard of idempotency keys.
     """
 
     __slots__ = (
@@ -144,7 +144,7 @@
         return state
 
     def _review_claim(self, state: RequestState, now: float) -> Iterator[Action]:
-        """Send the claim again if the shard's owner changed or its answer was lost.
+        """Send the claim again if the shard's owner changed or its answer may be lost.
 
         The claim keeps its id, so that a repeated claim is not taken for a duplicate.
         """
