--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -26,9 +26,10 @@
 
 @dataclass(slots=True)
 class QueuedRequest:
-    """A queued request.
+    """A request in the queue that all hosts share.
 
-    `exclude` holds the backend servers to skip, which have failed the request before.
+    `exclude` holds the backend servers to skip, where the request failed or could not
+    start before.
     """
 
     host_id: str
--- a/lacewingcross/core/reports.py
+++ b/lacewingcross/core/reports.py
@@ -1,4 +1,4 @@
-"""Status reports for operators on the hosts of a failure domain."""
+"""Status reports for operators: what is in force on a failure domain's hosts."""
 
 from collections.abc import Iterator
 
