--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -1,4 +1,8 @@
-"""Claims of idempotency keys: kept in the platform, written in batches."""
+"""Claims of idempotency keys: stored in the platform, written in batches.
+
+A claim gives one request the right to run with its key. The claims of a service are
+divided into shards. The platform is the object store that all hosts share.
+"""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -19,14 +23,14 @@
 from .view import View
 
 SHARDS = 4
-HEAD_MAX = 400
+MAX_HEAD_CLAIMS = 400
 SEGMENT_TTL_S = 3600.0
-BATCH_PAUSE_S = 0.03
-LOAD_RETRY_S = 0.5
-UNUSED_S = 30.0
-ANSWER_WITHIN_S = 2.5
+MIN_BATCH_INTERVAL_S = 0.03
+LOAD_RETRY_INTERVAL_S = 0.5
+UNUSED_SHARD_TTL_S = 30.0
+MAX_CLAIM_WAIT_S = 2.5
 HEAD = "head"
-CALL_BASE = 1 << 45
+CALL_ID_BASE = 1 << 45
 KIND_PREFIX = "Claims"
 
 CLAIMED = "ok"
@@ -40,43 +44,58 @@
 
 
 def hash_key(service: str, key: str) -> str:
-    """Return 128 bits of a key's hash in hex; keys themselves are not stored."""
+    """Return a 128-bit hash of a key in hex; the keys themselves are not stored."""
     return f"{hash64(service, key, 'a'):016x}{hash64(service, key, 'b'):016x}"
 
 
 def claim_id(host_id: str, incarnation: int, request_id: str) -> str:
-    """Return the short id of a request's claim, the same for each of its asks."""
+    """Return the short id of a request's claim, the same each time it is sent."""
     return f"{hash64(host_id, str(incarnation), request_id):016x}"
 
 
 def shard_kind(service: str, shard: int) -> str:
-    """Return the kind of the objects that hold a shard's claims."""
+    """Return the kind of the platform objects that hold a shard's claims."""
     return f"{KIND_PREFIX}.{service}.{shard}"
 
 
 @dataclass(slots=True)
-class Pending:
-    """A claim that waits for its batch."""
+class PendingClaim:
+    """A claim that has not been written yet."""
 
     host_id: str
     request_id: str
     key_hash: str
     claim: str
-    since: float
+    received_at: float
 
 
 @dataclass(slots=True)
 class Shard:
     """The claims of one shard as this host knows them.
 
-    In the platform: an object ``head`` with the newest claims and the names of the
-    segments, which hold older ones and never change. Every batch is one conditional
-    update of the head. So two owners at once are harmless: the one that does not know
-    the newest head fails, reads it, and finds the keys that the other has claimed.
+    In the platform a shard is an object ``head`` with the newest claims and the names
+    of the segments, which are objects with older claims that never change. Each batch
+    is one conditional update of the head. Two owners at the same time therefore do no
+    harm: the update of the owner that does not know the newest head fails, and that
+    owner then reads the head and finds the keys that the other one has claimed.
+
+    Attributes
+    ----------
+    head, freed : dict of str to str
+        Claims in the head, and claims in segments that have been freed since, by the
+        hash of the key.
+    first_seen : dict of str to float
+        When this host first saw each segment, in seconds on the monotonic clock.
+    waiting : list of PendingClaim
+        Claims for the next batch.
+    freeing : dict of str to str
+        Claims that the next batch frees, by the hash of the key.
+    call_id : int
+        The platform call under way, 0 for none.
     """
 
     service: str
-    number: int
+    index: int
     loaded: bool = False
     loading_since: float = float("-inf")
     head_version: int = 0
@@ -84,7 +103,7 @@
     freed: dict[str, str] = field(default_factory=dict)
     segments: dict[str, dict[str, str]] = field(default_factory=dict)
     first_seen: dict[str, float] = field(default_factory=dict)
-    waiting: list[Pending] = field(default_factory=list)
+    waiting: list[PendingClaim] = field(default_factory=list)
     freeing: dict[str, str] = field(default_factory=dict)
     batch: "Batch | None" = None
     call_id: int = 0
@@ -93,42 +112,47 @@
 
     @property
     def kind(self) -> str:
-        """Return the kind of its objects."""
-        return shard_kind(self.service, self.number)
+        """Return the kind of the shard's objects."""
+        return shard_kind(self.service, self.index)
 
     def holder(self, key_hash: str) -> str:
         """Return the claim that holds a key, or an empty string.
 
-        The newest claim of a key decides. An older one lies in an older segment still,
-        but it had been freed before the newer one was let in.
+        The newest claim of a key counts. An older claim may still be in an older
+        segment, but it was freed before the newer one was accepted.
         """
         claim = self.head.get(key_hash, "")
         for segment in reversed(self.segments.values()):
             claim = claim or segment.get(key_hash, "")
         return "" if self.freed.get(key_hash) == claim else claim
 
-    def forget(self) -> None:
-        """Drop what was read; it may no longer be what is stored."""
+    def unload(self) -> None:
+        """Read the shard again before its next use: the stored objects may differ."""
         self.loaded = False
 
 
 @dataclass(slots=True)
 class Batch:
-    """What one write of the head carries, to be taken over when it has ended."""
+    """The content of one write of the head; it replaces the shard's on success.
+
+    `new_segment` names the segment that takes the claims of the old head, if the batch
+    makes one.
+    """
 
-    items: list[Pending]
+    items: list[PendingClaim]
     head: dict[str, str]
     freed: dict[str, str]
     segments: dict[str, dict[str, str]]
     freeing: dict[str, str]
-    rolled: str = ""
+    new_segment: str = ""
 
 
 class ClaimKeeper:
-    """Answers claims for the shards this host is asked for.
+    """Decides claims for the shards that this host is asked for.
 
-    One host is the owner of a shard by rendezvous, so that claims come in batches and
-    writes do not collide. Any host that is asked serves: ownership is for cost only.
+    Rendezvous hashing makes one host the owner of a shard, so that claims come in
+    batches and writes do not conflict. A host that is asked decides the claim even if
+    it is not the owner: ownership saves writes and is not needed for safety.
 
     Parameters
     ----------
@@ -136,67 +160,63 @@
         Shared state.
     """
 
-    __slots__ = ("_calls", "_next_call", "_view", "shards")
+    __slots__ = ("_calls", "_last_call_id", "_view", "shards")
 
     def __init__(self, view: View) -> None:
         self._view = view
         self.shards: dict[tuple[str, int], Shard] = {}
         self._calls: dict[int, tuple[str, int]] = {}
-        self._next_call = CALL_BASE
+        self._last_call_id = CALL_ID_BASE
 
-    def owner_of(self, service: str, number: int, now: float) -> str:
-        """Return the host to ask for a shard's claims."""
-        return self._view.owner_among_live(f"claims/{service}/{number}", now)
+    def owner_of(self, service: str, shard_index: int, now: float) -> str:
+        """Return the host that owns a shard."""
+        return self._view.owner_among_live(f"claims/{service}/{shard_index}", now)
 
     def busy(self) -> bool:
-        """Tell whether a claim waits to be written."""
+        """Return whether a claim or a freed key is still to be written."""
         return any(shard.waiting or shard.freeing for shard in self.shards.values())
 
-    # Asks
-
     def on_claim(self, host_id: str, claim: msg.Claim, now: float) -> Iterator[Action]:
-        """Queue a claim, or answer it at once when its key is held."""
+        """Queue a claim, or answer it immediately if its key is claimed."""
         shard = self._shard(claim.service, claim.key_hash, now)
-        item = Pending(host_id, claim.request_id, claim.key_hash, claim.claim, now)
+        item = PendingClaim(host_id, claim.request_id, claim.key_hash, claim.claim, now)
         if shard.loaded and not shard.call_id and shard.holder(claim.key_hash):
-            yield self._answer(shard, item, self._verdict(shard, item))
+            yield self._answer(shard, item, self._outcome(shard, item))
             return
         shard.waiting.append(item)
         yield from self._advance(shard, now)
 
     def on_unclaim(self, unclaim: msg.Unclaim, now: float) -> Iterator[Action]:
-        """Give back the key of a request that is proved not to have run."""
+        """Free the key of a request that is proved not to have run."""
         shard = self._shard(unclaim.service, unclaim.key_hash, now)
         shard.waiting = [it for it in shard.waiting if it.claim != unclaim.claim]
         shard.freeing[unclaim.key_hash] = unclaim.claim
         yield from self._advance(shard, now)
 
     def _shard(self, service: str, key_hash: str, now: float) -> Shard:
-        number = shard_of(key_hash)
-        key = (service, number)
+        index = shard_of(key_hash)
+        key = (service, index)
         if key not in self.shards:
-            self.shards[key] = Shard(service, number)
+            self.shards[key] = Shard(service, index)
         self.shards[key].used_at = now
         return self.shards[key]
 
-    def _verdict(self, shard: Shard, item: Pending) -> str:
+    def _outcome(self, shard: Shard, item: PendingClaim) -> str:
         return CLAIMED if shard.holder(item.key_hash) == item.claim else TAKEN
 
-    def _answer(self, shard: Shard, item: Pending, outcome: str) -> SendPeer:
+    def _answer(self, shard: Shard, item: PendingClaim, outcome: str) -> SendPeer:
         message = msg.ClaimEnded(shard.service, item.request_id, item.claim, outcome)
         return SendPeer(item.host_id, message)
 
-    # Platform calls
-
     def owns_call(self, call_id: int) -> bool:
-        """Tell whether a platform call is this part's."""
+        """Return whether a platform call was made for claims."""
         return call_id in self._calls
 
     def _new_call(self, shard: Shard) -> int:
-        self._next_call += 1
-        self._calls[self._next_call] = (shard.service, shard.number)
-        shard.call_id = self._next_call
-        return self._next_call
+        self._last_call_id += 1
+        self._calls[self._last_call_id] = (shard.service, shard.index)
+        shard.call_id = self._last_call_id
+        return self._last_call_id
 
     def _end_call(self, call_id: int) -> Shard:
         shard = self.shards[self._calls.pop(call_id)]
@@ -204,14 +224,14 @@
         return shard
 
     def _advance(self, shard: Shard, now: float) -> Iterator[Action]:
-        """Read the shard if it is not known, else write the next batch."""
+        """Read the shard if it is not loaded, else write the next batch."""
         if shard.call_id or not (shard.waiting or shard.freeing):
             return
         if not shard.loaded:
-            if now - shard.loading_since >= LOAD_RETRY_S:
+            if now - shard.loading_since >= LOAD_RETRY_INTERVAL_S:
                 shard.loading_since = now
                 yield LoadObjects(self._new_call(shard), shard.kind)
-        elif now - shard.written_at >= BATCH_PAUSE_S:
+        elif now - shard.written_at >= MIN_BATCH_INTERVAL_S:
             yield from self._write(shard, now)
 
     def _write(self, shard: Shard, now: float) -> Iterator[Action]:
@@ -219,7 +239,7 @@
             [], dict(shard.head), dict(shard.freed), dict(shard.segments), shard.freeing
         )
         shard.freeing = {}
-        changed = self._free(shard, batch)
+        changed = self._apply_freed(shard, batch)
         for item in shard.waiting:
             holder = batch.head.get(item.key_hash) or shard.holder(item.key_hash)
             if holder and holder != item.claim:
@@ -232,15 +252,15 @@
         shard.waiting = []
         if not changed:
             return
-        self._drop_old(batch, shard, now)
+        self._drop_expired(batch, shard, now)
         shard.batch = batch
         shard.written_at = now
-        if len(batch.head) > HEAD_MAX:
-            yield self._roll(shard, batch)
+        if len(batch.head) > MAX_HEAD_CLAIMS:
+            yield self._write_segment(shard, batch)
         else:
             yield self._write_head(shard, batch)
 
-    def _free(self, shard: Shard, batch: Batch) -> bool:
+    def _apply_freed(self, shard: Shard, batch: Batch) -> bool:
         changed = False
         for key_hash, claim in batch.freeing.items():
             if shard.holder(key_hash) != claim:
@@ -252,8 +272,8 @@
                 batch.freed[key_hash] = claim
         return changed
 
-    def _drop_old(self, batch: Batch, shard: Shard, now: float) -> None:
-        """Leave out segments past their time, counted from this host's first sight."""
+    def _drop_expired(self, batch: Batch, shard: Shard, now: float) -> None:
+        """Drop segments past their TTL, counted from when this host first saw them."""
         for name in list(batch.segments):
             if now - shard.first_seen.get(name, now) > SEGMENT_TTL_S:
                 old = batch.segments.pop(name)
@@ -261,12 +281,14 @@
                     if batch.freed.get(key_hash) == claim:
                         del batch.freed[key_hash]
 
-    def _roll(self, shard: Shard, batch: Batch) -> CreateObject:
-        """Put the head's claims into a segment first, then go on with a short head."""
-        # Names sort in the order in which segments were made.
-        batch.rolled = f"s{shard.head_version:015d}"
+    def _write_segment(self, shard: Shard, batch: Batch) -> CreateObject:
+        """Write the head's claims to a segment; a head without them is written next."""
+        # The names sort in the order in which the segments were written.
+        batch.new_segment = f"s{shard.head_version:015d}"
         spec = {"claimed": shard.head}
-        return CreateObject(self._new_call(shard), f"{shard.kind}/{batch.rolled}", spec)
+        return CreateObject(
+            self._new_call(shard), f"{shard.kind}/{batch.new_segment}", spec
+        )
 
     def _write_head(self, shard: Shard, batch: Batch) -> CreateObject | UpdateObject:
         key = f"{shard.kind}/{HEAD}"
@@ -281,49 +303,49 @@
         return UpdateObject(call_id, key, spec, shard.head_version)
 
     def write_ended(self, ended: WriteEnded, now: float) -> Iterator[Action]:
-        """Go on after a write of a segment or of the head."""
+        """Continue after a write of a segment or of the head."""
         shard = self._end_call(ended.call_id)
         batch = shard.batch
         yield Count(f"claims.write-{ended.outcome}")
-        if batch.rolled and batch.rolled not in batch.segments:
-            # The segment is a copy under a name made of the head's version; a conflict
-            # means that an earlier try of the same copy is there already.
+        if batch.new_segment and batch.new_segment not in batch.segments:
+            # The segment copies the head under a name made of the head's version. A
+            # conflict means that an earlier attempt has already written the same copy.
             if ended.outcome in ("ok", "conflict"):
-                batch.segments[batch.rolled] = shard.head
+                batch.segments[batch.new_segment] = shard.head
                 batch.head = {it.key_hash: it.claim for it in batch.items}
                 yield self._write_head(shard, batch)
                 return
         elif ended.outcome == "ok":
-            yield from self._taken_over(shard, batch, ended.version, now)
+            yield from self._batch_written(shard, batch, ended.version, now)
             yield from self._advance(shard, now)
             return
-        # Somebody else was first, or it is not clear what happened: nothing is
-        # answered or written before the shard has been read again.
+        # Another owner has written the head first, or the outcome of the write is
+        # unknown. Nothing is answered or written until the shard has been read again.
         shard.batch = None
         shard.waiting = batch.items + shard.waiting
         shard.freeing = {**batch.freeing, **shard.freeing}
-        shard.forget()
+        shard.unload()
         yield from self._advance(shard, now)
 
-    def _taken_over(
+    def _batch_written(
         self, shard: Shard, batch: Batch, version: int, now: float
     ) -> Iterator[Action]:
         shard.batch = None
         shard.head_version = version
         shard.head = batch.head
         shard.freed = batch.freed
-        gone = [name for name in shard.segments if name not in batch.segments]
+        dropped = [name for name in shard.segments if name not in batch.segments]
         shard.segments = batch.segments
         for name in batch.segments:
             shard.first_seen.setdefault(name, now)
         for item in batch.items:
             yield self._answer(shard, item, CLAIMED)
-        for name in gone:
+        for name in dropped:
             shard.first_seen.pop(name, None)
             yield DeleteObject(f"{shard.kind}/{name}")
 
     def loaded(self, event: ObjectsLoaded, now: float) -> Iterator[Action]:
-        """Take over what was read from the platform."""
+        """Replace a shard by what was read from the platform."""
         shard = self._end_call(event.call_id)
         if event.objects is None or not _read_objects(shard, event.objects, now):
             yield Count("claims.load-failed")
@@ -331,20 +353,23 @@
             return
         yield Log(
             "claims-loaded",
-            {"service": shard.service, "shard": shard.number, "keys": len(shard.head)},
+            {"service": shard.service, "shard": shard.index, "keys": len(shard.head)},
         )
         held = [item for item in shard.waiting if shard.holder(item.key_hash)]
         for item in held:
-            # Our own claim there: its write took effect although that was unclear.
+            # If the item's own claim is there, its write took effect although the
+            # outcome was unknown.
             shard.waiting.remove(item)
-            yield self._answer(shard, item, self._verdict(shard, item))
+            yield self._answer(shard, item, self._outcome(shard, item))
         yield from self._advance(shard, now)
 
-    def _refuse_waiting(self, shard: Shard, items: list[Pending]) -> Iterator[Action]:
-        """Answer claims that the platform keeps from being decided.
+    def _refuse_waiting(
+        self, shard: Shard, items: list[PendingClaim]
+    ) -> Iterator[Action]:
+        """Answer claims that cannot be decided because the platform does not respond.
 
-        A write of such a claim may still have taken effect; giving its key back is
-        queued, so that the caller's next try does not find it taken.
+        A write of such a claim may still have taken effect. Its key is queued to be
+        freed, so that the caller's next attempt does not find the key taken.
         """
         for item in list(items):
             shard.waiting.remove(item)
@@ -352,26 +377,33 @@
             yield self._answer(shard, item, UNAVAILABLE)
 
     def tick(self, now: float) -> Iterator[Action]:
-        """Write what waits; give up what has waited for too long."""
+        """Write queued claims; refuse those that have waited too long."""
         for shard in self.shards.values():
-            late = [it for it in shard.waiting if now - it.since > ANSWER_WITHIN_S]
-            yield from self._refuse_waiting(shard, late)
+            overdue = [
+                it for it in shard.waiting if now - it.received_at > MAX_CLAIM_WAIT_S
+            ]
+            yield from self._refuse_waiting(shard, overdue)
             yield from self._advance(shard, now)
-            if shard.loaded and not shard.call_id and now - shard.used_at > UNUSED_S:
-                # Read again before the next use, and hold no memory until then.
-                shard.forget()
+            if (
+                shard.loaded
+                and not shard.call_id
+                and now - shard.used_at > UNUSED_SHARD_TTL_S
+            ):
+                # The claims take no memory until the shard is read for its next use.
+                shard.unload()
                 shard.head = {}
                 shard.segments = {}
 
 
 def _read_objects(shard: Shard, objects: list[StoredSpec], now: float) -> bool:
-    """Fill a shard from its stored objects; False when a segment is missing."""
+    """Fill a shard from its stored objects; return False if a segment is missing."""
     specs = {item.name: item for item in objects}
     head = specs.get(HEAD)
     fields = head.spec if head is not None else {}
     names = fields.get("segments", [])
     if any(name not in specs for name in names):
-        # Listed while an owner was dropping an old one: read again.
+        # The objects were listed while an owner dropped an old segment; they have to
+        # be read again.
         return False
     shard.head_version = head.version if head is not None else 0
     shard.head = dict(fields.get("claimed", {}))
--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -1,4 +1,9 @@
-"""The slot keeper of one service in one region: a joint queue and slot permits."""
+"""The slot keeper of one service in one region.
+
+A slot is the room for one request at a backend server. Entry hosts ask the keeper for
+permits, each of which lets them use one slot for a leased time; requests that get none
+wait in one queue for all hosts.
+"""
 
 from collections import deque
 from collections.abc import Iterator
@@ -12,16 +17,20 @@
 LEASE_S = 5.0
 RECOVERY_S = 1.0
 ACCEPT_QUANTILE = 0.9
-QUEUE_DEADLINE_PART = 0.5
-RETRY_MIN_S = 0.5
-RETRY_MAX_S = 30.0
+QUEUE_WAIT_FRACTION = 0.5
+MIN_RETRY_AFTER_S = 0.5
+MAX_RETRY_AFTER_S = 30.0
 DEMAND_GAIN = 0.2
-PERMIT_BITS = 24
+PERMIT_SEQUENCE_BITS = 24
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A request in the joint queue."""
+class QueuedRequest:
+    """A request in the queue that all hosts share.
+
+    `exclude` holds the backend servers to skip, where the request failed or could not
+    start before.
+    """
 
     host_id: str
     request_id: str
@@ -32,7 +41,7 @@
 
 @dataclass(slots=True)
 class Permit:
-    """A slot that a host may use until its lease ends."""
+    """The right of a host to use one slot of a backend server until `expires`."""
 
     host_id: str
     server_id: str
@@ -42,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """A message for one host."""
+    """A message to one host."""
 
     host_id: str
     message: msg.Grant | msg.Denied | msg.HeldQuery
@@ -50,11 +59,22 @@
 
 @dataclass(slots=True)
 class KeeperPolicy:
-    """How the queue admits; the bench varies these."""
+    """Admission settings of the queue; benchmarks vary them.
+
+    Attributes
+    ----------
+    accept_test : bool
+        Whether a request is refused when the time left to its deadline, after the
+        expected wait, is shorter than a typical service time.
+    accept_quantile : float
+        The quantile of recent service times that counts as typical.
+    queue_wait_fraction : float
+        Fraction of its remaining time that a request may be expected to wait.
+    """
 
     accept_test: bool = True
     accept_quantile: float = ACCEPT_QUANTILE
-    queue_deadline_part: float = QUEUE_DEADLINE_PART
+    queue_wait_fraction: float = QUEUE_WAIT_FRACTION
 
 
 class SlotKeeper:
@@ -63,21 +83,22 @@
     Parameters
     ----------
     service, region : str
-        What it keeps.
+        Service and region whose slots are granted.
     term : int
-        Number of this keeper's reign, unique over hosts and incarnations; it makes
-        permit numbers unique so that a successor can adopt them.
+        Identifies this keeper among its predecessors and successors. It is unique over
+        hosts and incarnations, and so are the permit ids made from it, so that a
+        successor can adopt the permits.
     rng : RandomSource
-        Source of the spread in retry times.
+        Source of the jitter in retry times.
     policy : KeeperPolicy, optional
         Admission settings.
     """
 
     __slots__ = (
         "_arrivals",
-        "_awaiting",
-        "_next_permit",
-        "_rate_since",
+        "_awaited_hosts",
+        "_last_permit_id",
+        "_rate_window_start",
         "_recovering_until",
         "_rng",
         "demand_rate",
@@ -88,8 +109,8 @@
         "region",
         "servers",
         "service",
+        "service_times",
         "term",
-        "times",
     )
 
     def __init__(
@@ -105,89 +126,93 @@
         self.term = term
         self.policy = policy or KeeperPolicy()
         self.servers = ServerTable()
-        self.times = ServiceTimes()
-        self.queue: deque[Waiting] = deque()
+        self.service_times = ServiceTimes()
+        self.queue: deque[QueuedRequest] = deque()
         self.permits: dict[int, Permit] = {}
         self.limit = 0.0
         self.demand_rate = 0.0
         self._rng = rng
-        self._next_permit = term << PERMIT_BITS
-        self._awaiting: set[str] = set()
+        self._last_permit_id = term << PERMIT_SEQUENCE_BITS
+        self._awaited_hosts: set[str] = set()
         self._recovering_until = 0.0
         self._arrivals = 0
-        self._rate_since = 0.0
+        self._rate_window_start = 0.0
 
     def start(self, holders: list[str], now: float) -> Iterator[Reply]:
         """Ask every live host which slots its requests occupy.
 
-        Failure: the predecessor dies with permits out. Granting their slots again
-        would overfill the backend servers and shed work. No slot is granted until
-        each host has answered, or `RECOVERY_S` has passed for one that cannot.
+        Guards against overload after a crash of the predecessor: its permits are still
+        in use, and granting their slots again would overfill the backend servers, which
+        then shed requests. No slot is granted until each host has answered, or until
+        `RECOVERY_S` has passed for one that cannot answer.
         """
-        self._rate_since = now
-        self._awaiting = set(holders)
+        self._rate_window_start = now
+        self._awaited_hosts = set(holders)
         self._recovering_until = now + RECOVERY_S
         for host_id in holders:
             query = msg.HeldQuery(self.service, self.region, self.term)
             yield Reply(host_id, query)
 
     def recovering(self, now: float) -> bool:
-        """Tell whether reports of held slots are still awaited."""
-        return bool(self._awaiting) and now < self._recovering_until
+        """Return whether reports of held slots are still awaited."""
+        return bool(self._awaited_hosts) and now < self._recovering_until
 
     def on_held(
         self, host_id: str, report: msg.HeldReport, now: float
     ) -> Iterator[Reply]:
-        """Adopt the permits that a host still holds."""
+        """Adopt the permits that a host reports as held."""
         if report.term != self.term:
             return
-        for server_id, number in report.held:
-            if number not in self.permits:
-                self._occupy(number, Permit(host_id, server_id, now + LEASE_S))
-        self._awaiting.discard(host_id)
+        for server_id, permit_id in report.held:
+            if permit_id not in self.permits:
+                self._add_permit(permit_id, Permit(host_id, server_id, now + LEASE_S))
+        self._awaited_hosts.discard(host_id)
         yield from self.dispatch(now)
 
     def host_down(self, host_id: str, now: float) -> Iterator[Reply]:
-        """Forget a dead host's queued requests; its permits run out by lease.
+        """Drop the queued requests of a host that is down; its permits expire.
 
-        Its backend connections broke with it, but a request may still run there,
-        so the slot stays taken until the lease ends.
+        The host's connections to backend servers broke with it, but its requests may
+        still run there, so their slots stay taken until the leases end.
         """
         self.queue = deque(item for item in self.queue if item.host_id != host_id)
-        self._awaiting.discard(host_id)
+        self._awaited_hosts.discard(host_id)
         yield from self.dispatch(now)
 
-    def acquire(self, host_id: str, ask: msg.Acquire, now: float) -> Iterator[Reply]:
-        """Queue a request, or refuse it at once when it cannot make its deadline."""
-        if self._is_queued(host_id, ask.request_id):
-            # Asked again by a host that cannot know that its ask arrived: answering
-            # later is enough, and a place at the back would undo the wait so far.
+    def acquire(
+        self, host_id: str, message: msg.Acquire, now: float
+    ) -> Iterator[Reply]:
+        """Grant a permit, or queue the request, or refuse it if it would be late."""
+        if self._is_queued(host_id, message.request_id):
+            # The host asks again because it cannot know that its first message arrived.
+            # The reply to the first one is enough; queueing the request again would
+            # move it to the back.
             return
-        if self._vacate_lost(host_id, ask.request_id):
+        if self._revoke_lost(host_id, message.request_id):
             yield from self.dispatch(now)
         self._arrivals += 1
-        item = Waiting(
+        item = QueuedRequest(
             host_id,
-            ask.request_id,
-            now + ask.remaining_s,
+            message.request_id,
+            now + message.remaining_s,
             now,
-            frozenset(ask.exclude),
+            frozenset(message.exclude),
         )
-        if self._grants_at_once(now):
+        if self._can_grant_now(now):
             server = self.servers.pick(now, item.exclude)
             if server is not None:
                 yield self._grant(item, server.declared.server_id, now)
                 return
-        reason = self._refusal(item, ask.remaining_s, now)
+        reason = self._refusal_reason(item, message.remaining_s, now)
         if reason:
             yield self._denied(item, reason, now)
             return
         self.queue.append(item)
         yield from self.dispatch(now)
 
-    def _grants_at_once(self, now: float) -> bool:
-        free = not self.queue and len(self.permits) < self.limit
-        return free and not self.recovering(now)
+    def _can_grant_now(self, now: float) -> bool:
+        has_free_slot = not self.queue and len(self.permits) < self.limit
+        return has_free_slot and not self.recovering(now)
 
     def _is_queued(self, host_id: str, request_id: str) -> bool:
         return any(
@@ -195,20 +220,22 @@
             for item in self.queue
         )
 
-    def _vacate_lost(self, host_id: str, request_id: str) -> bool:
-        """Take back a permit whose grant was lost with its connection.
+    def _revoke_lost(self, host_id: str, request_id: str) -> bool:
+        """Revoke a permit whose grant was lost with a connection.
 
-        The host asks again, and the lost permit would keep its slot empty until the
-        lease ends. A host asks only while it has no attempt under way, so nothing
-        runs on that permit.
+        The host asks again for the same request, and the lost permit would keep its
+        slot unused until the lease ends. A host asks only while the request has no
+        attempt under way, so nothing runs with that permit.
         """
-        for number, permit in self.permits.items():
+        for permit_id, permit in self.permits.items():
             if permit.request_id == request_id and permit.host_id == host_id:
-                self._vacate(number)
+                self._remove_permit(permit_id)
                 return True
         return False
 
-    def _refusal(self, item: Waiting, remaining_s: float, now: float) -> str:
+    def _refusal_reason(
+        self, item: QueuedRequest, remaining_s: float, now: float
+    ) -> str:
         capacity = self._capacity(now)
         if capacity < 1:
             return "" if self.recovering(now) else "no-capacity"
@@ -216,47 +243,47 @@
         if waiting == 0 and len(self.permits) < capacity:
             return ""
         wait = self.expected_wait(waiting, capacity)
-        if wait > remaining_s * self.policy.queue_deadline_part:
+        if wait > remaining_s * self.policy.queue_wait_fraction:
             return "queue-full"
-        if self.policy.accept_test and remaining_s - wait < self._accept_s():
+        if self.policy.accept_test and remaining_s - wait < self._min_remaining_s():
             return "deadline"
         return ""
 
     def expected_wait(self, waiting: int, capacity: float) -> float:
-        """Return the seconds until `waiting` requests ahead have been started."""
-        return (waiting + 1) * self.times.mean_s / max(1.0, capacity)
+        """Return the time in seconds until `waiting` queued requests have started."""
+        return (waiting + 1) * self.service_times.mean_s / max(1.0, capacity)
 
-    def _accept_s(self) -> float:
-        return self.times.quantile(self.policy.accept_quantile)
+    def _min_remaining_s(self) -> float:
+        return self.service_times.quantile(self.policy.accept_quantile)
 
     def _capacity(self, now: float) -> float:
         return min(self.limit, float(self.servers.total_capacity(now)))
 
-    def _denied(self, item: Waiting, reason: str, now: float) -> Reply:
+    def _denied(self, item: QueuedRequest, reason: str, now: float) -> Reply:
         retry_after = self.retry_after(now)
-        message = msg.Denied(
+        denied = msg.Denied(
             self.service, self.region, item.request_id, reason, retry_after
         )
-        return Reply(item.host_id, message)
+        return Reply(item.host_id, denied)
 
     def retry_after(self, now: float) -> float:
-        """Return when to come back: backlog times overload, spread evenly.
+        """Return after how many seconds to retry: backlog times overload, jittered.
 
-        Without the spread every refused caller of an hourly surge would return in
-        the same instant and meet the same full queue.
+        Without the jitter all refused callers of an hourly surge would return at the
+        same moment and find the queue full again.
         """
         capacity = max(1.0, self._capacity(now))
         backlog = self.expected_wait(len(self.queue), capacity)
-        overload = max(1.0, self.demand_rate * self.times.mean_s / capacity)
-        base = max(RETRY_MIN_S, backlog * overload)
-        return min(RETRY_MAX_S, base * self._rng.uniform(0.5, 1.5))
+        overload = max(1.0, self.demand_rate * self.service_times.mean_s / capacity)
+        base = max(MIN_RETRY_AFTER_S, backlog * overload)
+        return min(MAX_RETRY_AFTER_S, base * self._rng.uniform(0.5, 1.5))
 
     def dispatch(self, now: float) -> Iterator[Reply]:
-        """Grant free slots to the queue's head; dismiss what became infeasible."""
-        yield from self._dismiss(now)
+        """Grant free slots from the queue's head; refuse what would be late."""
+        yield from self._refuse_late_at_head(now)
         if self.recovering(now):
             return
-        skipped: list[Waiting] = []
+        skipped: list[QueuedRequest] = []
         while self.queue and len(self.permits) < self.limit:
             item = self.queue.popleft()
             server = self.servers.pick(now, self._effective_exclude(item, now))
@@ -268,11 +295,11 @@
             yield self._grant(item, server.declared.server_id, now)
         self.queue.extendleft(reversed(skipped))
 
-    def _effective_exclude(self, item: Waiting, now: float) -> frozenset[str]:
-        """Return the servers to pass over; none when nothing else is usable.
+    def _effective_exclude(self, item: QueuedRequest, now: float) -> frozenset[str]:
+        """Return the servers to skip; none if no other server is usable.
 
-        A request that has failed on every server would wait for one that does not
-        exist until its deadline.
+        Otherwise a request that has failed on every server would wait until its
+        deadline for a server that does not exist.
         """
         if not item.exclude:
             return item.exclude
@@ -281,45 +308,45 @@
             return item.exclude
         return frozenset()
 
-    def _dismiss(self, now: float) -> Iterator[Reply]:
-        """Refuse requests at the queue's head that can no longer make it."""
-        needed = self._accept_s() if self.policy.accept_test else 0.0
-        while self.queue and self.queue[0].deadline - now < needed:
+    def _refuse_late_at_head(self, now: float) -> Iterator[Reply]:
+        """Refuse requests at the queue's head that would miss their deadline."""
+        min_remaining_s = self._min_remaining_s() if self.policy.accept_test else 0.0
+        while self.queue and self.queue[0].deadline - now < min_remaining_s:
             yield self._denied(self.queue.popleft(), "deadline", now)
 
-    def _dismiss_everywhere(self, now: float) -> Iterator[Reply]:
-        """Refuse such requests wherever they wait, once a tick.
+    def _refuse_late(self, now: float) -> Iterator[Reply]:
+        """Refuse requests that would miss their deadline in the whole queue.
 
-        Deadlines differ, so a late one may wait behind others; walking the whole
-        queue for each grant would cost more than the grant.
+        Deadlines differ, so such a request may be queued behind others. This runs once
+        a tick, since a pass over the whole queue costs more than a grant.
         """
-        needed = self._accept_s() if self.policy.accept_test else 0.0
-        late = [item for item in self.queue if item.deadline - now < needed]
+        min_remaining_s = self._min_remaining_s() if self.policy.accept_test else 0.0
+        late = [item for item in self.queue if item.deadline - now < min_remaining_s]
         if not late:
             return
-        gone = {id(item) for item in late}
-        self.queue = deque(item for item in self.queue if id(item) not in gone)
+        late_ids = {id(item) for item in late}
+        self.queue = deque(item for item in self.queue if id(item) not in late_ids)
         for item in late:
             yield self._denied(item, "deadline", now)
 
-    def _grant(self, item: Waiting, server_id: str, now: float) -> Reply:
-        self._next_permit += 1
-        number = self._next_permit
+    def _grant(self, item: QueuedRequest, server_id: str, now: float) -> Reply:
+        self._last_permit_id += 1
+        permit_id = self._last_permit_id
         permit = Permit(item.host_id, server_id, now + LEASE_S, item.request_id)
-        self._occupy(number, permit)
+        self._add_permit(permit_id, permit)
         grant = msg.Grant(
-            self.service, self.region, item.request_id, number, server_id, LEASE_S
+            self.service, self.region, item.request_id, permit_id, server_id, LEASE_S
         )
         return Reply(item.host_id, grant)
 
-    def _occupy(self, number: int, permit: Permit) -> None:
-        self.permits[number] = permit
+    def _add_permit(self, permit_id: int, permit: Permit) -> None:
+        self.permits[permit_id] = permit
         state = self.servers.states.get(permit.server_id)
         if state is not None:
             state.granted += 1
 
-    def _vacate(self, number: int) -> Permit | None:
-        permit = self.permits.pop(number, None)
+    def _remove_permit(self, permit_id: int) -> Permit | None:
+        permit = self.permits.pop(permit_id, None)
         if permit is None:
             return None
         state = self.servers.states.get(permit.server_id)
@@ -327,63 +354,67 @@
             state.granted = max(0, state.granted - 1)
         return permit
 
-    def release(self, done: msg.Release, now: float) -> Iterator[Reply]:
-        """Take back a permit and learn from its attempt."""
-        self._vacate(done.permit)
-        if done.result == ANSWERED:
-            self.times.add(done.service_s)
-        self.servers.learn(done.server_id, done.result, now)
+    def release(self, message: msg.Release, now: float) -> Iterator[Reply]:
+        """Take back a permit and record the result of its attempt."""
+        self._remove_permit(message.permit)
+        if message.result == ANSWERED:
+            self.service_times.add(message.service_s)
+        self.servers.record_result(message.server_id, message.result, now)
         yield from self.dispatch(now)
 
-    def reuse(self, host_id: str, done: msg.Reuse, now: float) -> None:
-        """Let a permit go on to another waiting request of its host."""
-        self.times.add(done.service_s)
-        self.servers.learn(done.server_id, ANSWERED, now)
-        self.withdraw(host_id, done.request_id)
-        self.renew(host_id, [(done.server_id, done.permit)], now)
-        permit = self.permits[done.permit]
-        permit.request_id = done.request_id
+    def reuse(self, host_id: str, message: msg.Reuse, now: float) -> None:
+        """Record that a host uses a permit for another of its waiting requests."""
+        self.service_times.add(message.service_s)
+        self.servers.record_result(message.server_id, ANSWERED, now)
+        self.withdraw(host_id, message.request_id)
+        self.renew(host_id, [(message.server_id, message.permit)], now)
+        permit = self.permits[message.permit]
+        permit.request_id = message.request_id
 
     def renew(self, host_id: str, held: list[tuple[str, int]], now: float) -> None:
-        """Extend the leases of running requests; adopt unknown ones.
+        """Extend the leases of running requests; adopt unknown permits.
 
-        A lease can lapse while its holder is paused. The request may still run, so
-        a renewal for a permit that lapsed takes its slot again.
+        A lease can expire while the process of its host is paused. The request may
+        still run, so a renewal of an expired permit takes its slot again.
         """
-        for server_id, number in held:
-            permit = self.permits.get(number)
+        for server_id, permit_id in held:
+            permit = self.permits.get(permit_id)
             if permit is None:
-                self._occupy(number, Permit(host_id, server_id, now + LEASE_S))
+                self._add_permit(permit_id, Permit(host_id, server_id, now + LEASE_S))
             elif permit.host_id == host_id:
                 permit.expires = now + LEASE_S
 
     def withdraw(self, host_id: str, request_id: str) -> None:
-        """Forget a queued request whose caller has gone."""
+        """Drop a queued request that its host withdrew, as when its caller has gone."""
         for item in self.queue:
             if item.request_id == request_id and item.host_id == host_id:
                 self.queue.remove(item)
                 return
 
     def tick(self, now: float) -> Iterator[Reply]:
-        """End lapsed leases, update the demand figure, grant what became free."""
-        lapsed = [num for num, permit in self.permits.items() if permit.expires <= now]
-        for number in lapsed:
-            self._vacate(number)
+        """End expired leases, update the demand rate and grant free slots."""
+        expired = [
+            permit_id
+            for permit_id, permit in self.permits.items()
+            if permit.expires <= now
+        ]
+        for permit_id in expired:
+            self._remove_permit(permit_id)
         self._update_demand(now)
-        yield from self._dismiss_everywhere(now)
+        yield from self._refuse_late(now)
         yield from self.dispatch(now)
 
     def _update_demand(self, now: float) -> None:
-        elapsed = now - self._rate_since
+        elapsed = now - self._rate_window_start
         if elapsed < 0.5:
             return
         rate = self._arrivals / elapsed
         self.demand_rate += DEMAND_GAIN * (rate - self.demand_rate)
         self._arrivals = 0
-        self._rate_since = now
+        self._rate_window_start = now
 
     def load(self, now: float) -> msg.RegionLoad:
-        """Return the figures the planner needs; the limit counts usable slots."""
+        """Return the region's load for the planner; the limit counts usable slots."""
         return msg.RegionLoad(
             self.service,
             self.region,
@@ -394,4 +425,4 @@
         )
 
 
-__all__ = ["KeeperPolicy", "Permit", "Reply", "SlotKeeper", "Waiting"]
+__all__ = ["KeeperPolicy", "Permit", "QueuedRequest", "Reply", "SlotKeeper"]
--- a/lacewingcross/core/keeper_set.py
+++ b/lacewingcross/core/keeper_set.py
@@ -1,4 +1,4 @@
-"""The slot keepers that this host runs, and their life cycle."""
+"""The slot keepers that this host runs: start, stop, messages and load reports."""
 
 from collections.abc import Iterator
 
@@ -8,8 +8,8 @@
 from .membership import DOWN
 from .view import View
 
-LOAD_REPORT_S = 0.5
-EACH_REGION_S = 0.03
+MIN_LOAD_REPORT_PERIOD_S = 0.5
+LOAD_REPORT_S_PER_REGION = 0.03
 
 KeeperKey = tuple[str, str]
 
@@ -25,24 +25,24 @@
         Admission settings of every keeper.
     """
 
-    __slots__ = ("_policy", "_reported_at", "_terms", "_view", "keepers")
+    __slots__ = ("_policy", "_reported_at", "_term_count", "_view", "keepers")
 
     def __init__(self, view: View, policy: KeeperPolicy) -> None:
         self._view = view
         self._policy = policy
-        self._terms = 0
+        self._term_count = 0
         self._reported_at = float("-inf")
         self.keepers: dict[KeeperKey, SlotKeeper] = {}
 
     def review(self, now: float) -> Iterator[Action]:
-        """Start keepers that fell to this host, stop those that moved away."""
+        """Start the keepers that this host should run and stop all others."""
         view = self._view
         own = view.own.host_id
         wanted: set[KeeperKey] = set()
         for service, pool in view.config.pools.items():
             for region in pool.by_region:
-                away = region != view.own.region
-                if away and view.members.live(now, region):
+                is_remote = region != view.own.region
+                if is_remote and view.members.live(now, region):
                     continue
                 if view.keeper_of(service, region, now) == own:
                     wanted.add((service, region))
@@ -56,10 +56,10 @@
 
     def _start(self, key: KeeperKey, now: float) -> Iterator[Action]:
         view = self._view
-        self._terms += 1
-        # Unique over hosts and incarnations: the incarnation is random, and the
-        # low bits count this host's own terms.
-        term = (view.incarnation << 8) + self._terms % 256
+        self._term_count += 1
+        # The term is unique over hosts and incarnations: the incarnation is random,
+        # and the low bits count the terms of this host.
+        term = (view.incarnation << 8) + self._term_count % 256
         keeper = SlotKeeper(*key, term, view.rng, self._policy)
         self.keepers[key] = keeper
         self._declare(key, now)
@@ -86,7 +86,7 @@
     def on_message(
         self, host_id: str, message: msg.Message, now: float
     ) -> Iterator[Action]:
-        """Handle a message meant for a keeper."""
+        """Pass a message to its keeper; refuse permits if this host does not run it."""
         keeper = self.keepers.get((message.service, message.region))
         if keeper is None:
             if isinstance(message, msg.Acquire):
@@ -105,25 +105,27 @@
         elif isinstance(message, msg.HeldReport):
             yield from self._send(keeper.on_held(host_id, message, now))
 
-    def _not_keeper(self, ask: msg.Acquire) -> msg.Denied:
-        return msg.Denied(ask.service, ask.region, ask.request_id, "not-keeper", 0.0)
+    def _not_keeper(self, acquire: msg.Acquire) -> msg.Denied:
+        return msg.Denied(
+            acquire.service, acquire.region, acquire.request_id, "not-keeper", 0.0
+        )
 
     def host_down(self, host_id: str, now: float) -> Iterator[Action]:
-        """Tell every keeper that a host has gone."""
+        """Report to every keeper that a host is down."""
         for keeper in self.keepers.values():
             yield from self._send(keeper.host_down(host_id, now))
 
     def probed(
         self, service: str, server_id: str, reachable: bool, now: float
     ) -> Iterator[Action]:
-        """Pass on what a health probe showed."""
+        """Pass the result of a health probe to the keepers of the server's service."""
         for key, keeper in self.keepers.items():
             if key[0] != service:
                 continue
             if reachable:
-                keeper.servers.reachable(server_id, now)
+                keeper.servers.record_reachable(server_id, now)
             else:
-                keeper.servers.learn(server_id, "unreachable", now)
+                keeper.servers.record_result(server_id, "unreachable", now)
             yield from self._send(keeper.dispatch(now))
 
     def leaving(self) -> list[tuple[str, int]]:
@@ -136,28 +138,28 @@
         ]
 
     def loads(self, now: float) -> list[tuple[str, int, int, float]]:
-        """Return in flight, queued and limit of each service and region kept."""
+        """Return name, in flight, queued and limit of each service and region kept."""
         loads = (keeper.load(now) for keeper in self.keepers.values())
         return [
             (f"{load.service}/{load.region}", load.in_flight, load.queued, load.limit)
             for load in loads
         ]
 
-    def _report_pause(self) -> float:
-        """Return the time between load reports, longer with more regions.
+    def _report_period_s(self) -> float:
+        """Return the time between load reports, which grows with the regions.
 
-        All keepers of a service report to one planner; its share of the control
-        bytes bounds how many reports a second it can take.
+        All keepers of a service report to one planner, and its share of the control
+        traffic limits how many reports it can receive in a second.
         """
         pools = self._view.config.pools.values()
         regions = max((len(pool.by_region) for pool in pools), default=0)
-        return max(LOAD_REPORT_S, EACH_REGION_S * regions)
+        return max(MIN_LOAD_REPORT_PERIOD_S, LOAD_REPORT_S_PER_REGION * regions)
 
     def tick(self, now: float) -> Iterator[Action]:
-        """Run every keeper's clock and report loads to the planners."""
+        """Call every keeper's `tick` and report loads to the planners."""
         for keeper in self.keepers.values():
             yield from self._send(keeper.tick(now))
-        if now - self._reported_at < self._report_pause():
+        if now - self._reported_at < self._report_period_s():
             return
         self._reported_at = now
         for (service, _), keeper in self.keepers.items():
--- a/lacewingcross/core/plan.py
+++ b/lacewingcross/core/plan.py
@@ -1,4 +1,9 @@
-"""The plan of a service: which region each bucket of a client group goes to."""
+"""The plan of a service: the region of each bucket of each client group.
+
+Callers are hashed into `BUCKETS` buckets. A move changes the region of some buckets;
+the shift cap limits how many may move within a time window, and the ledger records the
+moves that may still count.
+"""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -18,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """One entry of the cap ledger: buckets moved for each group."""
+    """An entry of the ledger: how many buckets of each group were moved, and why."""
 
     move_id: str
     moved: dict[str, int]
@@ -27,15 +32,16 @@
 
 @dataclass(slots=True)
 class Plan:
-    """A whole plan; replaced only by conditional update.
+    """A whole plan; stored plans are replaced by conditional updates only.
 
     Attributes
     ----------
     service : str
+        The service whose callers are steered.
     tables : dict of str to list of str
         For each group, the region of each of its `BUCKETS` buckets.
     ledger : tuple of Move
-        Moves that may still count against the cap.
+        Moves that may still count against the shift cap, the oldest first.
     """
 
     service: str
@@ -55,9 +61,9 @@
 
 
 def encode_plan(plan: Plan) -> dict[str, object]:
-    """Return the plan as JSON data, tables as runs."""
+    """Return the plan as JSON data, each table as runs of [region, count]."""
     return {
-        "groups": {name: _runs(table) for name, table in plan.tables.items()},
+        "groups": {name: _encode_runs(table) for name, table in plan.tables.items()},
         "ledger": [
             {"id": move.move_id, "moved": move.moved, "cause": move.cause}
             for move in plan.ledger
@@ -65,7 +71,7 @@
     }
 
 
-def _runs(table: list[str]) -> list[list[object]]:
+def _encode_runs(table: list[str]) -> list[list[object]]:
     runs: list[list[object]] = []
     for region in table:
         if runs and runs[-1][0] == region:
@@ -81,19 +87,19 @@
     Raises
     ------
     ResourceError
-        When the data is not a plan.
+        If the data is not a plan.
     """
     reader = Reader(data, f"Plan/{service}", ResourceError)
     groups = reader.raw("groups", {})
     if not isinstance(groups, dict):
         raise reader.fail("groups", "an object of runs", groups)
-    tables = {name: _unroll(reader, runs) for name, runs in groups.items()}
+    tables = {name: _decode_runs(reader, runs) for name, runs in groups.items()}
     ledger = tuple(_read_move(child) for child in reader.children("ledger", []))
     reader.finish()
     return Plan(service, tables, ledger)
 
 
-def _unroll(reader: Reader, runs: object) -> list[str]:
+def _decode_runs(reader: Reader, runs: object) -> list[str]:
     table: list[str] = []
     try:
         for region, length in runs:
@@ -113,12 +119,12 @@
 
 
 def apportion(weights: Mapping[str, float]) -> Counter[str]:
-    """Split `BUCKETS` by `weights` with largest remainders.
+    """Split `BUCKETS` in proportion to `weights` by the largest remainder method.
 
     Parameters
     ----------
     weights : mapping of str to float
-        At least one above zero.
+        Weights; those that are not above zero get no bucket.
 
     Returns
     -------
@@ -139,47 +145,47 @@
 
 
 def fresh_table(counts: Mapping[str, int]) -> list[str]:
-    """Return a table with `counts` buckets for each region, in name order."""
+    """Return a table with `counts` buckets for each region, sorted by region."""
     return [region for region in sorted(counts) for _ in range(counts[region])]
 
 
 def move_towards(
     table: list[str], target: Mapping[str, int], budget: int
 ) -> tuple[list[str], int]:
-    """Move at most `budget` buckets so that counts come nearer to `target`.
+    """Move at most `budget` buckets so that the counts come closer to `target`.
 
     Returns
     -------
     table : list of str
-        A new table; no bucket moves but from a region above its target to one
-        below it, so the number moved is the smallest possible.
+        A new table. Buckets move only from a region above its target to one below
+        its target, so no more buckets move than necessary.
     moved : int
-        How many buckets moved.
+        The number of buckets that moved.
     """
-    have = Counter(table)
-    need = {
-        region: count - have[region]
+    current = Counter(table)
+    deficit = {
+        region: count - current[region]
         for region, count in target.items()
-        if count > have[region]
+        if count > current[region]
     }
     surplus = {
-        region: have[region] - target.get(region, 0)
-        for region in have
-        if have[region] > target.get(region, 0)
+        region: current[region] - target.get(region, 0)
+        for region in current
+        if current[region] > target.get(region, 0)
     }
     result = list(table)
     moved = 0
     for index in range(len(result) - 1, -1, -1):
-        if moved >= budget or not need:
+        if moved >= budget or not deficit:
             break
         region = result[index]
         if surplus.get(region, 0) <= 0:
             continue
-        gainer = max(need, key=lambda key: (need[key], key))
-        result[index] = gainer
+        receiver = max(deficit, key=lambda key: (deficit[key], key))
+        result[index] = receiver
         surplus[region] -= 1
-        need[gainer] -= 1
-        if not need[gainer]:
-            del need[gainer]
+        deficit[receiver] -= 1
+        if not deficit[receiver]:
+            del deficit[receiver]
         moved += 1
     return result, moved
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,7 @@
-"""Idempotency keys: two owners, lost answers, outages; nothing is claimed twice."""
+"""Claims of idempotency keys: two owners, lost responses and platform outages.
+
+No key is claimed twice.
+"""
 
 import random
 from collections import Counter
@@ -25,7 +28,7 @@
 
 
 class Owners(RuleBasedStateMachine):
-    """Two hosts that both take themselves for the owner of one shard."""
+    """Two hosts that both consider themselves the owner of one shard."""
 
     def __init__(self):
         super().__init__()
@@ -46,7 +49,7 @@
             if isinstance(action, act.SendPeer):
                 message = action.message
                 if message.outcome == cl.UNAVAILABLE:
-                    # The host refuses the request and frees its key, as it must.
+                    # The host must refuse the request and free its key.
                     self.refused.add(message.claim)
                 self.outcomes.setdefault(message.claim, []).append(message.outcome)
             elif isinstance(action, act.DeleteObject):
@@ -78,7 +81,7 @@
 
     @rule(name=st.sampled_from("ab"), key=st.sampled_from(KEYS))
     def claim_and_settle(self, name, key):
-        """Let a claim go through undisturbed, so that runs get somewhere."""
+        """Complete a claim without faults, so that runs reach more states."""
         self.claim(name, key)
         for _ in range(6):
             self.pass_time(0.6)
@@ -86,21 +89,21 @@
                 self._answer(name, "done")
 
     @precondition(lambda self: any(self.calls.values()))
-    @rule(data=st.data(), fate=st.sampled_from(["done", "done", "lost", "down"]))
-    def platform_answers(self, data, fate):
+    @rule(data=st.data(), result=st.sampled_from(["done", "done", "lost", "down"]))
+    def platform_answers(self, data, result):
         name = data.draw(st.sampled_from([n for n in "ab" if self.calls[n]]))
-        self._answer(name, fate)
+        self._answer(name, result)
 
-    def _answer(self, name, fate):
+    def _answer(self, name, result):
         action = self.calls[name].pop(0)
         if isinstance(action, act.LoadObjects):
-            objects = None if fate == "down" else self._listed()
+            objects = None if result == "down" else self._listed()
             event = ObjectsLoaded(action.call_id, objects)
             self._take(name, self.keepers[name].loaded(event, self.now))
             return
-        outcome = "unavailable" if fate == "down" else self._write(action)
+        outcome = "unavailable" if result == "down" else self._write(action)
         version = self.version if outcome == "ok" else 0
-        if fate == "lost":
+        if result == "lost":
             outcome = "unavailable"
         ended = WriteEnded(action.call_id, outcome, version)
         self._take(name, self.keepers[name].write_ended(ended, self.now))
@@ -138,14 +141,14 @@
 
 
 class SmallHeads(Owners):
-    """The same with heads that roll into segments after two claims."""
+    """The same with heads that move to segments after two claims."""
 
     def __init__(self):
         super().__init__()
-        cl.HEAD_MAX = 2
+        cl.MAX_HEAD_CLAIMS = 2
 
     def teardown(self):
-        cl.HEAD_MAX = 400
+        cl.MAX_HEAD_CLAIMS = 400
 
 
 TestSmallHeads = SmallHeads.TestCase
@@ -153,7 +156,7 @@
 
 
 class Faultless:
-    """A platform without faults around one owner."""
+    """One owner and a platform without faults."""
 
     def __init__(self):
         self.owner = keeper()
@@ -204,13 +207,14 @@
     assert all(len(str(spec)) < 60_000 for spec in platform.store.values())
 
 
-def test_key_claimed_again_stays_claimed_when_heads_have_rolled(monkeypatch):
-    """A key is freed, claimed again, and both claims lie in segments by then.
+def test_key_claimed_again_stays_claimed_in_segments(monkeypatch):
+    """A key is freed and claimed again, and both claims have moved to segments.
 
-    What a user would see: the first request's host gives its key back once more, the
-    second request's claim counts as free, and a third copy of the booking runs.
+    Guards against a second copy of a booking: the first request's host frees its key
+    again, the second request's claim must not count as freed, and a third copy of the
+    booking must not run.
     """
-    monkeypatch.setattr(cl, "HEAD_MAX", 2)
+    monkeypatch.setattr(cl, "MAX_HEAD_CLAIMS", 2)
     platform = Faultless()
 
     def claim(key, name):
@@ -221,15 +225,15 @@
 
     key, *others = KEYS
     assert claim(key, "first") == [cl.CLAIMED]
-    for number, other in enumerate(others[:3]):
-        claim(other, f"x{number}")
+    for index, other in enumerate(others[:3]):
+        claim(other, f"x{index}")
     platform.free(key, "first")
     platform.tick()
     assert claim(key, "second") == [cl.CLAIMED]
-    for number, other in enumerate(KEYS[4:] + others[:1]):
-        platform.free(other, f"x{number}")
+    for index, other in enumerate(KEYS[4:] + others[:1]):
+        platform.free(other, f"x{index}")
         platform.tick()
-        claim(other, f"y{number}")
+        claim(other, f"y{index}")
     assert len([name for name in platform.store if "/s" in name]) >= 2
     platform.free(key, "first")
     platform.tick()
