--- a/lacewingcross/gateway/admission.py
+++ b/lacewingcross/gateway/admission.py
@@ -8,15 +8,15 @@
 from ..core.terms import Terms, terms_for
 from ..http1_exchange import RequestHead
 from .credentials import CredentialsError, read_key
-from .forwarding import OnBehalf
+from .forwarding import CallerAccount
 from .frame import Frame
-from .reply import Final
+from .reply import HostAnswer
 
 # When to come back to a host that has no configuration yet, in seconds.
-UNCONFIGURED_PAUSE_S = 0.3
+NO_CONFIGURATION_RETRY_S = 0.3
 # When to come back if route and account have no region in common, in seconds: only a
 # new configuration helps.
-HOMELESS_PAUSE_S = 5.0
+NO_COMMON_REGION_RETRY_S = 5.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,10 +25,12 @@
 
     route: Route
     terms: Terms
-    on_behalf: OnBehalf
+    caller_account: CallerAccount
 
 
-def check(table: RouteTable | None, frame: Frame, head: RequestHead) -> Permit | Final:
+def check_request(
+    table: RouteTable | None, frame: Frame, head: RequestHead
+) -> Permit | HostAnswer:
     """Return on which terms a request may be served, or why it may not.
 
     Parameters
@@ -42,26 +44,26 @@
     """
     if table is None:
         # Not 401: this host knows neither keys nor whether any are needed.
-        return Final(503, "no-configuration", UNCONFIGURED_PAUSE_S)
+        return HostAnswer(503, "no-configuration", NO_CONFIGURATION_RETRY_S)
     route = table.match(frame.host_name, frame.path)
     if route is None:
-        return Final(404, "no-route")
+        return HostAnswer(404, "no-route")
     length = hd.find(head.headers, hd.CONTENT_LENGTH)
     if length and int(length) > table.config.limits.max_body_bytes:
-        return Final(413, "body-too-large")
-    account = _identify(table, route, head)
-    if isinstance(account, Final):
+        return HostAnswer(413, "body-too-large")
+    account = _identify_account(table, route, head)
+    if isinstance(account, HostAnswer):
         return account
     terms = terms_for(route, account)
     if terms.no_common_region:
-        return Final(503, "no-common-region", HOMELESS_PAUSE_S)
-    keyed = bool(table.config.accounts)
-    return Permit(route, terms, OnBehalf(keyed, terms.account_name))
+        return HostAnswer(503, "no-common-region", NO_COMMON_REGION_RETRY_S)
+    has_accounts = bool(table.config.accounts)
+    return Permit(route, terms, CallerAccount(has_accounts, terms.account_name))
 
 
-def _identify(
+def _identify_account(
     table: RouteTable, route: Route, head: RequestHead
-) -> ClientAccount | Final | None:
+) -> ClientAccount | HostAnswer | None:
     """Return the account of a request, None where nobody is asked for a key.
 
     On a public route a key that is known still says whose request it is; one that is
@@ -73,7 +75,11 @@
     try:
         account = accounts.holder(read_key(head.headers))
     except CredentialsError as exc:
-        return None if route.public else Final(400, "bad-credentials", detail=str(exc))
+        return (
+            None
+            if route.public
+            else HostAnswer(400, "bad-credentials", detail=str(exc))
+        )
     if account is None and not route.public:
-        return Final(401, "unknown-key")
+        return HostAnswer(401, "unknown-key")
     return account
--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -39,19 +39,19 @@
 # as it can.
 START_TICK_S = 0.02
 # Ticks between reviews of shares: they walk all hosts and servers, and move slowly.
-SHARES_TICKS = 5
+SHARE_REVIEW_TICKS = 5
 # How long a leaving host still takes new connections, in seconds: callers keep a list
 # of hosts for up to three times its lifetime.
-SERVE_ON_S = 3.2
+ACCEPT_WHILE_LEAVING_S = 3.2
 # Time kept between the end of the last request and the platform's kill, in seconds.
-END_EARLY_S = 0.3
+KILL_MARGIN_S = 0.3
 FINISH_POLL_S = 0.02
 # How long a leaving host waits for requests on connections that are still open, in
 # seconds: a packet that was lost on the way comes again within it.
-QUIET_END_S = 0.3
+QUIET_BEFORE_CLOSE_S = 0.3
 SETTINGS_POLL_S = 2.0
 # Part of a server's connection limit that all hosts together use.
-CONNECTION_MARGIN = 0.8
+CONNECTION_LIMIT_SHARE = 0.8
 # Allocations between collections of the youngest objects. A request leaves few cycles,
 # and a later collection finds as many at once.
 GC_THRESHOLD = 10_000
@@ -137,7 +137,7 @@
             Child("peers", self._peers.run),
             Child("tell", self._peers.tell),
             Child("seek", self._peers.seek),
-            Child("quotas", self._follow_quotas),
+            Child("quotas", self._run_quotas),
             Child("config", follower.following(Kind.CONFIG)),
             Child("evacuations", follower.following(Kind.EVACUATION)),
             Child("servers", follower.following(Kind.SERVER)),
@@ -150,19 +150,19 @@
                 "readiness", PageListener(gateway, cfg.readiness, answer_readiness).run
             ),
             Child("metrics", PageListener(gateway, metrics, answer_metrics).run),
-            Child("settings", self._follow_settings),
+            Child("settings", self._watch_settings),
             Child("ticker", self._tick),
         ]
 
-    async def _follow_quotas(self) -> None:
+    async def _run_quotas(self) -> None:
         await self.gateway.quota_admission.tell(self._peers.send_to)
 
     def _connection_limit(self, service: str) -> int:
         """Return this host's part of a server's connection limit."""
         table = self.gateway.steering.table
         declared = table.config.services.get(service) if table else None
-        most = declared.max_connections if declared else 100
-        return max(2, int(most * CONNECTION_MARGIN / self.gateway.steering.hosts))
+        limit = declared.max_connections if declared else 100
+        return max(2, int(limit * CONNECTION_LIMIT_SHARE / self.gateway.steering.hosts))
 
     async def _tick(self) -> None:
         for tick in itertools.count():
@@ -170,9 +170,9 @@
             await asyncio.sleep(START_TICK_S if starting else TICK_S)
             now = self.gateway.now()
             self._review(now)
-            if tick % SHARES_TICKS == 0:
+            if tick % SHARE_REVIEW_TICKS == 0:
                 self._review_shares(now)
-                self._measure(now)
+                self._update_gauges(now)
 
     def _review(self, now: float) -> None:
         gateway = self.gateway
@@ -210,7 +210,7 @@
         config = steering.table.config if steering.table else None
         roster.needed = cores_needed(config, servers)
 
-    def _measure(self, now: float) -> None:
+    def _update_gauges(self, now: float) -> None:
         metrics = self.gateway.metrics
         metrics.set_gauge("requests.running", self.entry.running)
         metrics.set_gauge("callers.connections", self.entry.server.connections)
@@ -223,21 +223,21 @@
         """Read the settings again soon."""
         self._reload.set()
 
-    async def _follow_settings(self) -> None:
+    async def _watch_settings(self) -> None:
         """Read the settings file again when told, or when it has changed."""
-        seen = _changed_at(self._settings_path)
+        modified_at = _modified_at(self._settings_path)
         while True:
             try:
                 async with asyncio.timeout(SETTINGS_POLL_S):
                     await self._reload.wait()
             except TimeoutError:
-                if _changed_at(self._settings_path) == seen:
+                if _modified_at(self._settings_path) == modified_at:
                     continue
             self._reload.clear()
-            seen = _changed_at(self._settings_path)
-            self._take_settings()
+            modified_at = _modified_at(self._settings_path)
+            self._apply_settings()
 
-    def _take_settings(self) -> None:
+    def _apply_settings(self) -> None:
         """Take over the promises and seeds; addresses stay until the next start."""
         try:
             cfg = load_gateway(self._settings_path)
@@ -258,9 +258,9 @@
 
     async def run(self, stop: asyncio.Event) -> None:
         """Run until `stop` is set and every request has had its answer."""
-        await run_until_stopped(self.root, stop, self._leave, self._store.close)
+        await run_until_stopped(self.root, stop, self._shut_down, self._store.close)
 
-    async def _leave(self) -> None:
+    async def _shut_down(self) -> None:
         """Leave the lists of hosts at once, serve on, finish every request, then end.
 
         Failure: a host that closes its listener first refuses callers that were sent
@@ -271,19 +271,21 @@
         gateway.quotas.leave(gateway.times())
         self._peers.announce()
         logs.event("host-leaving", running=self.entry.running)
-        started = gateway.now()
-        leave = asyncio.get_running_loop().create_task(self._hosts.leave())
-        await asyncio.sleep(min(SERVE_ON_S, gateway.cfg.bounds.grace_s / 2))
+        started_at = gateway.now()
+        leave_task = asyncio.get_running_loop().create_task(self._hosts.leave())
+        await asyncio.sleep(min(ACCEPT_WHILE_LEAVING_S, gateway.cfg.bounds.grace_s / 2))
         await self.entry.server.stop_listening()
-        await self._finish(started + gateway.cfg.bounds.grace_s - END_EARLY_S)
+        await self._wait_for_requests(
+            started_at + gateway.cfg.bounds.grace_s - KILL_MARGIN_S
+        )
         await self.entry.server.close()
-        leave.cancel()
-        await asyncio.gather(leave, return_exceptions=True)
+        leave_task.cancel()
+        await asyncio.gather(leave_task, return_exceptions=True)
         gateway.crashes.close()
         logs.event("host-stopped", cut=self.entry.running)
 
-    async def _finish(self, ends: float) -> None:
-        """Wait until every request has had its answer, `ends` at most.
+    async def _wait_for_requests(self, deadline: float) -> None:
+        """Wait until every request has had its answer, `deadline` at most.
 
         Failure: a connection was being accepted as the listener closed, and no list of
         open ones had it. Its request comes in the next moment, is sent to a server, and
@@ -292,15 +294,18 @@
         them before anything else can begin.
         """
         quiet_since = self.gateway.now()
-        while (now := self.gateway.now()) < ends:
+        while (now := self.gateway.now()) < deadline:
             if self.entry.running:
                 quiet_since = now
-            elif not self.entry.server.connections or now - quiet_since >= QUIET_END_S:
+            elif (
+                not self.entry.server.connections
+                or now - quiet_since >= QUIET_BEFORE_CLOSE_S
+            ):
                 return
             await asyncio.sleep(FINISH_POLL_S)
 
 
-def _changed_at(path: str) -> float:
+def _modified_at(path: str) -> float:
     try:
         return os.stat(path).st_mtime
     except OSError:
--- a/lacewingcross/gateway/attempt.py
+++ b/lacewingcross/gateway/attempt.py
@@ -15,19 +15,19 @@
 
 # An answer up to this size is read whole before any of it goes to the caller, so that
 # a spoilt one can be tried again; a larger one is passed on as it comes.
-WHOLE_MAX = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 MISDIRECTED = 421
 # Statuses from here on are the server's own failures.
-SERVER_ERRORS = 500
+MIN_SERVER_ERROR = 500
 
 
 @dataclass(slots=True)
 class Answer:
-    """A backend server's answer; `whole` is False when more is still to come."""
+    """A backend server's answer; `complete` is False when more is still to come."""
 
     head: ResponseHead
     body: bytes
-    whole: bool
+    complete: bool
 
 
 @dataclass(slots=True)
@@ -37,20 +37,20 @@
     exchange: Exchange
     parts: list[bytes]
     size: int = 0
-    whole: bool = False
+    complete: bool = False
 
-    async def gather(self, most: int) -> None:
-        """Read up to `most` bytes ahead."""
-        while self.size <= most:
+    async def read_ahead(self, max_bytes: int) -> None:
+        """Read up to `max_bytes` bytes ahead."""
+        while self.size <= max_bytes:
             part = await self.exchange.read()
             if not part:
-                self.whole = True
+                self.complete = True
                 return
             self.parts.append(part)
             self.size += len(part)
 
 
-class SpoiltAnswerError(Exception):
+class InvalidResponseError(Exception):
     """The answer cannot be the server's own whole answer to this request."""
 
 
@@ -100,23 +100,23 @@
 
     async def connect(self) -> None:
         """Take a connection; raise HttpError when there is none."""
-        self._conn = await self._backends.take(
+        self._conn = await self._backends.acquire(
             self.server.entry, repeatable=self._repeatable
         )
 
     def send(self, request: h11.Request) -> None:
         """Send the request, and as much of its body as was read."""
         self.attempt.first_byte_written()
-        self._conn.send_request(request, self._body.parts, end=self._body.whole)
+        self._conn.send_request(request, self._body.parts, end=self._body.complete)
 
     async def send_rest(self) -> None:
         """Send the part of a large body that is still with the caller.
 
         An answer that comes before the end waits until the body is through.
         """
-        while not self._body.whole:
+        while not self._body.complete:
             part = await self._body.exchange.read()
-            self._body.whole = not part
+            self._body.complete = not part
             self._conn.send_more(part)
 
     async def read_head(self, request_id: bytes) -> ResponseHead:
@@ -127,13 +127,13 @@
         """Read the answer's body, or its beginning when it is large."""
         parts = []
         size = 0
-        while size <= WHOLE_MAX:
+        while size <= MAX_BUFFERED_BYTES:
             part = await self._conn.read_part()
             if not part:
-                return Answer(head, b"".join(parts), whole=True)
+                return Answer(head, b"".join(parts), complete=True)
             parts.append(part)
             size += len(part)
-        return Answer(head, b"".join(parts), whole=False)
+        return Answer(head, b"".join(parts), complete=False)
 
     async def read_more(self) -> bytes:
         """Return the next part of a large answer, empty at its end."""
@@ -144,22 +144,22 @@
         """Tell whether the server's connection has ended under the attempt."""
         return self._lost or (self._conn is not None and bool(self._conn.lost))
 
-    def put_back(self) -> None:
+    def release_unused(self) -> None:
         """Keep the connection: nothing was sent on it."""
-        self._backends.put_back(self.server.entry, self._conn)
+        self._backends.release_unused(self.server.entry, self._conn)
         self._conn = None
 
-    def let_go(self, *, whole: bool) -> None:
+    def release_connection(self, *, complete: bool) -> None:
         """Keep the connection after a whole exchange, drop it after any other."""
         conn = self._conn
         self._conn = None
         if conn is None:
             return
         self._lost = bool(conn.lost)
-        if whole:
-            self._backends.give_back(self.server.entry, conn)
+        if complete:
+            self._backends.release(self.server.entry, conn)
         else:
-            self._backends.drop(self.server.entry, conn)
+            self._backends.discard(self.server.entry, conn)
 
 
 def classify(answer: Answer) -> Ending:
@@ -176,8 +176,8 @@
         return Ending.SERVER_NOT_RUN
     signed = bool(hd.find(head.headers, ph.SIGNATURE))
     if 200 <= head.status < 300 and not signed:
-        raise SpoiltAnswerError("success-without-signature")
-    if head.status >= SERVER_ERRORS:
+        raise InvalidResponseError("success-without-signature")
+    if head.status >= MIN_SERVER_ERROR:
         return Ending.SERVER_ERROR
     return Ending.ANSWERED
 
--- a/lacewingcross/gateway/attempt_feedback.py
+++ b/lacewingcross/gateway/attempt_feedback.py
@@ -10,26 +10,38 @@
 from .context import Gateway
 
 # Ends of attempts that show that the server cannot be reached.
-NO_CONNECTION = (REFUSED, UNREACHABLE)
+CONNECT_FAILURES = (REFUSED, UNREACHABLE)
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
     """How one attempt ended.
 
-    `number` is unique in this process, `began` a monotonic reading in seconds; `gone`
-    tells that the caller had left, so that the end says nothing of the server.
+    Attributes
+    ----------
+    attempt_id : int
+        Unique in this process.
+    ending : Ending
+        How the attempt ended.
+    failure_reason : str
+        Stable code of the failure, empty when there is none.
+    began_at : float
+        Monotonic time at which the attempt began, in seconds.
+    answer : Answer or None
+        The server's response, None when none was received.
+    caller_gone : bool
+        Whether the caller had left, so that the ending says nothing about the server.
     """
 
-    number: int
+    attempt_id: int
     ending: Ending
-    why: str
-    began: float
+    failure_reason: str
+    began_at: float
     answer: Answer | None
-    gone: bool
+    caller_gone: bool
 
 
-def learn(gateway: Gateway, choice: Choice, result: AttemptResult) -> None:
+def record_result(gateway: Gateway, choice: Choice, result: AttemptResult) -> None:
     """Take the end of an attempt into the evidence, the latencies and the load."""
     now = gateway.now()
     server = choice.server
@@ -38,28 +50,28 @@
         if load is not None:
             gateway.steering.placement.known.learn_load(server, load, now)
     if result.ending in (Ending.ANSWERED, Ending.SERVER_ERROR):
-        _learn_answer(gateway, choice, result, now)
+        _record_answer(gateway, choice, result, now)
         return
     if result.ending in (Ending.SERVER_NOT_RUN, Ending.CONNECT_FAILED):
         gateway.steering.placement.not_run(choice)
-    _learn_failure(gateway, server, result, now)
+    _record_failure(gateway, server, result, now)
 
 
-def _learn_answer(
+def _record_answer(
     gateway: Gateway, choice: Choice, result: AttemptResult, now: float
 ) -> None:
     placement = gateway.steering.placement
     server = choice.server
     good = result.ending is Ending.ANSWERED
-    server.passive_health.answered(result.number, now, good=good)
+    server.passive_health.answered(result.attempt_id, now, good=good)
     placement.eligibility.learn_outcome(server.entry.service, failed=not good)
     if good:
-        latency_s = now - result.began
+        latency_s = now - result.began_at
         placement.learn_answer(choice, latency_s, now)
         gateway.metrics.observe(f"server.{server.entry.service}", latency_s)
 
 
-def _learn_failure(
+def _record_failure(
     gateway: Gateway, server: Server, result: AttemptResult, now: float
 ) -> None:
     evidence = server.passive_health
@@ -69,16 +81,16 @@
         # A server that is full sheds rightly; one that sheds with free slots, or whose
         # address now belongs to another incarnation, is passed over.
         full = was_full(result.answer, server.entry.slots)
-        evidence.shed(result.number, now, full=full)
+        evidence.shed(result.attempt_id, now, full=full)
         placement.eligibility.learn_outcome(server.entry.service, failed=not full)
-    elif ending is Ending.CONNECT_FAILED and result.why in NO_CONNECTION:
-        evidence.unreachable(result.number, now)
-        if result.why == REFUSED:
+    elif ending is Ending.CONNECT_FAILED and result.failure_reason in CONNECT_FAILURES:
+        evidence.unreachable(result.attempt_id, now)
+        if result.failure_reason == REFUSED:
             gateway.crashes.refused(server.entry)
-    elif ending is Ending.CONNECT_FAILED or result.gone:
-        evidence.forgotten(result.number)
+    elif ending is Ending.CONNECT_FAILED or result.caller_gone:
+        evidence.forgotten(result.attempt_id)
     elif ending in (Ending.TIMED_OUT, Ending.CANCELLED):
-        evidence.timed_out(result.number, now)
+        evidence.timed_out(result.attempt_id, now)
     else:
-        evidence.failed(result.number, now)
+        evidence.failed(result.attempt_id, now)
         placement.eligibility.learn_outcome(server.entry.service, failed=True)
--- a/lacewingcross/gateway/attempt_log.py
+++ b/lacewingcross/gateway/attempt_log.py
@@ -29,7 +29,9 @@
         self._terms = terms
         self._gateway = gateway
 
-    def placed(self, choice: Choice, number: int, left_s: float, now: float) -> None:
+    def placed(
+        self, choice: Choice, attempt_number: int, time_left_s: float, now: float
+    ) -> None:
         """Write which server an attempt goes to, and why."""
         server = choice.server
         logs.event(
@@ -52,18 +54,18 @@
             slots=server.entry.slots,
             report_age_ms=int(min(9999, 1000 * (now - server.reported_at))),
             cold_ms=int(max(0.0, 1000 * (server.cold_until - now))),
-            attempt=number,
-            left_ms=int(1000 * left_s),
+            attempt=attempt_number,
+            left_ms=int(1000 * time_left_s),
         )
 
-    def overtaken(self, attempt: Attempt, left_s: float) -> None:
+    def superseded(self, attempt: Attempt, time_left_s: float) -> None:
         """Write that a server takes a request no more, before any of it was sent."""
         logs.event(
             "attempt-overtaken",
             id=self._frame.request_id,
             server=attempt.server_id,
             attempt=attempt.number,
-            left_ms=int(1000 * left_s),
+            left_ms=int(1000 * time_left_s),
         )
 
     def ended(
@@ -72,9 +74,9 @@
         ending: Ending,
         answer: Answer | None,
         verdict: Verdict,
-        why: str,
-        left_s: float,
-        request: str = "",
+        reason: str,
+        time_left_s: float,
+        fingerprint: str = "",
     ) -> None:
         """Write how an attempt ended and what becomes of the request.
 
@@ -87,8 +89,8 @@
             attempt=attempt.number,
             ending=ending.value,
             status=answer.head.status if answer else 0,
-            why=why,
+            why=reason,
             verdict=verdict.value,
-            request=request,
-            left_ms=int(1000 * left_s),
+            request=fingerprint,
+            left_ms=int(1000 * time_left_s),
         )
--- a/lacewingcross/gateway/attempt_series.py
+++ b/lacewingcross/gateway/attempt_series.py
@@ -10,24 +10,24 @@
 from .attempt import (
     Answer,
     AttemptRun,
-    SpoiltAnswerError,
+    InvalidResponseError,
     classify,
     was_full,
 )
-from .attempt_feedback import AttemptResult, learn
+from .attempt_feedback import AttemptResult, record_result
 from .attempt_log import AttemptLog
 from .context import Gateway
 from .forwarding import request_for_server
-from .repeats import Repeats
-from .reply import Final, Reply
+from .repeats import RepeatedRequest
+from .reply import HostAnswer, Reply
 from .routed_request import RoutedRequest
 from .signals import learn_signals
 
 # Bodies up to this size are read before a server is chosen: a caller that sends slowly
 # holds no slot, and the request can be sent to another server.
-READ_AHEAD = 512 * 1024
+READ_AHEAD_BYTES = 512 * 1024
 # Least time that is worth another attempt, in seconds.
-MIN_LEFT_S = 0.03
+MIN_TIME_LEFT_S = 0.03
 QUARANTINED = "quarantined"
 
 
@@ -55,17 +55,17 @@
 
     __slots__ = (
         "_gateway",
-        "_last",
+        "_failure_reason",
         "_log",
-        "_overtaken",
-        "_repeats",
+        "_superseded",
+        "_repeated",
         "_reply",
         "_req",
         "_service",
         "_shed_with_room",
         "_tried",
         "attempts",
-        "gone",
+        "caller_gone",
         "may_have_run",
     )
 
@@ -74,27 +74,27 @@
         self._req = req
         self._reply = reply
         self._log = AttemptLog(req.frame, req.terms, gateway)
-        self._repeats = Repeats(
-            gateway, req.frame, req.exchange.head, req.body, req.on_behalf
+        self._repeated = RepeatedRequest(
+            gateway, req.frame, req.exchange.head, req.body, req.caller_account
         )
         self._service = ""
         self._tried: set[str] = set()
         self._shed_with_room = False
-        self._last = ""
+        self._failure_reason = ""
         # Whether the last choice came to nothing before anything was sent.
-        self._overtaken = False
+        self._superseded = False
         self.attempts = 0
         self.may_have_run = False
-        self.gone = False
+        self.caller_gone = False
 
-    def _left(self) -> float:
-        return self._req.left_s(self._gateway.now())
+    def _time_left_s(self) -> float:
+        return self._req.time_left_s(self._gateway.now())
 
-    def may_stop(self) -> bool:
+    def may_be_cancelled(self) -> bool:
         """Tell whether nothing is left half done when the request is given up."""
         return self._req.route.repeatable or not self.may_have_run
 
-    async def run(self) -> Final | None:
+    async def run(self) -> HostAnswer | None:
         """Try servers until one has answered or none may be tried any more."""
         route = self._req.route
         steering = self._gateway.steering
@@ -103,47 +103,47 @@
         budget = steering.budget(self._service)
         budget.earn()
         while True:
-            refused_for = self._repeats.refused_for()
-            if refused_for:
-                return self._quarantined(refused_for)
+            refused_for_s = self._repeated.refused_for_s()
+            if refused_for_s:
+                return self._quarantined(refused_for_s)
             choice = self._choose()
             if isinstance(choice, Refusal):
-                self._repeats.not_run()
+                self._repeated.record_not_run()
                 if self.may_have_run:
-                    return Final(502, self._last)
+                    return HostAnswer(502, self._failure_reason)
                 if self._shed_with_room:
-                    return Final(503, self._last, self._pause_s())
-                return Final(503, choice.reason, choice.retry_after_s)
-            if self.attempts and not self._overtaken:
+                    return HostAnswer(503, self._failure_reason, self._retry_after_s())
+                return HostAnswer(503, choice.reason, choice.retry_after_s)
+            if self.attempts and not self._superseded:
                 budget.spend()
-                self._gateway.metrics.count(f"retries.{self._last}")
-            verdict = await self._attempt(choice)
-            if self._overtaken:
+                self._gateway.metrics.count(f"retries.{self._failure_reason}")
+            verdict = await self._run_attempt(choice)
+            if self._superseded:
                 continue
-            if verdict in (Verdict.DONE, Verdict.ABORT) or self.gone:
+            if verdict in (Verdict.DONE, Verdict.ABORT) or self.caller_gone:
                 return None
             if verdict is Verdict.REFUSE:
-                return Final(503, self._last, self._pause_s())
+                return HostAnswer(503, self._failure_reason, self._retry_after_s())
             if verdict is Verdict.UNKNOWN:
-                return Final(502, self._last)
+                return HostAnswer(502, self._failure_reason)
 
-    def _quarantined(self, refused_for: float) -> Final:
+    def _quarantined(self, refused_for_s: float) -> HostAnswer:
         """Refuse a request that ends servers until the quarantine is over.
 
         A try that has ended one itself may have run; any other has not, and will not.
         """
         if self.may_have_run:
-            return Final(502, QUARANTINED)
-        return Final(503, QUARANTINED, refused_for)
+            return HostAnswer(502, QUARANTINED)
+        return HostAnswer(503, QUARANTINED, refused_for_s)
 
-    def _pause_s(self) -> float:
+    def _retry_after_s(self) -> float:
         """Return when the caller should come back, in seconds."""
-        anew = replace(self._ask(), tried=frozenset())
+        untried_request = replace(self._placement_request(), tried=frozenset())
         return self._gateway.steering.placement.pause_after_shed(
-            anew, self._gateway.now(), with_room=self._shed_with_room
+            untried_request, self._gateway.now(), with_room=self._shed_with_room
         )
 
-    def _ask(self) -> PlacementRequest:
+    def _placement_request(self) -> PlacementRequest:
         route = self._req.route
         terms = self._req.terms
         return PlacementRequest(
@@ -158,17 +158,17 @@
 
     def _choose(self) -> Choice | Refusal:
         now = self._gateway.now()
-        choice = self._gateway.steering.placement.choose(self._ask(), now)
+        choice = self._gateway.steering.placement.choose(self._placement_request(), now)
         if isinstance(choice, Choice):
-            self._log.placed(choice, self.attempts + 1, self._left(), now)
+            self._log.placed(choice, self.attempts + 1, self._time_left_s(), now)
         return choice
 
-    async def _attempt(self, choice: Choice) -> Verdict:
+    async def _run_attempt(self, choice: Choice) -> Verdict:
         server = choice.server
         self.attempts += 1
         self._reply.attempts = self.attempts
         self._tried.add(server.entry.server_id)
-        number = self._gateway.next_attempt()
+        attempt_id = self._gateway.next_attempt_id()
         attempt = Attempt(self.attempts, server.entry.server_id)
         run = AttemptRun(
             self._gateway.backends,
@@ -178,32 +178,32 @@
             repeatable=self._req.route.repeatable,
         )
         placement = self._gateway.steering.placement
-        placement.began(choice, number, self._gateway.now())
-        began = self._gateway.now()
-        self._overtaken = False
+        placement.began(choice, attempt_id, self._gateway.now())
+        began_at = self._gateway.now()
+        self._superseded = False
         ran_before = self.may_have_run
         ending = Ending.CANCELLED
-        whole = False
+        complete = False
         answer = None
         try:
             answer = await self._exchange_with(run, choice)
             ending = classify(answer)
-            whole = answer.whole
+            complete = answer.complete
         except HttpError as exc:
-            self._last = exc.reason
+            self._failure_reason = exc.reason
             ending = Ending.BROKEN if exc.sent else Ending.CONNECT_FAILED
             if not exc.sent:
                 attempt.stage = Stage.NOT_SENT
             elif run.lost:
-                self._repeats.broke(server.entry)
-        except _OvertakenError:
+                self._repeated.connection_broke(server.entry)
+        except _SupersededError:
             ending = Ending.CONNECT_FAILED
-            self._overtaken = True
-        except SpoiltAnswerError as exc:
-            self._last = str(exc)
+            self._superseded = True
+        except InvalidResponseError as exc:
+            self._failure_reason = str(exc)
             ending = Ending.BROKEN
-        except _LeftSilentServerError:
-            self._last = "silent-server"
+        except _SilentServerError:
+            self._failure_reason = "silent-server"
             ending = Ending.TIMED_OUT
         finally:
             attempt.end(ending)
@@ -211,70 +211,85 @@
             self.may_have_run = ran_before or ran
             placement.ended(server)
             # An overtaken attempt must not be taken to have failed like the last one.
-            why = "" if self._overtaken else self._last
-            result = AttemptResult(number, ending, why, began, answer, self.gone)
-            learn(self._gateway, choice, result)
-            if answer is None or whole or ending is Ending.SERVER_NOT_RUN:
-                run.let_go(whole=whole)
-        if self._overtaken:
-            return self._place_anew(attempt)
+            reason = "" if self._superseded else self._failure_reason
+            result = AttemptResult(
+                attempt_id, ending, reason, began_at, answer, self.caller_gone
+            )
+            record_result(self._gateway, choice, result)
+            if answer is None or complete or ending is Ending.SERVER_NOT_RUN:
+                run.release_connection(complete=complete)
+        if self._superseded:
+            return self._undo_attempt(attempt)
         return await self._conclude(run, attempt, ending, answer)
 
-    def _place_anew(self, attempt: Attempt) -> Verdict:
+    def _undo_attempt(self, attempt: Attempt) -> Verdict:
         """Take back an attempt that was not sent, since its server wants it no more."""
         self.attempts -= 1
         self._reply.attempts = self.attempts
         self._tried.discard(attempt.server_id)
-        self._repeats.not_run()
+        self._repeated.record_not_run()
         self._gateway.metrics.count("attempts.overtaken")
-        self._log.overtaken(attempt, self._left())
+        self._log.superseded(attempt, self._time_left_s())
         return Verdict.RETRY
 
     async def _exchange_with(self, run: AttemptRun, choice: Choice) -> Answer:
         await run.connect()
         sent_at = self._gateway.now()
         if not self._gateway.steering.placement.sent(choice, sent_at):
-            run.put_back()
-            raise _OvertakenError
+            run.release_unused()
+            raise _SupersededError
         server_id = run.server.entry.server_id
         req = self._req
         run.send(
             request_for_server(
-                req.exchange.head, req.body, server_id, self._left(), req.on_behalf
+                req.exchange.head,
+                req.body,
+                server_id,
+                self._time_left_s(),
+                req.caller_account,
             )
         )
         # From here on the server may have run the request, also if we are cancelled.
         self.may_have_run = True
         request_id = req.frame.request_id.encode("latin-1")
-        if not req.body.whole:
+        if not req.body.complete:
             await run.send_rest()
-        head = await self._patiently(run, request_id)
+        head = await self._read_head_in_time(run, request_id)
         learn_signals(self._gateway, run.server, head, sent_at)
         return await run.read_body(head)
 
-    async def _patiently(self, run: AttemptRun, request_id: bytes) -> ResponseHead:
+    async def _read_head_in_time(
+        self, run: AttemptRun, request_id: bytes
+    ) -> ResponseHead:
         """Wait for the answer's head, and leave a silent server if another can help."""
         if not self._req.route.repeatable:
             return await run.read_head(request_id)
-        patience = self._gateway.steering.placement.silence_timeout_s(self._ask())
+        timeout_s = self._gateway.steering.placement.silence_timeout_s(
+            self._placement_request()
+        )
         while True:
             # A late answer is worth the same at any moment before the deadline, so the
             # server keeps all the time that another one would not need.
-            wait = max(patience, self._left() - patience)
+            wait_s = max(timeout_s, self._time_left_s() - timeout_s)
             try:
-                async with asyncio.timeout(wait):
+                async with asyncio.timeout(wait_s):
                     return await run.read_head(request_id)
             except TimeoutError:
-                if self._could_move():
-                    raise _LeftSilentServerError from None
+                if self._may_try_another():
+                    raise _SilentServerError from None
 
-    def _could_move(self) -> bool:
-        if self.attempts >= self._req.route.max_attempts or self._left() < MIN_LEFT_S:
+    def _may_try_another(self) -> bool:
+        if (
+            self.attempts >= self._req.route.max_attempts
+            or self._time_left_s() < MIN_TIME_LEFT_S
+        ):
             return False
         steering = self._gateway.steering
         if not steering.budget(self._service).available():
             return False
-        choice = steering.placement.choose(self._ask(), self._gateway.now())
+        choice = steering.placement.choose(
+            self._placement_request(), self._gateway.now()
+        )
         return isinstance(choice, Choice)
 
     async def _conclude(
@@ -285,35 +300,45 @@
         answer: Answer | None,
     ) -> Verdict:
         budget = self._gateway.steering.budget(self._service)
-        await self._repeats.settle()
+        await self._repeated.wait_for_crash_check()
         verdict = decide(
             attempt,
             ending,
             repeatable=self._req.route.repeatable,
-            body_replayable=self._req.body.size <= READ_AHEAD,
-            time_left=self._left() > MIN_LEFT_S
+            body_replayable=self._req.body.size <= READ_AHEAD_BYTES,
+            time_left=self._time_left_s() > MIN_TIME_LEFT_S
             and self.attempts < self._req.route.max_attempts,
             budget_left=budget.available(),
         )
         if attempt.stage is Stage.NOT_SENT:
-            self._repeats.not_run()
+            self._repeated.record_not_run()
         if ending is Ending.SERVER_NOT_RUN:
-            self._last = "server-full"
-            soon = self._gateway.cfg.policy.shed_back_soon
-            self._shed_with_room = soon and not was_full(answer, run.server.entry.slots)
+            self._failure_reason = "server-full"
+            back_soon = self._gateway.cfg.policy.shed_back_soon
+            self._shed_with_room = back_soon and not was_full(
+                answer, run.server.entry.slots
+            )
         if ending is Ending.SERVER_ERROR:
-            self._last = f"server-{answer.head.status}"
-            verdict = self._retry_failure(verdict)
+            self._failure_reason = f"server-{answer.head.status}"
+            verdict = self._retry_server_error(verdict)
         if verdict is not Verdict.DONE or self.attempts > 1:
-            left_s = self._left()
-            name = self._repeats.name if ending is Ending.BROKEN else ""
-            self._log.ended(attempt, ending, answer, verdict, self._last, left_s, name)
+            time_left_s = self._time_left_s()
+            fingerprint = self._repeated.fingerprint if ending is Ending.BROKEN else ""
+            self._log.ended(
+                attempt,
+                ending,
+                answer,
+                verdict,
+                self._failure_reason,
+                time_left_s,
+                fingerprint,
+            )
         if ending is Ending.ANSWERED:
-            self._repeats.answered()
+            self._repeated.record_answer()
         if verdict is Verdict.DONE:
             await self._deliver(run, answer)
-        elif answer is not None and not answer.whole:
-            run.let_go(whole=False)
+        elif answer is not None and not answer.complete:
+            run.release_connection(complete=False)
         return verdict
 
     async def _deliver(self, run: AttemptRun, answer: Answer) -> None:
@@ -323,21 +348,21 @@
             # The caller's connection was broken off: only that tells it that the rest
             # of a large answer will not come.
             if run.lost:
-                self._repeats.broke(run.server.entry)
+                self._repeated.connection_broke(run.server.entry)
             logs.event(
                 "answer-broke-off", id=self._req.frame.request_id, why=exc.reason
             )
 
-    def _retry_failure(self, verdict: Verdict) -> Verdict:
+    def _retry_server_error(self, verdict: Verdict) -> Verdict:
         """Try a server's own failure once more where the request may be repeated."""
         route = self._req.route
-        choice = self._could_move()
-        return Verdict.RETRY if route.repeatable and choice else verdict
+        may_retry = self._may_try_another()
+        return Verdict.RETRY if route.repeatable and may_retry else verdict
 
 
-class _OvertakenError(Exception):
+class _SupersededError(Exception):
     """A server takes the request no more; nothing of it was sent."""
 
 
-class _LeftSilentServerError(Exception):
+class _SilentServerError(Exception):
     """A server was silent for too long and another one can take the request."""
--- a/lacewingcross/gateway/backend_connection.py
+++ b/lacewingcross/gateway/backend_connection.py
@@ -11,17 +11,17 @@
 from ..platform import headers as ph
 from ..sockets import watch_silence
 
-MAX_HEAD = 64 * 1024
+MAX_HEAD_BYTES = 64 * 1024
 # Idle time that a server grants when it names none, in seconds; short, since a server
 # that drops an idle connection ruins the request that is sent on it.
-DEFAULT_KEEP_S = 5.0
+DEFAULT_KEEP_ALIVE_S = 5.0
 # Part of the granted idle time that is used: a request must not cross the close.
-KEEP_SHARE = 0.6
+KEEP_ALIVE_SHARE = 0.6
 # Why no connection could be opened: nothing listens there, or nothing answers.
 REFUSED = "connect-refused"
 UNREACHABLE = "connect-failed"
 # Late answers to earlier requests that are passed over on one connection.
-MAX_STRAYS = 3
+MAX_STRAY_RESPONSES = 3
 
 
 class BackendConnection(asyncio.Protocol):
@@ -33,25 +33,25 @@
     """
 
     __slots__ = (
-        "_answered",
+        "_received_any",
         "_busy",
         "_h11",
         "_request",
         "_waiter",
-        "keep_s",
+        "keep_alive_s",
         "lost",
         "transport",
         "used_at",
     )
 
     def __init__(self) -> None:
-        self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
+        self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         # Whether any byte came since the request was sent.
-        self._answered = False
+        self._received_any = False
         self._busy = False
         self._request: h11.Request | None = None
         self._waiter: asyncio.Future[None] | None = None
-        self.keep_s = DEFAULT_KEEP_S
+        self.keep_alive_s = DEFAULT_KEEP_ALIVE_S
         self.lost = ""
         self.transport: asyncio.Transport | None = None
         self.used_at = 0.0
@@ -83,7 +83,7 @@
             self.lost = "surplus-bytes"
             self.transport.abort()
             return
-        self._answered = True
+        self._received_any = True
         self._feed(data)
 
     def eof_received(self) -> bool:
@@ -117,7 +117,7 @@
         """Write a request's head and body; `end` tells that the body is whole."""
         if self.lost or self.transport.is_closing():
             raise HttpError("stale", sent=False)
-        self._answered = False
+        self._received_any = False
         self._busy = True
         self._request = request
         try:
@@ -138,13 +138,13 @@
 
     async def read_head(self, request_id: bytes) -> ResponseHead:
         """Read the head of the answer to `request_id`."""
-        for _ in range(MAX_STRAYS):
+        for _ in range(MAX_STRAY_RESPONSES):
             head = await self._read_any_head()
-            named = hd.find(head.headers, ph.REQUEST_ID).encode("latin-1")
-            if not named or named == request_id:
-                self._learn_keep(head)
+            named_id = hd.find(head.headers, ph.REQUEST_ID).encode("latin-1")
+            if not named_id or named_id == request_id:
+                self._read_keep_alive(head)
                 return head
-            await self._pass_over()
+            await self._skip_response()
         raise HttpError("stray-answers", sent=True)
 
     async def _read_any_head(self) -> ResponseHead:
@@ -155,7 +155,7 @@
             if not isinstance(event, h11.InformationalResponse):
                 raise HttpError("closed-early", sent=True)
 
-    async def _pass_over(self) -> None:
+    async def _skip_response(self) -> None:
         """Drop the rest of an answer to another request and wait for the next one."""
         while not isinstance(await self._next(), h11.EndOfMessage):
             pass
@@ -181,7 +181,9 @@
             try:
                 event = self._h11.next_event()
             except h11.RemoteProtocolError as exc:
-                raise HttpError(self._fault(), sent=True, detail=repr(exc)) from exc
+                raise HttpError(
+                    self._protocol_error_reason(), sent=True, detail=repr(exc)
+                ) from exc
             if event is not h11.NEED_DATA:
                 return event
             if self.lost:
@@ -189,14 +191,14 @@
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
 
-    def _fault(self) -> str:
+    def _protocol_error_reason(self) -> str:
         """Tell a connection that ended without a word from an answer that is none."""
-        return "not-http" if self._answered else self.lost or "not-http"
+        return "not-http" if self._received_any else self.lost or "not-http"
 
-    def _learn_keep(self, head: ResponseHead) -> None:
+    def _read_keep_alive(self, head: ResponseHead) -> None:
         granted = hd.find(head.headers, b"keep-alive").partition("timeout=")[2]
         digits = granted.partition(",")[0].strip()
-        self.keep_s = float(digits) if digits.isdigit() else DEFAULT_KEEP_S
+        self.keep_alive_s = float(digits) if digits.isdigit() else DEFAULT_KEEP_ALIVE_S
 
     # Reuse
 
@@ -211,10 +213,12 @@
         self._busy = False
         return True
 
-    def fresh(self, now: float, most_s: float) -> bool:
+    def fresh(self, now: float, max_idle_s: float) -> bool:
         """Tell whether a request may be sent on the connection after its idle time."""
         idle_s = now - self.used_at
-        return not self.lost and idle_s < min(most_s, self.keep_s * KEEP_SHARE)
+        return not self.lost and idle_s < min(
+            max_idle_s, self.keep_alive_s * KEEP_ALIVE_SHARE
+        )
 
     def close(self) -> None:
         """Drop the connection."""
--- a/lacewingcross/gateway/backends.py
+++ b/lacewingcross/gateway/backends.py
@@ -15,7 +15,7 @@
 UNREPEATABLE_IDLE_S = 2.0
 REPEATABLE_IDLE_S = 60.0
 # Connections to one server that this host may hold when nothing is declared.
-DEFAULT_LIMIT = 30
+DEFAULT_CONNECTION_LIMIT = 30
 CONNECTION_LIMIT = "connection-limit"
 
 
@@ -37,9 +37,11 @@
         self._on_open = on_open
         self._idle: dict[Incarnation, list[BackendConnection]] = defaultdict(list)
         self._open: dict[Incarnation, int] = defaultdict(int)
-        self.limit: Callable[[str], int] = lambda service: DEFAULT_LIMIT
+        self.limit: Callable[[str], int] = lambda service: DEFAULT_CONNECTION_LIMIT
 
-    async def take(self, server: ServerEntry, *, repeatable: bool) -> BackendConnection:
+    async def acquire(
+        self, server: ServerEntry, *, repeatable: bool
+    ) -> BackendConnection:
         """Return an idle connection or open a new one.
 
         Failure: a server drops an idle connection in the moment we write on it; what
@@ -52,12 +54,12 @@
             With ``sent=False``.
         """
         idle = self._idle[server.incarnation]
-        most_s = REPEATABLE_IDLE_S if repeatable else UNREPEATABLE_IDLE_S
+        max_idle_s = REPEATABLE_IDLE_S if repeatable else UNREPEATABLE_IDLE_S
         while idle:
             conn = idle.pop()
-            if conn.fresh(self._now(), most_s):
+            if conn.fresh(self._now(), max_idle_s):
                 return conn
-            self.drop(server, conn)
+            self.discard(server, conn)
         return await self._open_new(server)
 
     async def open_spare(self, server: ServerEntry, settle_s: float) -> bool:
@@ -79,7 +81,7 @@
         conn = await self._open_new(server)
         await asyncio.sleep(settle_s)
         if conn.lost:
-            self.drop(server, conn)
+            self.discard(server, conn)
             return False
         conn.used_at = self._now()
         self._idle[server.incarnation].append(conn)
@@ -105,25 +107,25 @@
         idle = self._idle[server.incarnation]
         for conn in [conn for conn in idle if conn.lost]:
             idle.remove(conn)
-            self.drop(server, conn)
+            self.discard(server, conn)
 
-    def give_back(self, server: ServerEntry, conn: BackendConnection) -> None:
+    def release(self, server: ServerEntry, conn: BackendConnection) -> None:
         """Keep a connection whose exchange is whole; close any other."""
         if conn.reusable():
             conn.used_at = self._now()
             self._idle[server.incarnation].append(conn)
         else:
-            self.drop(server, conn)
+            self.discard(server, conn)
 
-    def put_back(self, server: ServerEntry, conn: BackendConnection) -> None:
+    def release_unused(self, server: ServerEntry, conn: BackendConnection) -> None:
         """Keep a connection on which nothing was sent; it stays as idle as it was."""
         conn.used_at = conn.used_at or self._now()
         if conn.lost:
-            self.drop(server, conn)
+            self.discard(server, conn)
         else:
             self._idle[server.incarnation].append(conn)
 
-    def drop(self, server: ServerEntry, conn: BackendConnection) -> None:
+    def discard(self, server: ServerEntry, conn: BackendConnection) -> None:
         """Close a connection."""
         conn.close()
         self._open[server.incarnation] -= 1
--- a/lacewingcross/gateway/callers.py
+++ b/lacewingcross/gateway/callers.py
@@ -9,7 +9,7 @@
 from .request import RequestRun
 
 # Descriptors kept free of callers' connections: backend servers, peers, the platform.
-SPARE_DESCRIPTORS = 900
+RESERVED_DESCRIPTORS = 900
 SWEEP_S = 1.0
 
 
@@ -27,13 +27,13 @@
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
         self.running = 0
-        most = max(64, gateway.cfg.max_descriptors - SPARE_DESCRIPTORS)
+        limit = max(64, gateway.cfg.max_descriptors - RESERVED_DESCRIPTORS)
         self.server = HttpServer(
             self._handle,
             gateway.now,
-            max_connections=most,
-            max_connections_each=most,
-            on_bad_input=lambda why: gateway.metrics.count(f"bad-input.{why}"),
+            max_connections=limit,
+            max_connections_each=limit,
+            on_bad_input=lambda reason: gateway.metrics.count(f"bad-input.{reason}"),
         )
 
     async def run(self) -> None:
--- a/lacewingcross/gateway/context.py
+++ b/lacewingcross/gateway/context.py
@@ -20,7 +20,7 @@
 
 # Time after its start at which a host that cannot read the list of hosts goes by what
 # it knows without it, in seconds: reading it takes 10 ms, 250 when the store is slow.
-UNLISTED_MOST_S = 1.0
+MAX_UNLISTED_S = 1.0
 
 
 class Gateway:
@@ -43,7 +43,7 @@
     __slots__ = (
         "_clock",
         "_hosts_changed",
-        "_numbers",
+        "_attempt_ids",
         "_started_at",
         "backends",
         "cfg",
@@ -91,7 +91,7 @@
         self._clock = clock
         self._started_at = clock.monotonic()
         self._hosts_changed = asyncio.Event()
-        self._numbers = itertools.count(1)
+        self._attempt_ids = itertools.count(1)
 
     def now(self) -> float:
         """Return the monotonic time in seconds."""
@@ -115,23 +115,23 @@
         Failure: all hosts start together. Each knows only itself at first and would
         read everything from the store; by the list of hosts it is one that does.
         """
-        waits = now - self._started_at < UNLISTED_MOST_S and not self.roster.listed
-        self.rank = None if waits else rank(self.roster, now)
+        awaits_list = now - self._started_at < MAX_UNLISTED_S and not self.roster.listed
+        self.rank = None if awaits_list else rank(self.roster, now)
 
     def hosts_changed(self) -> None:
         """Have the links to other hosts reviewed at once."""
         self._hosts_changed.set()
 
-    async def wait_for_hosts(self, most_s: float) -> None:
-        """Wait until `hosts_changed` was called, `most_s` seconds at most."""
+    async def wait_for_hosts(self, timeout_s: float) -> None:
+        """Wait until `hosts_changed` was called, `timeout_s` seconds at most."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(most_s):
+            async with asyncio.timeout(timeout_s):
                 await self._hosts_changed.wait()
         self._hosts_changed.clear()
 
-    def next_attempt(self) -> int:
+    def next_attempt_id(self) -> int:
         """Return a number for an attempt, unique in this process."""
-        return next(self._numbers)
+        return next(self._attempt_ids)
 
     def closing_headers(self) -> hd.HeaderList:
         """Return what tells callers to open their next connection elsewhere."""
--- a/lacewingcross/gateway/credentials.py
+++ b/lacewingcross/gateway/credentials.py
@@ -6,7 +6,7 @@
 
 SCHEME = "bearer"
 # Longer keys are refused unread: operators' are some twenty characters long.
-KEY_MOST = 512
+MAX_KEY_CHARS = 512
 # The characters of a bearer token (RFC 6750).
 _TOKEN = re.compile(r"[A-Za-z0-9\-._~+/]+=*")
 
@@ -37,8 +37,8 @@
     key = key.strip()
     if scheme.lower() != SCHEME:
         raise CredentialsError("expected a bearer token")
-    if len(key) > KEY_MOST or not _TOKEN.fullmatch(key):
+    if len(key) > MAX_KEY_CHARS or not _TOKEN.fullmatch(key):
         raise CredentialsError(
-            f"expected a bearer token of at most {KEY_MOST} characters"
+            f"expected a bearer token of at most {MAX_KEY_CHARS} characters"
         )
     return key
--- a/lacewingcross/gateway/forwarding.py
+++ b/lacewingcross/gateway/forwarding.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class OnBehalf:
+class CallerAccount:
     """For whom a request is sent on.
 
     Where accounts are in force, credentials are keys of accounts: secrets between
@@ -33,7 +33,7 @@
     Without accounts, credentials travel on like any other header.
     """
 
-    keyed: bool = False
+    has_accounts: bool = False
     account: str = ""
 
     def credentials(self, head: RequestHead) -> str:
@@ -42,7 +42,7 @@
         All keys of an account are one caller's; and no fingerprint, which is kept, is
         made of a key.
         """
-        if self.keyed:
+        if self.has_accounts:
             return self.account
         return hd.find(head.headers, hd.AUTHORIZATION)
 
@@ -51,8 +51,8 @@
     head: RequestHead,
     body: CallerBody,
     server_id: str,
-    left_s: float,
-    on_behalf: OnBehalf,
+    time_left_s: float,
+    caller_account: CallerAccount,
 ) -> h11.Request:
     """Return the head of a caller's request as one incarnation of a server gets it.
 
@@ -73,23 +73,23 @@
         item
         for item in hd.without_hop_by_hop(head.headers)
         if item[0] not in OWN_REQUEST_HEADERS
-        and not (on_behalf.keyed and item[0] == hd.AUTHORIZATION)
+        and not (caller_account.has_accounts and item[0] == hd.AUTHORIZATION)
     ]
-    if on_behalf.account:
-        fields.append((ph.ACCOUNT, on_behalf.account.encode()))
-    fields.append((ph.REMAINING_MS, str(max(1, int(left_s * 1000))).encode()))
+    if caller_account.account:
+        fields.append((ph.ACCOUNT, caller_account.account.encode()))
+    fields.append((ph.REMAINING_MS, str(max(1, int(time_left_s * 1000))).encode()))
     fields.append((ph.EXPECTED_INCARNATION, server_id.encode()))
     fields += _framing(head, body)
     return h11.Request(method=head.method, target=head.target, headers=fields)
 
 
 def identity_of(
-    frame: Frame, head: RequestHead, body: CallerBody, on_behalf: OnBehalf
+    frame: Frame, head: RequestHead, body: CallerBody, caller_account: CallerAccount
 ) -> RequestIdentity:
     """Return what a request has in common with its repeats, besides its body."""
     declared = hd.find(head.headers, hd.CONTENT_LENGTH)
-    length = body.size if body.whole else int(declared or 0)
-    credentials = on_behalf.credentials(head)
+    length = body.size if body.complete else int(declared or 0)
+    credentials = caller_account.credentials(head)
     return RequestIdentity(
         head.method, frame.host_name, head.target, credentials, length
     )
@@ -98,7 +98,7 @@
 def _framing(head: RequestHead, body: CallerBody) -> hd.HeaderList:
     """Return the header that frames the body: its length, unless nobody knows it."""
     length = hd.find(head.headers, hd.CONTENT_LENGTH).encode()
-    if not body.whole:
+    if not body.complete:
         if length:
             return [(hd.CONTENT_LENGTH, length)]
         return [(hd.TRANSFER_ENCODING, b"chunked")]
--- a/lacewingcross/gateway/pages.py
+++ b/lacewingcross/gateway/pages.py
@@ -22,7 +22,7 @@
 TEXT_TYPE = (b"content-type", b"text/plain")
 UNKNOWN_PATH = b'{"error":"unknown-path"}'
 
-Answer = Callable[[Gateway, Exchange], Awaitable[None]]
+PageHandler = Callable[[Gateway, Exchange], Awaitable[None]]
 
 
 class PageListener:
@@ -38,12 +38,12 @@
         Answers each request.
     """
 
-    __slots__ = ("_address", "_answer", "_gateway")
+    __slots__ = ("_address", "_respond", "_gateway")
 
-    def __init__(self, gateway: Gateway, address: str, answer: Answer) -> None:
+    def __init__(self, gateway: Gateway, address: str, respond_to: PageHandler) -> None:
         self._gateway = gateway
         self._address = address
-        self._answer = answer
+        self._respond = respond_to
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -56,28 +56,28 @@
             await server.close()
 
     async def _handle(self, exchange: Exchange) -> None:
-        await self._answer(self._gateway, exchange)
+        await self._respond(self._gateway, exchange)
 
 
 async def answer_lookup(gateway: Gateway, exchange: Exchange) -> None:
     """Tell a caller which entry hosts to use."""
-    question = decode_question(exchange.head.target)
-    if question is None:
+    lookup = decode_question(exchange.head.target)
+    if lookup is None:
         gateway.metrics.count("lookups.unknown-path")
         await exchange.respond(404, JSON_TYPE, UNKNOWN_PATH)
         return
     table = gateway.steering.table
-    homes = table.home_regions(question.host_name) if table else frozenset()
+    homes = table.home_regions(lookup.host_name) if table else frozenset()
     now = gateway.now()
     addresses = addresses_for(
-        gateway.roster, question.region, homes, now, question.failure_domain
+        gateway.roster, lookup.region, homes, now, lookup.failure_domain
     )
     gateway.metrics.count("lookups.answered")
     logs.event(
         "lookup-answered",
         "DEBUG",
-        name=question.host_name,
-        region=question.region,
+        name=lookup.host_name,
+        region=lookup.region,
         addresses=len(addresses),
     )
     body = encode_answer(addresses, LOOKUP_TTL_S)
--- a/lacewingcross/gateway/reply.py
+++ b/lacewingcross/gateway/reply.py
@@ -13,11 +13,11 @@
 from .forwarding import answer_for_caller
 
 # What a 401 must say (RFC 9110): the kind of credentials that is expected.
-ASK_FOR_KEY = (b"www-authenticate", b"Bearer")
+BEARER_CHALLENGE = (b"www-authenticate", b"Bearer")
 
 
 @dataclass(slots=True, frozen=True)
-class Final:
+class HostAnswer:
     """A final answer of this host's own."""
 
     status: int
@@ -40,7 +40,7 @@
     __slots__ = (
         "_exchange",
         "_gateway",
-        "_started",
+        "_started_at",
         "account",
         "attempts",
         "request_id",
@@ -51,7 +51,7 @@
     def __init__(self, gateway: Gateway, exchange: Exchange) -> None:
         self._gateway = gateway
         self._exchange = exchange
-        self._started = gateway.now()
+        self._started_at = gateway.now()
         self.attempts = 0
         self.request_id = ""
         self.account = ""
@@ -62,9 +62,9 @@
         """Send the server's answer to the caller as it is."""
         head = answer.head
         fields = answer_for_caller(head) + self._gateway.closing_headers()
-        if answer.whole:
+        if answer.complete:
             await self._exchange.respond(head.status, fields, answer.body)
-            self.note("answered", head.status)
+            self.log_end("answered", head.status)
             return
         try:
             await self._stream(run, answer, fields)
@@ -72,8 +72,8 @@
             # Part of the answer is with the caller; only a broken connection tells it
             # that the rest will not come.
             self._exchange.abort()
-            run.let_go(whole=False)
-            self.note("broken-off", head.status)
+            run.release_connection(complete=False)
+            self.log_end("broken-off", head.status)
             raise
 
     async def _stream(
@@ -87,10 +87,10 @@
         while part := await run.read_more():
             await self._exchange.send_body(part)
         self._exchange.finish()
-        run.let_go(whole=True)
-        self.note("answered", answer.head.status)
+        run.release_connection(complete=True)
+        self.log_end("answered", answer.head.status)
 
-    async def finish(self, final: Final) -> None:
+    async def finish(self, host_answer: HostAnswer) -> None:
         """Send a final answer of our own."""
         if self._exchange.started:
             self._exchange.abort()
@@ -98,19 +98,27 @@
         fields = [*JSON_TYPE]
         if self.request_id:
             fields.append((ph.REQUEST_ID, self.request_id.encode("latin-1")))
-        if final.retry_after_s:
-            pause = f"{final.retry_after_s:.3f}".encode()
-            fields.append((hd.RETRY_AFTER, pause))
-        if final.status == 401:
-            fields.append(ASK_FOR_KEY)
+        if host_answer.retry_after_s:
+            retry_after = f"{host_answer.retry_after_s:.3f}".encode()
+            fields.append((hd.RETRY_AFTER, retry_after))
+        if host_answer.status == 401:
+            fields.append(BEARER_CHALLENGE)
         fields += self._gateway.closing_headers()
-        self.note(final.reason, final.status, final.retry_after_s, final.detail)
+        self.log_end(
+            host_answer.reason,
+            host_answer.status,
+            host_answer.retry_after_s,
+            host_answer.detail,
+        )
         body = (
-            json.dumps({"error": final.reason, "detail": final.detail}).encode() + b"\n"
+            json.dumps(
+                {"error": host_answer.reason, "detail": host_answer.detail}
+            ).encode()
+            + b"\n"
         )
-        await self._exchange.respond(final.status, fields, body)
+        await self._exchange.respond(host_answer.status, fields, body)
 
-    def note(
+    def log_end(
         self,
         outcome: str,
         status: int = 0,
@@ -118,10 +126,10 @@
         detail: str = "",
     ) -> None:
         """Write the line that ends the request, and count it."""
-        took = self._gateway.now() - self._started
+        duration_s = self._gateway.now() - self._started_at
         metrics = self._gateway.metrics
         metrics.count(f"requests.{status}.{outcome}")
-        metrics.observe("request", took)
+        metrics.observe("request", duration_s)
         logs.event(
             "request-ended",
             id=self.request_id,
@@ -131,7 +139,7 @@
             outcome=outcome,
             status=status,
             attempts=self.attempts,
-            took_ms=int(took * 1000),
+            took_ms=int(duration_s * 1000),
             retry_after_ms=int(retry_after_s * 1000),
             detail=detail,
         )
--- a/lacewingcross/gateway/request.py
+++ b/lacewingcross/gateway/request.py
@@ -7,17 +7,17 @@
 from ..core.routes import Route
 from ..core.terms import Terms
 from ..http1_exchange import CallerGoneError, Exchange
-from .admission import check
+from .admission import check_request
 from .attempt import CallerBody
-from .attempt_series import READ_AHEAD, AttemptSeries
+from .attempt_series import READ_AHEAD_BYTES, AttemptSeries
 from .context import Gateway
 from .frame import Frame, FrameError, read_frame
-from .reply import Final, Reply
+from .reply import HostAnswer, Reply
 from .routed_request import RoutedRequest
 
 # A caller stops waiting at its deadline; answers leave this much earlier, in seconds,
 # to arrive in time (one way to callers is a few milliseconds).
-ANSWER_EARLY_S = 0.01
+DEADLINE_MARGIN_S = 0.01
 
 
 class RequestRun:
@@ -32,12 +32,12 @@
     """
 
     __slots__ = (
-        "_counted",
+        "_quota_counted",
         "_exchange",
         "_gateway",
         "_reply",
         "_series",
-        "_started",
+        "_started_at",
         "_task",
     )
 
@@ -45,8 +45,8 @@
         self._gateway = gateway
         self._exchange = exchange
         # Whether the request was counted for its account.
-        self._counted = False
-        self._started = gateway.now()
+        self._quota_counted = False
+        self._started_at = gateway.now()
         self._series: AttemptSeries | None = None
         self._task: asyncio.Task[None] | None = None
         self._reply = Reply(gateway, exchange)
@@ -56,11 +56,11 @@
         try:
             frame = read_frame(self._exchange)
         except FrameError as exc:
-            await self._reply.finish(Final(400, "bad-frame", detail=str(exc)))
+            await self._reply.finish(HostAnswer(400, "bad-frame", detail=str(exc)))
             return
         self._reply.request_id = frame.request_id
-        permit = check(self._gateway.steering.table, frame, self._exchange.head)
-        if isinstance(permit, Final):
+        permit = check_request(self._gateway.steering.table, frame, self._exchange.head)
+        if isinstance(permit, HostAnswer):
             await self._reply.finish(permit)
             return
         self._reply.route = permit.route.name
@@ -70,26 +70,26 @@
             frame,
             permit.route,
             permit.terms,
-            permit.on_behalf,
+            permit.caller_account,
             CallerBody(self._exchange, []),
-            self._started + _allowed_s(permit.route, frame),
+            self._started_at + _time_allowed_s(permit.route, frame),
         )
         self._series = AttemptSeries(self._gateway, req, self._reply)
         self._task = asyncio.current_task()
-        self._exchange.on_gone = self._caller_gone
+        self._exchange.on_gone = self._on_caller_gone
         try:
-            if await self._within_quota(permit.terms):
-                await self._steer(req)
+            if await self._admitted_by_quota(permit.terms):
+                await self._serve(req)
         except CallerGoneError:
-            self._reply.note("caller-gone")
+            self._reply.log_end("caller-gone")
         except asyncio.CancelledError:
-            if not self._series.gone:
+            if not self._series.caller_gone:
                 raise
-            self._reply.note("caller-gone")
+            self._reply.log_end("caller-gone")
         finally:
-            self._settle_quota(permit.terms)
+            self._refund_quota(permit.terms)
 
-    async def _within_quota(self, terms: Terms) -> bool:
+    async def _admitted_by_quota(self, terms: Terms) -> bool:
         """Have the request counted for its account; refuse it if that has no credit.
 
         This comes before anything is placed or queued, so a refused request has not
@@ -98,61 +98,61 @@
         if terms.account is None or terms.account.quota is None:
             return True
         gateway = self._gateway
-        found = await gateway.quota_admission.admit(terms.account_name)
-        if found.outcome is Outcome.ADMITTED:
-            self._counted = True
+        decision = await gateway.quota_admission.admit(terms.account_name)
+        if decision.outcome is Outcome.ADMITTED:
+            self._quota_counted = True
             return True
         logs.event(
             "quota-refused",
             id=self._reply.request_id,
             account=terms.account_name,
             config=gateway.steering.table.config.version,
-            keeper=found.keeper,
-            debt=found.debt,
-            debt_most=found.debt_most,
-            age_ms=int(min(9999, 1000 * found.age_s)),
-            retry_after_ms=int(1000 * found.retry_after_s),
+            keeper=decision.keeper,
+            debt=decision.debt,
+            debt_most=decision.debt_most,
+            age_ms=int(min(9999, 1000 * decision.age_s)),
+            retry_after_ms=int(1000 * decision.retry_after_s),
         )
-        await self._reply.finish(Final(429, "over-quota", found.retry_after_s))
+        await self._reply.finish(HostAnswer(429, "over-quota", decision.retry_after_s))
         return False
 
-    def _settle_quota(self, terms: Terms) -> None:
+    def _refund_quota(self, terms: Terms) -> None:
         """Give the credit back if no server can have run the request."""
-        if self._counted and not self._series.may_have_run:
+        if self._quota_counted and not self._series.may_have_run:
             self._gateway.quota_admission.cancel(terms.account_name)
 
-    def _caller_gone(self) -> None:
+    def _on_caller_gone(self) -> None:
         """Stop working for a caller that has left.
 
         A booking that a server has begun is left to end there: cutting it in the
         middle could leave it half done, and nobody would hear of it.
         """
-        self._series.gone = True
-        if self._series.may_stop():
+        self._series.caller_gone = True
+        if self._series.may_be_cancelled():
             self._task.cancel()
 
-    async def _steer(self, req: RoutedRequest) -> None:
-        answer = None
+    async def _serve(self, req: RoutedRequest) -> None:
+        host_answer = None
         try:
-            async with asyncio.timeout(req.left_s(self._gateway.now())):
-                await req.body.gather(READ_AHEAD)
-                answer = await self._series.run()
+            async with asyncio.timeout(req.time_left_s(self._gateway.now())):
+                await req.body.read_ahead(READ_AHEAD_BYTES)
+                host_answer = await self._series.run()
         except TimeoutError:
-            answer = self._out_of_time(req)
-        if isinstance(answer, Final):
-            await self._reply.finish(answer)
+            host_answer = self._timeout_answer(req)
+        if isinstance(host_answer, HostAnswer):
+            await self._reply.finish(host_answer)
 
-    def _out_of_time(self, req: RoutedRequest) -> Final:
+    def _timeout_answer(self, req: RoutedRequest) -> HostAnswer:
         """Tell apart what may have run from what cannot have."""
         if self._series.may_have_run:
-            return Final(504, "timed-out")
-        if not req.body.whole and not self._series.attempts:
-            return Final(408, "body-timeout")
-        return Final(503, "timed-out-unsent", 0.1)
+            return HostAnswer(504, "timed-out")
+        if not req.body.complete and not self._series.attempts:
+            return HostAnswer(408, "body-timeout")
+        return HostAnswer(503, "timed-out-unsent", 0.1)
 
 
-def _allowed_s(route: Route, frame: Frame) -> float:
+def _time_allowed_s(route: Route, frame: Frame) -> float:
     """Return how long a request may take on this host, in seconds."""
     if not frame.remaining_s:
         return route.timeout_s
-    return min(route.timeout_s, frame.remaining_s - ANSWER_EARLY_S)
+    return min(route.timeout_s, frame.remaining_s - DEADLINE_MARGIN_S)
--- a/lacewingcross/gateway/routed_request.py
+++ b/lacewingcross/gateway/routed_request.py
@@ -6,7 +6,7 @@
 from ..core.terms import Terms
 from ..http1_exchange import Exchange
 from .attempt import CallerBody
-from .forwarding import OnBehalf
+from .forwarding import CallerAccount
 from .frame import Frame
 
 
@@ -18,10 +18,10 @@
     frame: Frame
     route: Route
     terms: Terms
-    on_behalf: OnBehalf
+    caller_account: CallerAccount
     body: CallerBody
     deadline: float
 
-    def left_s(self, now: float) -> float:
+    def time_left_s(self, now: float) -> float:
         """Return the time until the deadline, in seconds."""
         return max(0.0, self.deadline - now)
--- a/tests/test_backend_connection.py
+++ b/tests/test_backend_connection.py
@@ -218,13 +218,13 @@
         opened = []
         backends = Backends(time.monotonic, lambda: opened.append(1))
         backends.limit = lambda service: 2
-        kept = [await backends.take(entry, repeatable=True) for _ in range(2)]
+        kept = [await backends.acquire(entry, repeatable=True) for _ in range(2)]
         with pytest.raises(HttpError) as caught:
-            await backends.take(entry, repeatable=True)
+            await backends.acquire(entry, repeatable=True)
         assert caught.value.reason == CONNECTION_LIMIT
         assert not caught.value.sent
-        backends.drop(entry, kept[0])
-        backends.drop(entry, await backends.take(entry, repeatable=True))
+        backends.discard(entry, kept[0])
+        backends.discard(entry, await backends.acquire(entry, repeatable=True))
         assert len(opened) == 3
         await server.close()
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -20,14 +20,14 @@
     async def check():
         server = await ScriptedServer(None).start()
         backends = Backends(lambda: 1.0, lambda: None)
-        before = await backends.take(entry(server.address, 1), repeatable=False)
-        before.used_at = 1.0
-        backends._idle[entry(server.address, 1).incarnation].append(before)
-        after = await backends.take(entry(server.address, 2), repeatable=False)
-        assert after is not before
-        again = await backends.take(entry(server.address, 1), repeatable=False)
-        assert again is before
-        after.close()
+        earlier = await backends.acquire(entry(server.address, 1), repeatable=False)
+        earlier.used_at = 1.0
+        backends._idle[entry(server.address, 1).incarnation].append(earlier)
+        later = await backends.acquire(entry(server.address, 2), repeatable=False)
+        assert later is not earlier
+        again = await backends.acquire(entry(server.address, 1), repeatable=False)
+        assert again is earlier
+        later.close()
         again.close()
         await server.close()
 
--- a/tests/test_leaving_gateway.py
+++ b/tests/test_leaving_gateway.py
@@ -17,7 +17,7 @@
     # and sent to a server, which ran it, and the caller got neither answer nor refusal.
     # Evidence: the host's own lines, `host-stopped ... cut=0` and, a millisecond later,
     # the `request-placed` of that booking.
-    monkeypatch.setattr(gateway_app, "SERVE_ON_S", 0.2)
+    monkeypatch.setattr(gateway_app, "ACCEPT_WHILE_LEAVING_S", 0.2)
     monkeypatch.setattr(ServerConnection, "close_if_idle", lambda self: None)
 
     async def works(received, writer):
