--- a/lacewingcross/gateway/attempt.py
+++ b/lacewingcross/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""Carries out one attempt of a request at one backend server."""
+"""One attempt of a request at one backend server."""
 
 from dataclasses import dataclass
 
@@ -13,17 +13,18 @@
 from .backend_connection import BackendConnection
 from .backends import Backends
 
-# An answer up to this size is read whole before any of it goes to the caller, so that
-# a spoilt one can be tried again; a larger one is passed on as it comes.
+# A response up to this size is read completely before any of it goes to the caller, so
+# that the request can be tried again if the response is invalid. A larger one is
+# forwarded as it arrives.
 MAX_BUFFERED_BYTES = 256 * 1024
 MISDIRECTED = 421
-# Statuses from here on are the server's own failures.
+# Statuses from this one on are the server's own errors.
 MIN_SERVER_ERROR = 500
 
 
 @dataclass(slots=True)
 class Answer:
-    """A backend server's answer; `complete` is False when more is still to come."""
+    """A backend server's response; `complete` is False while more of it is expected."""
 
     head: ResponseHead
     body: bytes
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True)
 class CallerBody:
-    """The caller's body: what was read, and whether that is all of it."""
+    """What was read of the caller's body; `complete` is True when that is all of it."""
 
     exchange: Exchange
     parts: list[bytes]
@@ -40,7 +41,7 @@
     complete: bool = False
 
     async def read_ahead(self, max_bytes: int) -> None:
-        """Read up to `max_bytes` bytes ahead."""
+        """Read the body until it is complete or longer than `max_bytes`."""
         while self.size <= max_bytes:
             part = await self.exchange.read()
             if not part:
@@ -51,20 +52,20 @@
 
 
 class InvalidResponseError(Exception):
-    """The answer cannot be the server's own whole answer to this request."""
+    """The response is not the server's own complete response to this request."""
 
 
 class AttemptRun:
-    """One attempt.
+    """Sends one request to one server and reads the response.
 
     Parameters
     ----------
     backends : Backends
-        Connections.
+        Connections to backend servers.
     server : Server
-        Where to send the request.
+        The server to send the request to.
     attempt : Attempt
-        What is known of it; the first byte written is noted here.
+        State of the attempt; it records when the first byte is written.
     body : CallerBody
         The caller's body.
     repeatable : bool
@@ -99,20 +100,26 @@
         self.server = server
 
     async def connect(self) -> None:
-        """Take a connection; raise HttpError when there is none."""
+        """Acquire a connection.
+
+        Raises
+        ------
+        HttpError
+            With ``sent=False`` when there is no connection.
+        """
         self._conn = await self._backends.acquire(
             self.server.entry, repeatable=self._repeatable
         )
 
     def send(self, request: h11.Request) -> None:
-        """Send the request, and as much of its body as was read."""
+        """Send the request and the part of its body that was read so far."""
         self.attempt.first_byte_written()
         self._conn.send_request(request, self._body.parts, end=self._body.complete)
 
     async def send_rest(self) -> None:
-        """Send the part of a large body that is still with the caller.
+        """Read the rest of a large body from the caller and send it.
 
-        An answer that comes before the end waits until the body is through.
+        A response that arrives earlier is read only after the whole body was sent.
         """
         while not self._body.complete:
             part = await self._body.exchange.read()
@@ -120,11 +127,11 @@
             self._conn.send_more(part)
 
     async def read_head(self, request_id: bytes) -> ResponseHead:
-        """Wait for the head of the answer."""
+        """Wait for the head of the response."""
         return await self._conn.read_head(request_id)
 
     async def read_body(self, head: ResponseHead) -> Answer:
-        """Read the answer's body, or its beginning when it is large."""
+        """Read the response body, or only its beginning when it is large."""
         parts = []
         size = 0
         while size <= MAX_BUFFERED_BYTES:
@@ -136,21 +143,21 @@
         return Answer(head, b"".join(parts), complete=False)
 
     async def read_more(self) -> bytes:
-        """Return the next part of a large answer, empty at its end."""
+        """Return the next part of a large response, empty at its end."""
         return await self._conn.read_part()
 
     @property
     def lost(self) -> bool:
-        """Tell whether the server's connection has ended under the attempt."""
+        """Return whether the connection to the server was lost during the attempt."""
         return self._lost or (self._conn is not None and bool(self._conn.lost))
 
     def release_unused(self) -> None:
-        """Keep the connection: nothing was sent on it."""
+        """Pool the connection again; nothing was sent on it."""
         self._backends.release_unused(self.server.entry, self._conn)
         self._conn = None
 
     def release_connection(self, *, complete: bool) -> None:
-        """Keep the connection after a whole exchange, drop it after any other."""
+        """Pool the connection again after a complete exchange, else close it."""
         conn = self._conn
         self._conn = None
         if conn is None:
@@ -163,13 +170,13 @@
 
 
 def classify(answer: Answer) -> Ending:
-    """Return what a whole answer says about the attempt.
+    """Return how an attempt ended, judged by the server's response.
 
     Raises
     ------
     SpoiltAnswerError
-        A success without the server's signature: garbled on the way out, or not from
-        a server at all.
+        The response reports success but lacks the server's signature. It was damaged
+        on its way, or did not come from a backend server.
     """
     head = answer.head
     if head.status == MISDIRECTED or hd.find(head.headers, ph.NOT_RUN):
@@ -183,7 +190,10 @@
 
 
 def reported_load(head: ResponseHead) -> int | None:
-    """Return what the server says runs and waits there, or None."""
+    """Return how many requests the server reports as running or waiting there.
+
+    None if the response does not report it in a readable form.
+    """
     fields = hd.find(head.headers, ph.LOAD).split(",")
     if len(fields) < 2 or not all(text.strip().isdigit() for text in fields[:2]):
         return None
@@ -191,5 +201,5 @@
 
 
 def was_full(answer: Answer, slots: int) -> bool:
-    """Tell whether a server that did not run a request had all its slots taken."""
+    """Return whether all slots were taken at a server that did not run a request."""
     return (reported_load(answer.head) or 0) >= slots
--- a/lacewingcross/gateway/attempt_feedback.py
+++ b/lacewingcross/gateway/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""Takes what attempts show of backend servers into what this host believes."""
+"""Updates what this host assumes about backend servers after each attempt."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 from .backend_connection import REFUSED, UNREACHABLE
 from .context import Gateway
 
-# Ends of attempts that show that the server cannot be reached.
+# Failure reasons that show that the server cannot be reached.
 CONNECT_FAILURES = (REFUSED, UNREACHABLE)
 
 
@@ -42,7 +42,7 @@
 
 
 def record_result(gateway: Gateway, choice: Choice, result: AttemptResult) -> None:
-    """Take the end of an attempt into the evidence, the latencies and the load."""
+    """Record the result of an attempt in the server's health, latency and load."""
     now = gateway.now()
     server = choice.server
     if result.answer is not None:
@@ -78,8 +78,8 @@
     placement = gateway.steering.placement
     ending = result.ending
     if ending is Ending.SERVER_NOT_RUN:
-        # A server that is full sheds rightly; one that sheds with free slots, or whose
-        # address now belongs to another incarnation, is passed over.
+        # A full server sheds requests as it should. A server is skipped when it sheds
+        # with free slots or when its address now belongs to another incarnation.
         full = was_full(result.answer, server.entry.slots)
         evidence.shed(result.attempt_id, now, full=full)
         placement.eligibility.learn_outcome(server.entry.service, failed=not full)
--- a/lacewingcross/gateway/attempt_log.py
+++ b/lacewingcross/gateway/attempt_log.py
@@ -1,4 +1,4 @@
-"""The log lines of one request's attempts."""
+"""Log lines about the attempts of one request."""
 
 from .. import logs
 from ..core.attempts import Attempt, Ending, Verdict
@@ -10,7 +10,7 @@
 
 
 class AttemptLog:
-    """Writes what decided an attempt, and how it ended.
+    """Logs why each server was chosen and how each attempt ended.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
     terms : Terms
         The request's account and rank.
     gateway : Gateway
-        Knows the version of the configuration in force.
+        Gives the version of the configuration in force.
     """
 
     __slots__ = ("_frame", "_gateway", "_terms")
@@ -32,7 +32,19 @@
     def placed(
         self, choice: Choice, attempt_number: int, time_left_s: float, now: float
     ) -> None:
-        """Write which server an attempt goes to, and why."""
+        """Log which server an attempt goes to and why.
+
+        Parameters
+        ----------
+        choice : Choice
+            The server and the estimates that placement based the choice on.
+        attempt_number : int
+            1 for the request's first attempt.
+        time_left_s : float
+            Time until the request's deadline, in seconds.
+        now : float
+            Monotonic time in seconds.
+        """
         server = choice.server
         logs.event(
             "request-placed",
@@ -59,7 +71,7 @@
         )
 
     def superseded(self, attempt: Attempt, time_left_s: float) -> None:
-        """Write that a server takes a request no more, before any of it was sent."""
+        """Log that the chosen server takes no more requests and nothing was sent."""
         logs.event(
             "attempt-overtaken",
             id=self._frame.request_id,
@@ -78,9 +90,10 @@
         time_left_s: float,
         fingerprint: str = "",
     ) -> None:
-        """Write how an attempt ended and what becomes of the request.
+        """Log how an attempt ended and what happens to the request.
 
-        `request` is the request's fingerprint where repeats of it matter.
+        `fingerprint` is given when a server's connection broke during the request:
+        other copies of the same request have the same fingerprint.
         """
         logs.event(
             "attempt-ended",
--- a/lacewingcross/gateway/attempt_series.py
+++ b/lacewingcross/gateway/attempt_series.py
@@ -1,4 +1,4 @@
-"""The attempts of one request at backend servers, until one has answered."""
+"""The series of attempts that one request makes at backend servers."""
 
 import asyncio
 from dataclasses import replace
@@ -23,16 +23,16 @@
 from .routed_request import RoutedRequest
 from .signals import learn_signals
 
-# Bodies up to this size are read before a server is chosen: a caller that sends slowly
-# holds no slot, and the request can be sent to another server.
+# Request bodies up to this size are read before a server is chosen. A caller that sends
+# slowly then holds no slot, and the request can be sent again to another server.
 READ_AHEAD_BYTES = 512 * 1024
-# Least time that is worth another attempt, in seconds.
+# Minimum time to the deadline at which another attempt is made, in seconds.
 MIN_TIME_LEFT_S = 0.03
 QUARANTINED = "quarantined"
 
 
 class AttemptSeries:
-    """Sends one request to servers.
+    """Sends one request to servers until one responds or no further attempt is allowed.
 
     Parameters
     ----------
@@ -41,16 +41,16 @@
     req : RoutedRequest
         The request.
     reply : Reply
-        Takes a server's answer to the caller.
+        Sends a server's response to the caller.
 
     Attributes
     ----------
     attempts : int
-        Attempts that were begun.
+        Attempts that were started and not superseded.
     may_have_run : bool
         Whether a server may have run the request.
     gone : bool
-        Whether the caller has left.
+        Whether the caller has closed its connection.
     """
 
     __slots__ = (
@@ -79,9 +79,12 @@
         )
         self._service = ""
         self._tried: set[str] = set()
+        # Whether the last server shed the request although it had free slots.
         self._shed_with_room = False
+        # Stable code of the last failed attempt.
         self._failure_reason = ""
-        # Whether the last choice came to nothing before anything was sent.
+        # Whether the chosen server could not take the last attempt any more, so that
+        # nothing of the request was sent to it.
         self._superseded = False
         self.attempts = 0
         self.may_have_run = False
@@ -91,11 +94,18 @@
         return self._req.time_left_s(self._gateway.now())
 
     def may_be_cancelled(self) -> bool:
-        """Tell whether nothing is left half done when the request is given up."""
+        """Return whether cancelling the request leaves no work half done."""
         return self._req.route.repeatable or not self.may_have_run
 
     async def run(self) -> HostAnswer | None:
-        """Try servers until one has answered or none may be tried any more."""
+        """Try servers until one responds or no further attempt is allowed.
+
+        Returns
+        -------
+        host_answer : HostAnswer or None
+            What this host answers itself; None when it has nothing to answer, since a
+            server's response was sent or the caller has gone.
+        """
         route = self._req.route
         steering = self._gateway.steering
         self._service = steering.service_for(route, self._req.frame.key)
@@ -128,16 +138,22 @@
                 return HostAnswer(502, self._failure_reason)
 
     def _quarantined(self, refused_for_s: float) -> HostAnswer:
-        """Refuse a request that ends servers until the quarantine is over.
+        """Return the refusal of a request that crashes servers and is quarantined.
+
+        502 means that an earlier attempt of this request may have run. 503 means that
+        the request has not run and will not run; the caller may send it again later.
 
-        A try that has ended one itself may have run; any other has not, and will not.
+        Parameters
+        ----------
+        refused_for_s : float
+            Time after which the caller may send it again, in seconds.
         """
         if self.may_have_run:
             return HostAnswer(502, QUARANTINED)
         return HostAnswer(503, QUARANTINED, refused_for_s)
 
     def _retry_after_s(self) -> float:
-        """Return when the caller should come back, in seconds."""
+        """Return after how many seconds the caller should send the request again."""
         untried_request = replace(self._placement_request(), tried=frozenset())
         return self._gateway.steering.placement.pause_after_shed(
             untried_request, self._gateway.now(), with_room=self._shed_with_room
@@ -210,7 +226,8 @@
             ran = attempt.stage in (Stage.UNKNOWN, Stage.ANSWERED)
             self.may_have_run = ran_before or ran
             placement.ended(server)
-            # An overtaken attempt must not be taken to have failed like the last one.
+            # A superseded attempt must not be recorded with the failure reason of the
+            # attempt before it.
             reason = "" if self._superseded else self._failure_reason
             result = AttemptResult(
                 attempt_id, ending, reason, began_at, answer, self.caller_gone
@@ -223,7 +240,7 @@
         return await self._conclude(run, attempt, ending, answer)
 
     def _undo_attempt(self, attempt: Attempt) -> Verdict:
-        """Take back an attempt that was not sent, since its server wants it no more."""
+        """Undo a superseded attempt; none of it was sent, so it counts as not made."""
         self.attempts -= 1
         self._reply.attempts = self.attempts
         self._tried.discard(attempt.server_id)
@@ -249,7 +266,8 @@
                 req.caller_account,
             )
         )
-        # From here on the server may have run the request, also if we are cancelled.
+        # From here on the server may have run the request, also if this attempt is
+        # cancelled.
         self.may_have_run = True
         request_id = req.frame.request_id.encode("latin-1")
         if not req.body.complete:
@@ -261,15 +279,19 @@
     async def _read_head_in_time(
         self, run: AttemptRun, request_id: bytes
     ) -> ResponseHead:
-        """Wait for the answer's head, and leave a silent server if another can help."""
+        """Wait for the head of the response.
+
+        A request that may be repeated leaves a server after its silence timeout if
+        another server can take it.
+        """
         if not self._req.route.repeatable:
             return await run.read_head(request_id)
         timeout_s = self._gateway.steering.placement.silence_timeout_s(
             self._placement_request()
         )
         while True:
-            # A late answer is worth the same at any moment before the deadline, so the
-            # server keeps all the time that another one would not need.
+            # Any response before the deadline is equally useful. The server gets all of
+            # the time left, except one silence timeout that another server would need.
             wait_s = max(timeout_s, self._time_left_s() - timeout_s)
             try:
                 async with asyncio.timeout(wait_s):
@@ -279,6 +301,7 @@
                     raise _SilentServerError from None
 
     def _may_try_another(self) -> bool:
+        """Return whether time, retry budget and servers allow another attempt."""
         if (
             self.attempts >= self._req.route.max_attempts
             or self._time_left_s() < MIN_TIME_LEFT_S
@@ -345,8 +368,8 @@
         try:
             await self._reply.deliver(run, answer)
         except HttpError as exc:
-            # The caller's connection was broken off: only that tells it that the rest
-            # of a large answer will not come.
+            # `Reply.deliver` has aborted the caller's connection, since only that shows
+            # the caller that the rest of a large response will not come.
             if run.lost:
                 self._repeated.connection_broke(run.server.entry)
             logs.event(
@@ -354,15 +377,15 @@
             )
 
     def _retry_server_error(self, verdict: Verdict) -> Verdict:
-        """Try a server's own failure once more where the request may be repeated."""
+        """Return RETRY after a server's own error if another attempt is allowed."""
         route = self._req.route
         may_retry = self._may_try_another()
         return Verdict.RETRY if route.repeatable and may_retry else verdict
 
 
 class _SupersededError(Exception):
-    """A server takes the request no more; nothing of it was sent."""
+    """The server takes the request no more; nothing of it was sent."""
 
 
 class _SilentServerError(Exception):
-    """A server was silent for too long and another one can take the request."""
+    """The silence timeout has passed and another server can take the request."""
