--- a/lacewingcross/gateway/__main__.py
+++ b/lacewingcross/gateway/__main__.py
@@ -1,7 +1,7 @@
 """Run the entry host's daemon: ``python -m lacewingcross.gateway``.
 
-The command line's libraries are not loaded here: a host would take half as long again
-to start, and more memory.
+The libraries of the command line are not imported here: with them a host would take
+half as long again to start, and more memory.
 """
 
 import sys
--- a/lacewingcross/gateway/admission.py
+++ b/lacewingcross/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Who may be served on this host at all: a request's route and its client account."""
+"""Decides by route and client account whether this host may serve a request."""
 
 from dataclasses import dataclass
 
@@ -12,16 +12,16 @@
 from .frame import Frame
 from .reply import HostAnswer
 
-# When to come back to a host that has no configuration yet, in seconds.
+# Retry-After of a host that has no configuration yet, in seconds.
 NO_CONFIGURATION_RETRY_S = 0.3
-# When to come back if route and account have no region in common, in seconds: only a
-# new configuration helps.
+# Retry-After if route and account have no region in common, in seconds. Only a new
+# configuration can change that.
 NO_COMMON_REGION_RETRY_S = 5.0
 
 
 @dataclass(slots=True, frozen=True)
 class Permit:
-    """A request that may be served, and on which terms."""
+    """The route, terms and client account of a request that may be served."""
 
     route: Route
     terms: Terms
@@ -31,19 +31,20 @@
 def check_request(
     table: RouteTable | None, frame: Frame, head: RequestHead
 ) -> Permit | HostAnswer:
-    """Return on which terms a request may be served, or why it may not.
+    """Return the terms on which a request may be served, or its refusal.
 
     Parameters
     ----------
     table : RouteTable or None
-        The configuration in force; None while this host knows none.
+        The configuration in force; None while this host has none.
     frame : Frame
         The request's frame.
     head : RequestHead
         The request's head.
     """
     if table is None:
-        # Not 401: this host knows neither keys nor whether any are needed.
+        # Not 401: without a configuration this host knows no keys, and not even
+        # whether the route needs one.
         return HostAnswer(503, "no-configuration", NO_CONFIGURATION_RETRY_S)
     route = table.match(frame.host_name, frame.path)
     if route is None:
@@ -64,10 +65,10 @@
 def _identify_account(
     table: RouteTable, route: Route, head: RequestHead
 ) -> ClientAccount | HostAnswer | None:
-    """Return the account of a request, None where nobody is asked for a key.
+    """Return the client account of a request, None if it needs none, or a refusal.
 
-    On a public route a key that is known still says whose request it is; one that is
-    not known, or cannot be read, does not matter there.
+    On a public route a known key still identifies the account. A key that is unknown
+    or unreadable is ignored there.
     """
     accounts = table.config.accounts
     if not accounts:
--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -1,4 +1,4 @@
-"""The root of an entry host on the users' platform: its tree, its start, its end."""
+"""Builds, starts and shuts down an entry host on the users' platform."""
 
 import asyncio
 import gc
@@ -34,53 +34,56 @@
 from .store_follower import HostDirectory, StoreFollower
 
 INCARNATION_BITS = 31
+# Time between reviews of this host's state, in seconds.
 TICK_S = 0.1
-# The same at a host that cannot serve yet, in seconds: callers are told of it as soon
-# as it can.
+# The same while the host cannot serve yet, in seconds. It is shorter so that callers
+# are sent to the host as soon as it can serve.
 START_TICK_S = 0.02
-# Ticks between reviews of shares: they walk all hosts and servers, and move slowly.
+# Ticks between reviews of shares. These reviews iterate over all hosts and servers, and
+# shares change slowly.
 SHARE_REVIEW_TICKS = 5
-# How long a leaving host still takes new connections, in seconds: callers keep a list
+# How long a leaving host still accepts new connections, in seconds. Callers keep a list
 # of hosts for up to three times its lifetime.
 ACCEPT_WHILE_LEAVING_S = 3.2
-# Time kept between the end of the last request and the platform's kill, in seconds.
+# Time between the latest end of a request and the time at which the platform kills the
+# process, in seconds.
 KILL_MARGIN_S = 0.3
 FINISH_POLL_S = 0.02
 # How long a leaving host waits for requests on connections that are still open, in
-# seconds: a packet that was lost on the way comes again within it.
+# seconds. A lost packet is sent again within this time.
 QUIET_BEFORE_CLOSE_S = 0.3
 SETTINGS_POLL_S = 2.0
-# Part of a server's connection limit that all hosts together use.
+# Share of a server's connection limit that all hosts together use.
 CONNECTION_LIMIT_SHARE = 0.8
-# Allocations between collections of the youngest objects. A request leaves few cycles,
-# and a later collection finds as many at once.
+# Allocations between garbage collections of the youngest generation. A request leaves
+# few reference cycles, and rarer collections find as many at once.
 GC_THRESHOLD = 10_000
 
 
 class GatewayApp:
     """One entry host.
 
-    The tree::
+    Its supervisor runs these children::
 
         gateway
         |-- readiness, directory, entry, metrics    listeners
-        |-- peers, tell, seek, quotas               other hosts
+        |-- peers, tell, seek, quotas               messages with other hosts
         |-- config, evacuations, servers,           the store
         |   quarantines, quarantine-store
-        |-- hosts                                   who else is there
-        |-- settings                                the settings file
-        `-- ticker
+        |-- hosts                                   list of entry hosts
+        |-- settings                                settings file
+        `-- ticker                                  periodic reviews
 
     Parameters
     ----------
     cfg : GatewaySettings
-        Settings.
+        Settings of this host.
     settings_path : str
-        File that the settings came from.
+        File that the settings were read from.
     clock : Clock, optional
         Source of time.
     rng : random.Random, optional
-        Source of spreads and of the incarnation.
+        Source of jitter and of the incarnation.
     """
 
     def __init__(
@@ -118,7 +121,7 @@
         )
         self.gateway.backends.limit = self._connection_limit
         self.entry = CallerListener(self.gateway)
-        # Until servers are known, as few hosts as there can be are active.
+        # Until servers are known, the smallest possible number of hosts is active.
         self.gateway.roster.needed = 0.0
         self._settings_path = settings_path
         self._reload = asyncio.Event()
@@ -158,7 +161,7 @@
         await self.gateway.quota_admission.tell(self._peers.send_to)
 
     def _connection_limit(self, service: str) -> int:
-        """Return this host's part of a server's connection limit."""
+        """Return this host's share of a server's connection limit."""
         table = self.gateway.steering.table
         declared = table.config.services.get(service) if table else None
         limit = declared.max_connections if declared else 100
@@ -193,7 +196,7 @@
             logs.event("host-serving", config=gateway.steering.table.config.version)
 
     def _review_shares(self, now: float) -> None:
-        """Review this host's part of what all hosts share, and what callers need."""
+        """Update this host's shares of limits, and the cores that all hosts need."""
         gateway = self.gateway
         steering = gateway.steering
         placement = steering.placement
@@ -217,14 +220,12 @@
         metrics.set_gauge("store.calls", self._store.calls)
         measure_host(self.gateway, now)
 
-    # Settings
-
     def reload(self) -> None:
-        """Read the settings again soon."""
+        """Cause the settings file to be read again at once."""
         self._reload.set()
 
     async def _watch_settings(self) -> None:
-        """Read the settings file again when told, or when it has changed."""
+        """Read the settings file again after `reload`, or when it has changed."""
         modified_at = _modified_at(self._settings_path)
         while True:
             try:
@@ -238,7 +239,7 @@
             self._apply_settings()
 
     def _apply_settings(self) -> None:
-        """Take over the promises and seeds; addresses stay until the next start."""
+        """Apply new bounds and seeds; addresses only change at the next start."""
         try:
             cfg = load_gateway(self._settings_path)
         except SettingsError as exc:
@@ -254,17 +255,15 @@
         self.gateway.quotas.set_bound(bounds.quotas, self.gateway.times())
         logs.event("settings-reloaded", host_id=cfg.host_id)
 
-    # Life
-
     async def run(self, stop: asyncio.Event) -> None:
-        """Run until `stop` is set and every request has had its answer."""
+        """Run until `stop` is set, then finish the requests and shut down."""
         await run_until_stopped(self.root, stop, self._shut_down, self._store.close)
 
     async def _shut_down(self) -> None:
-        """Leave the lists of hosts at once, serve on, finish every request, then end.
+        """Announce the shutdown, go on serving for a while, finish all requests, stop.
 
-        Failure: a host that closes its listener first refuses callers that were sent
-        to it a moment ago; one that ends at once cuts bookings and uploads.
+        Failure: a host that closes its listener first refuses callers that a look-up
+        has just sent to it. A host that stops at once cuts off bookings and uploads.
         """
         gateway = self.gateway
         gateway.roster.leaving = True
@@ -285,13 +284,19 @@
         logs.event("host-stopped", cut=self.entry.running)
 
     async def _wait_for_requests(self, deadline: float) -> None:
-        """Wait until every request has had its answer, `deadline` at most.
-
-        Failure: a connection was being accepted as the listener closed, and no list of
-        open ones had it. Its request comes in the next moment, is sent to a server, and
-        the host, which had found nothing running, ends under it. So a host that still
-        has connections waits until they have been quiet for a while; then it closes
-        them before anything else can begin.
+        """Wait until every request is answered, at most until `deadline`.
+
+        Failure: a connection is being accepted while the listener closes and is not yet
+        in the list of open connections. Its request arrives a moment later and is sent
+        to a server, but the host has found no request running and stops during it.
+        Therefore a host that still has connections waits until they have been quiet
+        for `QUIET_BEFORE_CLOSE_S`, and then closes them before another request can
+        begin.
+
+        Parameters
+        ----------
+        deadline : float
+            Monotonic time in seconds.
         """
         quiet_since = self.gateway.now()
         while (now := self.gateway.now()) < deadline:
@@ -313,17 +318,18 @@
 
 
 def main() -> None:
-    """Run an entry host with the settings that the platform names.
+    """Run an entry host with the settings file that the platform names.
 
     Raises
     ------
     SettingsError
-        With code ``no-settings`` when it names none.
+        With code ``no-settings`` when the platform names none.
     """
     path = settings_path()
     if not path:
         raise SettingsError("no-settings", f"expected {SETTINGS_VARIABLE} to be set")
-    # What is loaded now stays and need not be looked through at each collection.
+    # Objects that exist now stay for the whole run, so the garbage collector need not
+    # examine them in each collection.
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
     asyncio.run(run_gateway(path))
--- a/lacewingcross/gateway/backend_connection.py
+++ b/lacewingcross/gateway/backend_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend server, strict about what belongs to which request."""
+"""One connection to a backend server; it checks which request a response is for."""
 
 import asyncio
 from collections.abc import Iterable
@@ -12,24 +12,38 @@
 from ..sockets import watch_silence
 
 MAX_HEAD_BYTES = 64 * 1024
-# Idle time that a server grants when it names none, in seconds; short, since a server
-# that drops an idle connection ruins the request that is sent on it.
+# Idle time assumed if a server sends no Keep-Alive timeout, in seconds. It is short,
+# since a request that is sent while the server closes the connection fails.
 DEFAULT_KEEP_ALIVE_S = 5.0
-# Part of the granted idle time that is used: a request must not cross the close.
+# Share of the granted idle time in which the connection is used again, so that no
+# request is sent while the server closes the connection.
 KEEP_ALIVE_SHARE = 0.6
-# Why no connection could be opened: nothing listens there, or nothing answers.
+# Reasons why no connection could be opened: nothing listens at the address, or nothing
+# there answers.
 REFUSED = "connect-refused"
 UNREACHABLE = "connect-failed"
-# Late answers to earlier requests that are passed over on one connection.
+# Maximum late responses to earlier requests that are skipped before the connection is
+# given up.
 MAX_STRAY_RESPONSES = 3
 
 
 class BackendConnection(asyncio.Protocol):
     """A connection that carries one exchange at a time.
 
-    Bytes that arrive between exchanges belong to no request and end the connection.
-    An answer that names another request is passed over: it is the late second answer
-    to an earlier one, and the right one follows.
+    Bytes that arrive between exchanges belong to no request and close the connection.
+    A response with the id of another request is skipped: it is a late second response
+    to an earlier request, and the expected response follows.
+
+    Attributes
+    ----------
+    keep_alive_s : float
+        For how long the server keeps the connection open while it is idle, in seconds.
+    lost : str
+        Stable code of why nothing more can be received; empty while that is possible.
+    transport : asyncio.Transport or None
+        The transport, once connected.
+    used_at : float
+        Monotonic time at which the last exchange ended, in seconds.
     """
 
     __slots__ = (
@@ -46,7 +60,7 @@
 
     def __init__(self) -> None:
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
-        # Whether any byte came since the request was sent.
+        # Whether any byte was received since the request was sent.
         self._received_any = False
         self._busy = False
         self._request: h11.Request | None = None
@@ -70,15 +84,13 @@
             raise HttpError(UNREACHABLE, sent=False, detail=repr(exc)) from exc
         return conn
 
-    # Transport events
-
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Set the socket's options."""
         self.transport = transport
         watch_silence(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Take in a part of the answer."""
+        """Parse a part of the response."""
         if not self._busy:
             self.lost = "surplus-bytes"
             self.transport.abort()
@@ -87,14 +99,14 @@
         self._feed(data)
 
     def eof_received(self) -> bool:
-        """Note the end of the stream; an answer without a length ends with it."""
+        """Record the end of the stream; a response without a length ends with it."""
         if self._busy:
             self._feed(b"")
         self.lost = self.lost or "closed"
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that nothing more can come."""
+        """Record that nothing more can be received."""
         self.lost = self.lost or ("reset" if exc is not None else "closed")
         self._wake()
 
@@ -109,12 +121,10 @@
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    # Exchange
-
     def send_request(
         self, request: h11.Request, parts: Iterable[bytes], *, end: bool
     ) -> None:
-        """Write a request's head and body; `end` tells that the body is whole."""
+        """Write a request's head and body; `end` tells that the body is complete."""
         if self.lost or self.transport.is_closing():
             raise HttpError("stale", sent=False)
         self._received_any = False
@@ -137,11 +147,11 @@
         self.transport.write(self._h11.send(event) or b"")
 
     async def read_head(self, request_id: bytes) -> ResponseHead:
-        """Read the head of the answer to `request_id`."""
+        """Read the head of the response to `request_id`, skipping other responses."""
         for _ in range(MAX_STRAY_RESPONSES):
             head = await self._read_any_head()
-            named_id = hd.find(head.headers, ph.REQUEST_ID).encode("latin-1")
-            if not named_id or named_id == request_id:
+            response_id = hd.find(head.headers, ph.REQUEST_ID).encode("latin-1")
+            if not response_id or response_id == request_id:
                 self._read_keep_alive(head)
                 return head
             await self._skip_response()
@@ -156,12 +166,12 @@
                 raise HttpError("closed-early", sent=True)
 
     async def _skip_response(self) -> None:
-        """Drop the rest of an answer to another request and wait for the next one."""
+        """Discard the rest of a response to another request."""
         while not isinstance(await self._next(), h11.EndOfMessage):
             pass
         try:
             self._h11.start_next_cycle()
-            # Only the parser is told: the request was sent already.
+            # This only sets the parser's state: the request was already written.
             self._h11.send(self._request)
             self._h11.send(h11.EndOfMessage())
         except h11.LocalProtocolError as exc:
@@ -192,7 +202,11 @@
             await self._waiter
 
     def _protocol_error_reason(self) -> str:
-        """Tell a connection that ended without a word from an answer that is none."""
+        """Return why the parser failed.
+
+        A connection that closed before any byte was received gives the reason in
+        `lost`; received bytes that are no HTTP response give "not-http".
+        """
         return "not-http" if self._received_any else self.lost or "not-http"
 
     def _read_keep_alive(self, head: ResponseHead) -> None:
@@ -200,10 +214,8 @@
         digits = granted.partition(",")[0].strip()
         self.keep_alive_s = float(digits) if digits.isdigit() else DEFAULT_KEEP_ALIVE_S
 
-    # Reuse
-
     def reusable(self) -> bool:
-        """Make ready for another exchange; return False when that is impossible."""
+        """Prepare for another exchange; return False when that is impossible."""
         done = (h11.DONE, h11.DONE)
         if self.lost or (self._h11.our_state, self._h11.their_state) != done:
             return False
@@ -214,7 +226,15 @@
         return True
 
     def fresh(self, now: float, max_idle_s: float) -> bool:
-        """Tell whether a request may be sent on the connection after its idle time."""
+        """Return whether the connection may be used after its idle time.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic time in seconds.
+        max_idle_s : float
+            Idle time that the request accepts, in seconds.
+        """
         idle_s = now - self.used_at
         return not self.lost and idle_s < min(
             max_idle_s, self.keep_alive_s * KEEP_ALIVE_SHARE
--- a/lacewingcross/gateway/backends.py
+++ b/lacewingcross/gateway/backends.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: kept, reused, limited."""
+"""A pool of connections to backend servers, with a limit for each server."""
 
 import asyncio
 from collections import defaultdict
@@ -8,19 +8,20 @@
 from ..http1_client import HttpError
 from .backend_connection import BackendConnection
 
-# A connection to a server in touch takes two ways, at most 70 ms; an opening packet
-# that is lost once is sent again after a second.
+# Opening a connection to a reachable server takes one network round trip, at most
+# 70 ms. A lost opening packet is sent again only after a second, which is too late.
 CONNECT_TIMEOUT_S = 0.6
-# Idle time after which only a request that may be repeated goes on a connection.
+# Idle time after which a connection is only used for requests that may be repeated, and
+# idle time after which it is not used at all, in seconds.
 UNREPEATABLE_IDLE_S = 2.0
 REPEATABLE_IDLE_S = 60.0
-# Connections to one server that this host may hold when nothing is declared.
+# Maximum connections of this host to one server, if no limit was set.
 DEFAULT_CONNECTION_LIMIT = 30
 CONNECTION_LIMIT = "connection-limit"
 
 
 class Backends:
-    """Idle and open connections, by the server's incarnation.
+    """Counts and pools connections, by the server's incarnation.
 
     Parameters
     ----------
@@ -44,14 +45,14 @@
     ) -> BackendConnection:
         """Return an idle connection or open a new one.
 
-        Failure: a server drops an idle connection in the moment we write on it; what
-        was sent may have run. Only requests that may be repeated take that chance on
-        connections that have been idle for longer.
+        Failure: a server closes an idle connection just as a request is written on it,
+        and it is unknown whether the request has run. Therefore only requests that may
+        be repeated use connections that have been idle for longer.
 
         Raises
         ------
         HttpError
-            With ``sent=False``.
+            With ``sent=False`` when the limit is reached or the server does not accept.
         """
         idle = self._idle[server.incarnation]
         max_idle_s = REPEATABLE_IDLE_S if repeatable else UNREPEATABLE_IDLE_S
@@ -63,14 +64,14 @@
         return await self._open_new(server)
 
     async def open_spare(self, server: ServerEntry, settle_s: float) -> bool:
-        """Open a connection ahead of need; return whether the server keeps it.
+        """Open a connection for later use; return whether the server keeps it open.
 
         Parameters
         ----------
         server : ServerEntry
-            Where to.
+            The server to connect to.
         settle_s : float
-            For how long it must stay open to count, in seconds.
+            How long the connection must stay open to count as kept, in seconds.
 
         Raises
         ------
@@ -101,8 +102,9 @@
     def _drop_lost(self, server: ServerEntry) -> None:
         """Stop counting idle connections that the server has closed.
 
-        Failure: a server ends with all connections that a host may hold to it. The host
-        would take the limit for the reason that it cannot ask whether the server lives.
+        Failure: a server crashes while this host holds as many connections to it as the
+        limit allows. If closed connections still counted, the host could open no new
+        one to check whether the server is alive, and would see only its own limit.
         """
         idle = self._idle[server.incarnation]
         for conn in [conn for conn in idle if conn.lost]:
@@ -110,7 +112,7 @@
             self.discard(server, conn)
 
     def release(self, server: ServerEntry, conn: BackendConnection) -> None:
-        """Keep a connection whose exchange is whole; close any other."""
+        """Keep a connection whose exchange is complete; close any other."""
         if conn.reusable():
             conn.used_at = self._now()
             self._idle[server.incarnation].append(conn)
@@ -118,7 +120,7 @@
             self.discard(server, conn)
 
     def release_unused(self, server: ServerEntry, conn: BackendConnection) -> None:
-        """Keep a connection on which nothing was sent; it stays as idle as it was."""
+        """Keep a connection on which nothing was sent; its idle time runs on."""
         conn.used_at = conn.used_at or self._now()
         if conn.lost:
             self.discard(server, conn)
@@ -126,12 +128,12 @@
             self._idle[server.incarnation].append(conn)
 
     def discard(self, server: ServerEntry, conn: BackendConnection) -> None:
-        """Close a connection."""
+        """Close a connection and stop counting it."""
         conn.close()
         self._open[server.incarnation] -= 1
 
     def sweep(self) -> None:
-        """Close connections that have been idle for longer than they are good for."""
+        """Close connections that have been idle for too long to be used again."""
         now = self._now()
         for incarnation, idle in list(self._idle.items()):
             for conn in list(idle):
--- a/lacewingcross/gateway/callers.py
+++ b/lacewingcross/gateway/callers.py
@@ -1,4 +1,4 @@
-"""The listener for callers' requests."""
+"""Listens for callers' requests."""
 
 import asyncio
 
@@ -8,18 +8,19 @@
 from .context import Gateway
 from .request import RequestRun
 
-# Descriptors kept free of callers' connections: backend servers, peers, the platform.
+# File descriptors that callers' connections may not use. They are for connections to
+# backend servers, other hosts and the platform.
 RESERVED_DESCRIPTORS = 900
 SWEEP_S = 1.0
 
 
 class CallerListener:
-    """Serves callers' requests.
+    """Accepts callers' connections and runs their requests.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        State and services that the parts of this host share.
     """
 
     __slots__ = ("_gateway", "running", "server")
--- a/lacewingcross/gateway/context.py
+++ b/lacewingcross/gateway/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the gateway share."""
+"""The state and services that all parts of the gateway share."""
 
 import asyncio
 import contextlib
@@ -18,13 +18,14 @@
 from .quota_admission import QuotaAdmission
 from .settings import GatewaySettings
 
-# Time after its start at which a host that cannot read the list of hosts goes by what
-# it knows without it, in seconds: reading it takes 10 ms, 250 when the store is slow.
+# How long after its start a host waits for the list of hosts before it takes part in
+# the election of hosts that watch the store, in seconds. Reading the list takes 10 ms,
+# and 250 ms when the store is slow.
 MAX_UNLISTED_S = 1.0
 
 
 class Gateway:
-    """Decisions, connections, clock and figures of one entry host.
+    """Decisions, connections, clock and metrics of one entry host.
 
     Parameters
     ----------
@@ -35,9 +36,9 @@
     steering : Steering
         Decisions on requests.
     roster : Roster
-        Entry hosts.
+        The entry hosts that this host knows.
     incarnation : int
-        Number of this run of the process.
+        Random number that identifies this run of the process.
     """
 
     __slots__ = (
@@ -86,7 +87,7 @@
         self.quota_admission = QuotaAdmission(
             self.quotas, roster, self.metrics, self.times
         )
-        # Place among the hosts that may follow the store, see `fleet_shares.rank`.
+        # Position among the hosts that may watch the store, see `fleet_shares.rank`.
         self.rank: int | None = None
         self._clock = clock
         self._started_at = clock.monotonic()
@@ -98,11 +99,11 @@
         return self._clock.monotonic()
 
     def times(self) -> ClockReading:
-        """Return the moment on the ordinary clock and on one that counts suspends."""
+        """Return the monotonic time and the time that also runs during a suspend."""
         return ClockReading(self._clock.monotonic(), self._clock.boottime())
 
     def take(self, update: Update, *, fresh: bool = True) -> list[Document]:
-        """Take in what the store or a host says, see `Steering.take`."""
+        """Apply an update from the store or another host, see `Steering.take`."""
         changed = self.steering.take(update, self.now(), fresh=fresh)
         table = self.steering.table
         if table is not None:
@@ -110,29 +111,29 @@
         return changed
 
     def review_rank(self, now: float) -> None:
-        """Work out anew whether this host has to follow the store.
+        """Update this host's position among those that may watch the store.
 
         Failure: all hosts start together. Each knows only itself at first and would
-        read everything from the store; by the list of hosts it is one that does.
+        read everything from the store. Once they have the list of hosts, only one does.
         """
         awaits_list = now - self._started_at < MAX_UNLISTED_S and not self.roster.listed
         self.rank = None if awaits_list else rank(self.roster, now)
 
     def hosts_changed(self) -> None:
-        """Have the links to other hosts reviewed at once."""
+        """Cause the links to other hosts to be reviewed at once."""
         self._hosts_changed.set()
 
     async def wait_for_hosts(self, timeout_s: float) -> None:
-        """Wait until `hosts_changed` was called, `timeout_s` seconds at most."""
+        """Wait until `hosts_changed` is called, for at most `timeout_s` seconds."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self._hosts_changed.wait()
         self._hosts_changed.clear()
 
     def next_attempt_id(self) -> int:
-        """Return a number for an attempt, unique in this process."""
+        """Return an id for an attempt that is unique in this process."""
         return next(self._attempt_ids)
 
     def closing_headers(self) -> hd.HeaderList:
-        """Return what tells callers to open their next connection elsewhere."""
+        """Return headers that make callers connect elsewhere while this host leaves."""
         return [(b"connection", b"close")] if self.roster.leaving else []
--- a/lacewingcross/gateway/credentials.py
+++ b/lacewingcross/gateway/credentials.py
@@ -1,18 +1,18 @@
-"""The key that a caller sends with its request."""
+"""Reads the API key that a caller sends with its request."""
 
 import re
 
 from .. import headers as hd
 
 SCHEME = "bearer"
-# Longer keys are refused unread: operators' are some twenty characters long.
+# Longer keys are refused without a look-up; operators' keys have about 20 characters.
 MAX_KEY_CHARS = 512
-# The characters of a bearer token (RFC 6750).
+# The syntax of a bearer token (RFC 6750).
 _TOKEN = re.compile(r"[A-Za-z0-9\-._~+/]+=*")
 
 
 class CredentialsError(Exception):
-    """Credentials that cannot be read; the message holds nothing of them."""
+    """Credentials that cannot be read; the message contains no part of them."""
 
 
 def read_key(headers: hd.HeaderList) -> str:
@@ -26,7 +26,8 @@
     Raises
     ------
     CredentialsError
-        When they are sent twice or are no bearer token of ordinary length.
+        When the Authorization header is sent more than once, or is not a bearer token
+        of at most `MAX_KEY_CHARS` characters.
     """
     values = [value for name, value in headers if name == hd.AUTHORIZATION]
     if not values:
--- a/lacewingcross/gateway/forwarding.py
+++ b/lacewingcross/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""What a request and its answer look like on the other side of this host."""
+"""Translates requests for backend servers, and responses for callers."""
 
 from dataclasses import dataclass
 
@@ -26,21 +26,21 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerAccount:
-    """For whom a request is sent on.
+    """The client account for which a request is forwarded.
 
-    Where accounts are in force, credentials are keys of accounts: secrets between
-    callers and hosts. Backend servers get the account's name, and that from hosts only.
-    Without accounts, credentials travel on like any other header.
+    If the configuration has accounts, credentials are API keys, secrets between callers
+    and hosts. Backend servers then get no key but the name of the account, which only
+    hosts may set. Without accounts, credentials are forwarded like any other header.
     """
 
     has_accounts: bool = False
     account: str = ""
 
     def credentials(self, head: RequestHead) -> str:
-        """Return what tells one caller's requests from another's.
+        """Return what distinguishes this caller's requests from those of others.
 
-        All keys of an account are one caller's; and no fingerprint, which is kept, is
-        made of a key.
+        With accounts this is the account's name: all keys of an account belong to one
+        caller, and fingerprints, which are stored, must not be computed from a key.
         """
         if self.has_accounts:
             return self.account
@@ -54,20 +54,20 @@
     time_left_s: float,
     caller_account: CallerAccount,
 ) -> h11.Request:
-    """Return the head of a caller's request as one incarnation of a server gets it.
+    """Return the head of a caller's request for one incarnation of a server.
 
     Parameters
     ----------
     head : RequestHead
-        The caller's.
+        The head that the caller sent.
     body : CallerBody
-        What was read of the body, which decides how it is framed.
+        What was read of the body; it decides how the body is framed.
     server_id : str
         The incarnation that may run the request; any other refuses it.
-    left_s : float
+    time_left_s : float
         Time until the deadline, in seconds.
-    on_behalf : OnBehalf
-        Whose request it is.
+    caller_account : CallerAccount
+        The client account that the request belongs to.
     """
     fields = [
         item
@@ -86,7 +86,7 @@
 def identity_of(
     frame: Frame, head: RequestHead, body: CallerBody, caller_account: CallerAccount
 ) -> RequestIdentity:
-    """Return what a request has in common with its repeats, besides its body."""
+    """Return what a request and its copies have in common, apart from the body."""
     declared = hd.find(head.headers, hd.CONTENT_LENGTH)
     length = body.size if body.complete else int(declared or 0)
     credentials = caller_account.credentials(head)
@@ -96,7 +96,10 @@
 
 
 def _framing(head: RequestHead, body: CallerBody) -> hd.HeaderList:
-    """Return the header that frames the body: its length, unless nobody knows it."""
+    """Return the header that frames the body: its length, or chunked if unknown.
+
+    A request without a body gets no such header.
+    """
     length = hd.find(head.headers, hd.CONTENT_LENGTH).encode()
     if not body.complete:
         if length:
@@ -108,7 +111,7 @@
 
 
 def answer_for_caller(head: ResponseHead) -> hd.HeaderList:
-    """Return the headers of a server's answer that travel on, without its framing."""
+    """Return the headers of a server's response to forward, without its framing."""
     return [
         item
         for item in hd.without_hop_by_hop(head.headers)
--- a/lacewingcross/gateway/frame.py
+++ b/lacewingcross/gateway/frame.py
@@ -1,4 +1,4 @@
-"""The frame of a caller's request: what steering needs to know of it."""
+"""The frame of a caller's request: the part of its head that steering uses."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """What steering needs to know of a request; `remaining_s` is 0 when unsaid."""
+    """The part of a request's head that steering uses.
+
+    `key` is the affinity key, empty if there is none. `remaining_s` is the time until
+    the caller's deadline, in seconds, 0 if the caller sent none.
+    """
 
     request_id: str
     key: str
@@ -19,7 +23,7 @@
 
 
 class FrameError(Exception):
-    """A header of the request's frame is not usable."""
+    """The target or a header of the request's frame is missing or unusable."""
 
 
 def read_frame(exchange: Exchange) -> Frame:
@@ -28,7 +32,7 @@
     Raises
     ------
     FrameError
-        Names the header and what was expected.
+        The message names the header and what was expected.
     """
     headers = exchange.head.headers
     target = exchange.head.target
--- a/lacewingcross/gateway/pages.py
+++ b/lacewingcross/gateway/pages.py
@@ -1,4 +1,4 @@
-"""Small listeners of a host: where to connect, whether it is ready, its figures."""
+"""A host's listeners for look-ups of entry hosts, readiness checks and metrics."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,8 +16,8 @@
 )
 from .context import Gateway
 
-# How long callers may keep an answer, in seconds. Some keep it three times as long;
-# a host that leaves serves on for that long.
+# How long callers may keep the answer to a look-up, in seconds. Some keep it three
+# times as long, so a leaving host goes on serving: see `app.ACCEPT_WHILE_LEAVING_S`.
 LOOKUP_TTL_S = 1.5
 TEXT_TYPE = (b"content-type", b"text/plain")
 UNKNOWN_PATH = b'{"error":"unknown-path"}'
@@ -26,16 +26,16 @@
 
 
 class PageListener:
-    """Serves one kind of question on an address of its own.
+    """Serves one kind of page at its own address.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        State and services that the parts of this host share.
     address : str
-        Where to listen.
-    answer : callable
-        Answers each request.
+        Where to listen, ``ip:port``.
+    respond_to : callable
+        Coroutine function that answers a request.
     """
 
     __slots__ = ("_address", "_respond", "_gateway")
@@ -60,7 +60,7 @@
 
 
 async def answer_lookup(gateway: Gateway, exchange: Exchange) -> None:
-    """Tell a caller which entry hosts to use."""
+    """Answer a caller's look-up with the entry hosts to use."""
     lookup = decode_question(exchange.head.target)
     if lookup is None:
         gateway.metrics.count("lookups.unknown-path")
@@ -85,7 +85,7 @@
 
 
 async def answer_readiness(gateway: Gateway, exchange: Exchange) -> None:
-    """Tell the platform whether this host takes requests."""
+    """Answer the platform's check whether this host accepts requests."""
     if exchange.head.target.partition("?")[0] != READINESS_PATH:
         await exchange.respond(404, JSON_TYPE, UNKNOWN_PATH)
         return
@@ -95,6 +95,6 @@
 
 
 async def answer_metrics(gateway: Gateway, exchange: Exchange) -> None:
-    """Give the counters and histograms as text."""
+    """Answer with the counters and histograms as text."""
     text = gateway.metrics.render()
     await exchange.respond(200, [TEXT_TYPE], text.encode())
--- a/lacewingcross/gateway/repeats.py
+++ b/lacewingcross/gateway/repeats.py
@@ -1,4 +1,4 @@
-"""What one request has to do with servers that ended under it."""
+"""Relates one request to server crashes during earlier copies of the same request."""
 
 import asyncio
 
@@ -14,20 +14,24 @@
 
 
 class RepeatedRequest:
-    """A request as one of several repeats that share a fingerprint.
+    """A request seen as one of several copies that have the same fingerprint.
+
+    Callers repeat a request under new ids; the fingerprint stays the same. Copies that
+    crash servers put the fingerprint into quarantine.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        State and services that the parts of this host share.
     frame : Frame
-        Its frame.
+        The request's frame.
     head : RequestHead
-        Its head.
+        The request's head.
     body : CallerBody
-        Its body; all of it that counts has been read before anything is asked here.
-    on_behalf : OnBehalf
-        Whose request it is.
+        The request's body. The part that the fingerprint covers must have been read
+        before the fingerprint is used.
+    caller_account : CallerAccount
+        The client account that the request belongs to.
     """
 
     __slots__ = (
@@ -60,7 +64,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """Return the request's fingerprint, worked out when it is first needed."""
+        """Return the request's fingerprint, computed when it is first needed."""
         if not self._fingerprint:
             identity = identity_of(
                 self._frame, self._head, self._body, self._caller_account
@@ -69,7 +73,10 @@
         return self._fingerprint
 
     def refused_for_s(self) -> float:
-        """Return for how long the request is refused, in seconds; 0 if it is not."""
+        """Return for how many seconds the request is refused, 0 if it is not.
+
+        A quarantined request whose trial is due is let through once, on one host.
+        """
         quarantine = self._gateway.crashes.ledger.quarantine
         held = quarantine.get(self.fingerprint) if quarantine else None
         if held is None:
@@ -85,32 +92,33 @@
         return held.refused_for(now)
 
     def _runs_trial_here(self) -> bool:
-        """Tell whether this host is the one of all that tries the request.
+        """Return whether this is the one host that runs the request's trial.
 
-        Failure: a quarantine ends at all hosts at once, and a bad request that is
-        repeated some times a second ends a server at each of them before they hear of
-        one another.
+        Failure: a trial becomes due at all hosts at once. A bad request that is
+        repeated several times a second would crash a server at each host before the
+        hosts receive each other's crash reports.
         """
         roster = self._gateway.roster
         return owner(self.fingerprint, roster.active) == roster.own.host_id
 
     def record_not_run(self) -> None:
-        """Note that the server of the last attempt did not run the request."""
+        """Record that the server of the last attempt did not run the request."""
         if self._on_trial:
             self._on_trial = False
             quarantine = self._gateway.crashes.ledger.quarantine
             quarantine.trial_void(self.fingerprint, self._gateway.now())
 
     def connection_broke(self, entry: ServerEntry) -> None:
-        """Note that a server's connection ended under the request."""
+        """Record that a server's connection broke during the request."""
         self._crash_check = self._gateway.crashes.broke(entry, self.fingerprint)
 
     async def wait_for_crash_check(self) -> None:
-        """Wait until it is known whether the server has ended, if that may matter.
+        """Wait until it is known whether the server crashed, if that may matter.
 
-        Failure: a request that has ended servers before ends two more within each try
-        of its caller, the second while it is being found out about the first. A request
-        without such a past is sent to another server at once: most are innocent.
+        Failure: a request that has crashed servers before crashes two more each time
+        that its caller sends it, the second one while the host still checks whether
+        the first one crashed. A request without earlier crashes does not wait and is
+        sent to another server at once, since most such requests are harmless.
         """
         crash_check = self._crash_check
         self._crash_check = None
@@ -120,7 +128,7 @@
             await asyncio.wait((crash_check,))
 
     def record_answer(self) -> None:
-        """Note that a server has answered the request."""
+        """Record that a server has answered the request."""
         crashes = self._gateway.crashes
         if crashes.ledger.watches:
             crashes.answered(self.fingerprint)
--- a/lacewingcross/gateway/reply.py
+++ b/lacewingcross/gateway/reply.py
@@ -1,4 +1,4 @@
-"""Answers to one caller's request, the server's or this host's own."""
+"""Answers one caller's request with a server's response or an answer of this host."""
 
 import json
 from dataclasses import dataclass
@@ -12,13 +12,17 @@
 from .context import Gateway
 from .forwarding import answer_for_caller
 
-# What a 401 must say (RFC 9110): the kind of credentials that is expected.
+# A 401 must name the kind of credentials that is expected (RFC 9110).
 BEARER_CHALLENGE = (b"www-authenticate", b"Bearer")
 
 
 @dataclass(slots=True, frozen=True)
 class HostAnswer:
-    """A final answer of this host's own."""
+    """An answer that this host makes itself.
+
+    `reason` is a stable code for the caller, the log and the metrics; without
+    `retry_after_s`, in seconds, no Retry-After is sent.
+    """
 
     status: int
     reason: str
@@ -27,12 +31,12 @@
 
 
 class Reply:
-    """Sends the one answer of a request and writes the line that ends it.
+    """Sends the only answer to a request and logs how the request ended.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        State and services that the parts of this host share.
     exchange : Exchange
         The caller's exchange.
     """
@@ -59,7 +63,10 @@
         self.service = ""
 
     async def deliver(self, run: AttemptRun, answer: Answer) -> None:
-        """Send the server's answer to the caller as it is."""
+        """Send the server's response to the caller unchanged.
+
+        The body of a large response is forwarded as it arrives.
+        """
         head = answer.head
         fields = answer_for_caller(head) + self._gateway.closing_headers()
         if answer.complete:
@@ -69,8 +76,8 @@
         try:
             await self._stream(run, answer, fields)
         except BaseException:
-            # Part of the answer is with the caller; only a broken connection tells it
-            # that the rest will not come.
+            # The caller may have part of the response already. Only an aborted
+            # connection shows it that the rest will not come.
             self._exchange.abort()
             run.release_connection(complete=False)
             self.log_end("broken-off", head.status)
@@ -91,7 +98,7 @@
         self.log_end("answered", answer.head.status)
 
     async def finish(self, host_answer: HostAnswer) -> None:
-        """Send a final answer of our own."""
+        """Send an answer of this host's own; abort if a response was already begun."""
         if self._exchange.started:
             self._exchange.abort()
             return
@@ -125,7 +132,19 @@
         retry_after_s: float = 0.0,
         detail: str = "",
     ) -> None:
-        """Write the line that ends the request, and count it."""
+        """Log and count the end of the request.
+
+        Parameters
+        ----------
+        outcome : str
+            Stable code of how the request ended.
+        status : int, default=0
+            Status that the caller got; 0 when it got none.
+        retry_after_s : float, default=0.0
+            The Retry-After that was sent, in seconds; 0 when none was sent.
+        detail : str, default=""
+            More for the log.
+        """
         duration_s = self._gateway.now() - self._started_at
         metrics = self._gateway.metrics
         metrics.count(f"requests.{status}.{outcome}")
--- a/lacewingcross/gateway/request.py
+++ b/lacewingcross/gateway/request.py
@@ -1,4 +1,4 @@
-"""One caller's request on this host, from its head to its final answer."""
+"""Runs one caller's request on this host, from its head to its final answer."""
 
 import asyncio
 
@@ -15,8 +15,8 @@
 from .reply import HostAnswer, Reply
 from .routed_request import RoutedRequest
 
-# A caller stops waiting at its deadline; answers leave this much earlier, in seconds,
-# to arrive in time (one way to callers is a few milliseconds).
+# Callers stop waiting at their deadline. Answers are sent this much earlier to arrive
+# in time, in seconds. One way to callers takes a few milliseconds.
 DEADLINE_MARGIN_S = 0.01
 
 
@@ -52,7 +52,7 @@
         self._reply = Reply(gateway, exchange)
 
     async def run(self) -> None:
-        """Answer the request."""
+        """Answer the request, or log why no answer was sent."""
         try:
             frame = read_frame(self._exchange)
         except FrameError as exc:
@@ -90,10 +90,10 @@
             self._refund_quota(permit.terms)
 
     async def _admitted_by_quota(self, terms: Terms) -> bool:
-        """Have the request counted for its account; refuse it if that has no credit.
+        """Count the request for its client account; refuse it if the quota is used up.
 
-        This comes before anything is placed or queued, so a refused request has not
-        run and holds nothing.
+        This happens before the request is placed or queued. A refused request has
+        therefore not run and holds no slot or connection.
         """
         if terms.account is None or terms.account.quota is None:
             return True
@@ -117,15 +117,16 @@
         return False
 
     def _refund_quota(self, terms: Terms) -> None:
-        """Give the credit back if no server can have run the request."""
+        """Return the request's credit to its account if no server can have run it."""
         if self._quota_counted and not self._series.may_have_run:
             self._gateway.quota_admission.cancel(terms.account_name)
 
     def _on_caller_gone(self) -> None:
-        """Stop working for a caller that has left.
+        """Cancel the request of a caller that has closed its connection.
 
-        A booking that a server has begun is left to end there: cutting it in the
-        middle could leave it half done, and nobody would hear of it.
+        A request that must not run twice, such as a booking, is not cancelled once a
+        server may have begun it. Cancelling it could leave it half done, and nobody
+        would be told.
         """
         self._series.caller_gone = True
         if self._series.may_be_cancelled():
@@ -143,7 +144,10 @@
             await self._reply.finish(host_answer)
 
     def _timeout_answer(self, req: RoutedRequest) -> HostAnswer:
-        """Tell apart what may have run from what cannot have."""
+        """Return the answer to a request whose deadline has passed.
+
+        504 means that a server may have run it; with 408 or 503 it has not run.
+        """
         if self._series.may_have_run:
             return HostAnswer(504, "timed-out")
         if not req.body.complete and not self._series.attempts:
@@ -152,7 +156,7 @@
 
 
 def _time_allowed_s(route: Route, frame: Frame) -> float:
-    """Return how long a request may take on this host, in seconds."""
+    """Return how many seconds a request may take on this host."""
     if not frame.remaining_s:
         return route.timeout_s
     return min(route.timeout_s, frame.remaining_s - DEADLINE_MARGIN_S)
--- a/lacewingcross/gateway/routed_request.py
+++ b/lacewingcross/gateway/routed_request.py
@@ -12,7 +12,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RoutedRequest:
-    """A caller's request whose route is known; `deadline` is a monotonic time."""
+    """A caller's request whose route is known.
+
+    `deadline` is a monotonic time in seconds.
+    """
 
     exchange: Exchange
     frame: Frame
--- a/lacewingcross/gateway/settings.py
+++ b/lacewingcross/gateway/settings.py
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """Promises to the users that decisions must keep, as the settings give them.
+    """Guarantees to the users, from the settings; all decisions must keep them.
 
     Durations are in seconds. The defaults are those of the smallest deployment.
     """
@@ -31,18 +31,18 @@
 
     @property
     def quotas(self) -> QuotaBound:
-        """Return what all hosts keep to for each client account."""
+        """Return the bound that all hosts together keep for each client account."""
         return QuotaBound(self.quota_window_s, self.quota_excess, self.quota_slack)
 
 
 @dataclass(slots=True, frozen=True)
 class GatewaySettings:
-    """What one entry host is told at start; all else comes from the platform.
+    """Settings of one entry host; everything else comes from the platform.
 
-    `peer_listen` is where it listens for other hosts when that is not `peer`, the
-    address that they are told, for example behind address translation. `cores` is the
-    processor time that it gets, in seconds of an ordinary core a second. `policy` names
-    mechanisms that an experiment has switched off.
+    `peer` is the address that other hosts are given. `peer_listen` is the address where
+    the host listens for them if it differs, for example behind address translation.
+    `cores` is the processor time that the host gets, in seconds of an ordinary core a
+    second. `policy` names mechanisms that an experiment has switched off.
     """
 
     host_id: str
