--- a/lacewingcross/gateway/attempt_feedback.py
+++ b/lacewingcross/gateway/attempt_feedback.py
@@ -24,7 +24,8 @@
     ending : Ending
         How the attempt ended.
     failure_reason : str
-        Stable code of the failure, empty when there is none.
+        Stable code of the request's latest failure, of this attempt or an earlier one;
+        empty if there was none or if this attempt was superseded.
     began_at : float
         Monotonic time at which the attempt began, in seconds.
     answer : Answer or None
@@ -74,23 +75,23 @@
 def _record_failure(
     gateway: Gateway, server: Server, result: AttemptResult, now: float
 ) -> None:
-    evidence = server.passive_health
+    health = server.passive_health
     placement = gateway.steering.placement
     ending = result.ending
     if ending is Ending.SERVER_NOT_RUN:
         # A full server sheds requests as it should. A server is skipped when it sheds
         # with free slots or when its address now belongs to another incarnation.
         full = was_full(result.answer, server.entry.slots)
-        evidence.shed(result.attempt_id, now, full=full)
+        health.shed(result.attempt_id, now, full=full)
         placement.eligibility.learn_outcome(server.entry.service, failed=not full)
     elif ending is Ending.CONNECT_FAILED and result.failure_reason in CONNECT_FAILURES:
-        evidence.unreachable(result.attempt_id, now)
+        health.unreachable(result.attempt_id, now)
         if result.failure_reason == REFUSED:
             gateway.crashes.refused(server.entry)
     elif ending is Ending.CONNECT_FAILED or result.caller_gone:
-        evidence.forgotten(result.attempt_id)
+        health.forgotten(result.attempt_id)
     elif ending in (Ending.TIMED_OUT, Ending.CANCELLED):
-        evidence.timed_out(result.attempt_id, now)
+        health.timed_out(result.attempt_id, now)
     else:
-        evidence.failed(result.attempt_id, now)
+        health.failed(result.attempt_id, now)
         placement.eligibility.learn_outcome(server.entry.service, failed=True)
--- a/lacewingcross/gateway/attempt_series.py
+++ b/lacewingcross/gateway/attempt_series.py
@@ -54,15 +54,15 @@
     """
 
     __slots__ = (
-        "_gateway",
         "_failure_reason",
+        "_gateway",
         "_log",
-        "_superseded",
         "_repeated",
         "_reply",
         "_req",
         "_service",
         "_shed_with_room",
+        "_superseded",
         "_tried",
         "attempts",
         "caller_gone",
--- a/lacewingcross/gateway/backend_connection.py
+++ b/lacewingcross/gateway/backend_connection.py
@@ -47,9 +47,9 @@
     """
 
     __slots__ = (
-        "_received_any",
         "_busy",
         "_h11",
+        "_received_any",
         "_request",
         "_waiter",
         "keep_alive_s",
--- a/lacewingcross/gateway/context.py
+++ b/lacewingcross/gateway/context.py
@@ -42,14 +42,13 @@
     """
 
     __slots__ = (
+        "_attempt_ids",
         "_clock",
         "_hosts_changed",
-        "_attempt_ids",
         "_started_at",
         "backends",
         "cfg",
         "crashes",
-        "watch_election",
         "incarnation",
         "metrics",
         "quota_admission",
@@ -57,6 +56,7 @@
         "rank",
         "roster",
         "steering",
+        "watch_election",
     )
 
     def __init__(
--- a/lacewingcross/gateway/pages.py
+++ b/lacewingcross/gateway/pages.py
@@ -38,7 +38,7 @@
         Coroutine function that answers a request.
     """
 
-    __slots__ = ("_address", "_respond", "_gateway")
+    __slots__ = ("_address", "_gateway", "_respond")
 
     def __init__(self, gateway: Gateway, address: str, respond_to: PageHandler) -> None:
         self._gateway = gateway
--- a/lacewingcross/gateway/repeats.py
+++ b/lacewingcross/gateway/repeats.py
@@ -36,12 +36,12 @@
 
     __slots__ = (
         "_body",
+        "_caller_account",
         "_crash_check",
+        "_fingerprint",
         "_frame",
         "_gateway",
         "_head",
-        "_fingerprint",
-        "_caller_account",
         "_on_trial",
     )
 
--- a/lacewingcross/gateway/request.py
+++ b/lacewingcross/gateway/request.py
@@ -32,9 +32,9 @@
     """
 
     __slots__ = (
-        "_quota_counted",
         "_exchange",
         "_gateway",
+        "_quota_counted",
         "_reply",
         "_series",
         "_started_at",
