--- a/tests/gateway_parts.py
+++ b/tests/gateway_parts.py
@@ -217,9 +217,9 @@
     async def add_host(
         self, *, domain="a1", platform="", seeds=(), settings="", cores=1.0
     ):
-        number = len(self.apps)
+        index = len(self.apps)
         cfg = GatewaySettings(
-            host_id=f"host-{number}",
+            host_id=f"host-{index}",
             region=REGION_OF[domain],
             failure_domain=domain,
             region_of=REGION_OF,
@@ -233,7 +233,7 @@
             cores=cores,
             bounds=Bounds(grace_s=4.0),
         )
-        app = GatewayApp(cfg, settings, SystemClock(), random.Random(number))
+        app = GatewayApp(cfg, settings, SystemClock(), random.Random(index))
         stop = asyncio.Event()
         self.apps.append(app)
         self.stops.append(stop)
@@ -260,11 +260,11 @@
 async def fleet():
     store = ObjectStoreStandin(time.monotonic)
     port = await store.start()
-    made = Fleet(store, f"127.0.0.1:{port}")
+    env = Fleet(store, f"127.0.0.1:{port}")
     try:
-        yield made
+        yield env
     finally:
-        await made.close()
+        await env.close()
 
 
 def headers(request_id, key="7", remaining_ms=2000):
--- a/tests/test_accounts_gateway.py
+++ b/tests/test_accounts_gateway.py
@@ -19,11 +19,11 @@
 
 
 @in_loop
-async def test_a_server_gets_the_account_s_name_and_no_key():
-    async with fleet() as made:
-        made.configure(accounts=ACCOUNTS)
-        server = await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
+async def test_a_server_gets_the_accounts_name_and_no_key():
+    async with fleet() as env:
+        env.configure(accounts=ACCOUNTS)
+        server = await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
         forged = [(b"X-Lacewingcross-Tenant-Id", b"museum")]
         got = await ask(app, "/safe/a", extra=[*bearer(KEY), *forged])
         assert got.status == 200
@@ -33,11 +33,11 @@
 
 
 @in_loop
-async def test_a_key_of_nobody_is_401_and_reaches_no_server():
-    async with fleet() as made:
-        made.configure(accounts=ACCOUNTS)
-        server = await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
+async def test_an_unknown_key_is_401_and_reaches_no_server():
+    async with fleet() as env:
+        env.configure(accounts=ACCOUNTS)
+        server = await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
         for extra in ([], bearer("unknown")):
             got = await ask(app, "/safe/a", extra=extra)
             assert got.status == 401
@@ -48,11 +48,11 @@
 
 
 @in_loop
-async def test_a_public_route_needs_no_key_and_hands_none_on():
-    async with fleet() as made:
-        made.configure(accounts=ACCOUNTS, public=True)
-        server = await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
+async def test_a_public_route_needs_no_key_and_forwards_none():
+    async with fleet() as env:
+        env.configure(accounts=ACCOUNTS, public=True)
+        server = await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
         forged = [(b"X-Lacewingcross-Tenant-Id", b"museum")]
         for extra in (forged, bearer("unknown"), bearer(KEY) * 2, bearer(KEY)):
             assert (await ask(app, "/safe/a", extra=extra)).status == 200
@@ -62,24 +62,24 @@
 
 
 @in_loop
-async def test_without_accounts_credentials_travel_on():
-    async with fleet() as made:
-        made.configure()
-        server = await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
+async def test_without_accounts_credentials_are_forwarded():
+    async with fleet() as env:
+        env.configure()
+        server = await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
         assert (await ask(app, "/safe/a", extra=bearer("x"))).status == 200
         assert server.requests[0].headers["authorization"] == "Bearer x"
 
 
 @in_loop
-async def test_a_key_that_is_taken_away_is_refused_on_open_connections_too():
-    async with fleet() as made:
-        made.configure(accounts=ACCOUNTS)
-        await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
+async def test_a_removed_key_is_refused_on_open_connections_too():
+    async with fleet() as env:
+        env.configure(accounts=ACCOUNTS)
+        await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
         assert (await ask(app, "/safe/a", extra=bearer(OTHER_KEY))).status == 200
         accounts = {**ACCOUNTS, "school": {"api_keys": [KEY]}}
-        made.configure(version=2, accounts=accounts)
+        env.configure(version=2, accounts=accounts)
         await until(lambda: app.gateway.steering.table.config.version == 2)
         assert (await ask(app, "/safe/a", extra=bearer(OTHER_KEY))).status == 401
         assert (await ask(app, "/safe/a", extra=bearer(KEY))).status == 200
@@ -87,12 +87,12 @@
 
 @in_loop
 async def test_a_configuration_with_a_shared_key_leaves_the_last_one_in_force():
-    async with fleet() as made:
-        made.configure(accounts=ACCOUNTS)
-        await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure(accounts=ACCOUNTS)
+        await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
         accounts = {**ACCOUNTS, "museum": {"api_keys": [KEY]}}
-        made.configure(version=2, accounts=accounts)
+        env.configure(version=2, accounts=accounts)
         counted = app.gateway.metrics.counters
         await until(lambda: counted["store.rejected-shared-key"])
         assert app.gateway.steering.table.config.version == 1
@@ -102,18 +102,18 @@
 @in_loop
 async def test_an_account_is_served_in_its_own_regions_only():
     # The nearest server stands in region a; the account is bound to region b.
-    async with fleet() as made:
+    async with fleet() as env:
         bound = {"school": {"api_keys": [KEY], "home_regions": ["b"]}}
-        made.configure(accounts=bound)
-        near = await made.add_server(answers_at_once, domain="a1")
-        far = await made.add_server(answers_at_once, domain="b1")
-        app = await made.ready(await made.add_host())
+        env.configure(accounts=bound)
+        near = await env.add_server(answers_at_once, domain="a1")
+        far = await env.add_server(answers_at_once, domain="b1")
+        app = await env.ready(await env.add_host())
         await until(lambda: len(app.gateway.steering.placement.known.servers) == 2)
-        for number in range(8):
-            got = await ask(app, "/safe/a", key=str(number), extra=bearer(KEY))
+        for index in range(8):
+            got = await ask(app, "/safe/a", key=str(index), extra=bearer(KEY))
             assert got.status == 200
         assert (len(near.requests), len(far.requests)) == (0, 8)
-        made.configure(version=2, accounts=bound, home_regions=["a"])
+        env.configure(version=2, accounts=bound, home_regions=["a"])
         await until(lambda: app.gateway.steering.table.config.version == 2)
         got = await ask(app, "/safe/a", extra=bearer(KEY))
         assert got.status == 503
@@ -124,47 +124,47 @@
 async def test_both_keys_of_an_account_are_one_caller_to_the_quarantine():
     # A request that ends servers comes with one key of its account, then with another.
     # Counted apart, it would end twice as many before it is refused.
-    async with fleet() as made:
-        made.configure(accounts=ACCOUNTS)
+    async with fleet() as env:
+        env.configure(accounts=ACCOUNTS)
 
-        def ends(number):
+        def crashes_server(index):
             async def behave(received, writer):
-                made.servers[number].cut_off()
+                env.servers[index].cut_off()
                 return False
 
             return behave
 
-        for number in range(2):
-            await made.add_server(ends(number))
-        app = await made.ready(await made.add_host())
+        for index in range(2):
+            await env.add_server(crashes_server(index))
+        app = await env.ready(await env.add_host())
         ledger = app.gateway.crashes.ledger
-        runs = [(f"i-{number}", 0) for number in (1, 2)]
-        for ended, key in enumerate((KEY, OTHER_KEY), 1):
+        runs = [(f"i-{index}", 0) for index in (1, 2)]
+        for crash_count, key in enumerate((KEY, OTHER_KEY), 1):
             await ask(app, "/unsafe/a", method="POST", body=b"x", extra=bearer(key))
-            await until(lambda n=ended: sum(map(ledger.has_crashed, runs)) == n)
+            await until(lambda n=crash_count: sum(map(ledger.has_crashed, runs)) == n)
         (name,) = ledger.crash_requests(runs[0])
         assert ledger.crash_count(name) == 2
 
 
 @in_loop
-async def test_no_key_stands_in_logs_pages_or_errors():
+async def test_no_key_appears_in_logs_pages_or_errors():
     lines = []
     sink = logs.logger.add(lambda line: lines.append(str(line)), level=0)
     try:
-        async with fleet() as made:
-            made.configure(accounts=ACCOUNTS)
-            await made.add_server(answers_at_once)
-            app = await made.ready(await made.add_host())
+        async with fleet() as env:
+            env.configure(accounts=ACCOUNTS)
+            await env.add_server(answers_at_once)
+            app = await env.ready(await env.add_host())
             bodies = []
             for extra in (bearer(KEY), bearer("bad key"), bearer("nobody-s-key")):
                 bodies.append((await ask(app, "/safe/a", extra=extra)).body)
-            made.configure(version=2, accounts={"a": {"api_keys": [KEY, 7]}})
+            env.configure(version=2, accounts={"a": {"api_keys": [KEY, 7]}})
             counted = app.gateway.metrics.counters
             await until(lambda: counted["store.rejected-bad-object"])
             await asyncio.sleep(0.1)
-            told = "".join(lines) + repr(bodies) + app.gateway.metrics.render()
+            output = "".join(lines) + repr(bodies) + app.gateway.metrics.render()
     finally:
         logs.logger.remove(sink)
-    assert "request-ended" in told
+    assert "request-ended" in output
     for secret in (KEY, OTHER_KEY, "bad key", "nobody-s-key"):
-        assert secret not in told
+        assert secret not in output
--- a/tests/test_backend_connection.py
+++ b/tests/test_backend_connection.py
@@ -19,7 +19,7 @@
     )
 
 
-async def whole(conn, request_id="r1"):
+async def exchange(conn, request_id="r1"):
     conn.send_request(request(request_id), [], end=True)
     head = await conn.read_head(request_id.encode())
     parts = []
@@ -48,21 +48,21 @@
         writer.write(answer(received.request_id, b"hello", framing=framing))
 
     async def check(conn, server):
-        for number in range(3):
-            assert await whole(conn, f"r{number}") == (200, b"hello")
+        for index in range(3):
+            assert await exchange(conn, f"r{index}") == (200, b"hello")
             assert conn.reusable()
         assert server.connections == 1
 
     with_server(behave, check)
 
 
-def test_an_answer_that_ends_with_its_connection_is_whole_but_the_last():
+def test_a_response_that_ends_with_its_connection_is_complete_and_the_last():
     async def behave(received, writer):
         writer.write(answer(received.request_id, b"hello", framing="close"))
         return False
 
     async def check(conn, server):
-        assert await whole(conn) == (200, b"hello")
+        assert await exchange(conn) == (200, b"hello")
         assert not conn.reusable()
 
     # The scripted server resets; a clean end needs the stream's own close.
@@ -76,7 +76,7 @@
     with_server(closes_cleanly, check)
 
 
-def test_an_answer_without_a_length_that_is_reset_is_not_whole():
+def test_a_response_without_a_length_that_is_reset_is_not_complete():
     # A server dies in the middle of an answer that would end with its connection.
     # Passed on as whole, a caller would take half a calendar for all of it.
     async def behave(received, writer):
@@ -92,7 +92,7 @@
 
     async def check(conn, server):
         with pytest.raises(HttpError):
-            await whole(conn)
+            await exchange(conn)
 
     with_server(behave, check)
 
@@ -105,24 +105,24 @@
 
     async def check(conn, server):
         with pytest.raises(HttpError) as caught:
-            await whole(conn)
+            await exchange(conn)
         assert caught.value.sent
 
     with_server(behave, check)
 
 
-def test_bytes_that_are_no_answer_are_an_error():
+def test_bytes_that_are_no_http_are_an_error():
     async def behave(received, writer):
         writer.write(b"\x00\x01 this is not HTTP\r\n\r\n")
 
     async def check(conn, server):
         with pytest.raises(HttpError):
-            await whole(conn)
+            await exchange(conn)
 
     with_server(behave, check)
 
 
-def test_a_late_second_answer_is_not_taken_for_the_next_requests():
+def test_a_late_second_response_is_not_used_for_the_next_request():
     # A server sends an answer twice; the second copy arrives when the next request
     # has gone out on the same connection. Its id says whose it is.
     async def behave(received, writer):
@@ -131,9 +131,9 @@
         writer.write(answer(received.request_id, received.request_id.encode()))
 
     async def check(conn, server):
-        assert await whole(conn, "r1") == (200, b"r1")
+        assert await exchange(conn, "r1") == (200, b"r1")
         assert conn.reusable()
-        assert await whole(conn, "r2") == (200, b"r2")
+        assert await exchange(conn, "r2") == (200, b"r2")
         assert conn.reusable()
 
     with_server(behave, check)
@@ -148,7 +148,7 @@
         await asyncio.sleep(0.2)
 
     async def check(conn, server):
-        await whole(conn)
+        await exchange(conn)
         conn.reusable()
         await asyncio.sleep(0.2)
         assert conn.lost
@@ -164,7 +164,7 @@
         writer.write(answer(received.request_id) + b"surplus")
 
     async def check(conn, server):
-        await whole(conn)
+        await exchange(conn)
         assert not conn.reusable()
 
     with_server(behave, check)
@@ -201,7 +201,7 @@
         writer.write(answer(received.request_id, extra=extra))
 
     async def check(conn, server):
-        await whole(conn)
+        await exchange(conn)
         assert conn.reusable()
         conn.used_at = 100.0
         assert conn.fresh(105.9, 60.0)
@@ -234,7 +234,7 @@
 @pytest.mark.parametrize(
     ("sent", "why"), [(b"", "closed"), (b"\x00 not HTTP\r\n\r\n", "not-http")]
 )
-def test_a_server_that_ends_is_told_from_one_that_spoils_its_answer(sent, why):
+def test_a_crashed_server_is_told_from_one_that_sends_an_invalid_response(sent, why):
     # A server ends under a request. Engineers read that its answer was spoilt, like
     # those of a server that runs on, and could not see that servers were ending.
     async def behave(received, writer):
@@ -246,7 +246,7 @@
 
     async def check(conn, server):
         with pytest.raises(HttpError) as caught:
-            await whole(conn)
+            await exchange(conn)
         assert caught.value.reason == why
 
     with_server(behave, check)
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -14,7 +14,7 @@
     return ServerEntry("i-1", "s", address, "a1", 3, False, 0.0, born_ms)
 
 
-def test_a_new_run_of_a_server_gets_no_connection_of_the_earlier_one():
+def test_a_new_incarnation_of_a_server_gets_no_connection_of_the_earlier_one():
     # A server crashes and starts again under its id and address. Its old connections
     # are dead; a booking sent on one of them would have an unknown end.
     async def check():
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -43,10 +43,10 @@
 
 @in_loop
 async def test_a_request_goes_through_unchanged():
-    async with fleet() as made:
-        made.configure()
-        server = await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        server = await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
         got = await ask(app, "/safe/a?b=c", "r9")
         assert (got.status, got.body) == (200, b"/safe/a?b=c")
         assert header(got, "x-lacewingcross-response-signature") == "s1"
@@ -58,10 +58,10 @@
 
 @in_loop
 async def test_a_posted_body_goes_through_whole():
-    async with fleet() as made:
-        made.configure()
-        server = await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        server = await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
         body = bytes(range(256)) * 1000
         got = await ask(app, "/unsafe/a", method="POST", body=body)
         assert got.status == 200
@@ -70,28 +70,28 @@
 
 @in_loop
 async def test_no_route_is_404_and_no_configuration_is_503():
-    async with fleet() as made:
-        app = await made.add_host()
+    async with fleet() as env:
+        app = await env.add_host()
         await until(lambda: app.entry.server.listening)
         got = await ask(app, "/safe/a")
         assert got.status == 503
         assert float(header(got, "retry-after")) > 0
-        made.configure()
+        env.configure()
         await until(lambda: app.gateway.steering.table is not None)
         assert (await ask(app, "/other/")).status == 404
 
 
 @in_loop
-async def test_a_booking_that_may_have_run_is_not_called_refused():
+async def test_a_booking_that_may_have_run_is_not_reported_as_not_run():
     # A server takes a booking and its connection breaks. "Not run" would make the
     # caller book again, and the family pays twice.
     async def breaks(received, writer):
         return False
 
-    async with fleet() as made:
-        made.configure()
-        server = await made.add_server(breaks)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        server = await env.add_server(breaks)
+        app = await env.ready(await env.add_host())
         got = await ask(app, "/unsafe/a", method="POST", body=b"x")
         assert got.status == 502
         assert len(server.requests) == 1
@@ -102,14 +102,14 @@
     async def breaks(received, writer):
         return False
 
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(breaks)
-        good = await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(breaks)
+        good = await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
         await until(lambda: len(app.gateway.steering.placement.known.servers) == 2)
-        for number in range(6):
-            got = await ask(app, "/safe/a", f"r{number}", key=str(number))
+        for index in range(6):
+            got = await ask(app, "/safe/a", f"r{index}", key=str(index))
             assert got.status == 200
         assert len(good.requests) == 6
 
@@ -120,15 +120,15 @@
         extra = b"X-Lacewingcross-Not-Executed: 1\r\n"
         writer.write(answer(received.request_id, status=503, extra=extra))
 
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(sheds)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(sheds)
+        app = await env.ready(await env.add_host())
         got = await ask(app, "/unsafe/a", method="POST", body=b"x")
         assert got.status == 503
         assert float(header(got, "retry-after")) > 0
         assert not header(got, "x-lacewingcross-response-signature")
-        good = await made.add_server(answers_at_once)
+        good = await env.add_server(answers_at_once)
         await until(lambda: len(app.gateway.steering.placement.known.servers) == 2)
         got = await ask(app, "/unsafe/a", "r2", method="POST", body=b"x")
         assert got.status == 200
@@ -143,10 +143,10 @@
         data = answer(received.request_id)
         writer.write(data.replace(b"X-Lacewingcross-Response-Signature: s1\r\n", b""))
 
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(unsigned)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(unsigned)
+        app = await env.ready(await env.add_host())
         assert (await ask(app, "/unsafe/a", method="POST", body=b"x")).status == 502
 
 
@@ -155,32 +155,32 @@
     async def hangs(received, writer):
         await asyncio.sleep(20)
 
-    async with fleet() as made:
-        made.configure(timeout_s=0.3)
-        server = await made.add_server(hangs)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure(timeout_s=0.3)
+        server = await env.add_server(hangs)
+        app = await env.ready(await env.add_host())
         got = await ask(app, "/unsafe/a", method="POST", body=b"x")
         assert got.status == 504
         await until(lambda: server.cut == 1)
 
 
 @in_loop
-async def test_a_read_leaves_a_server_that_has_gone_dark():
+async def test_a_read_leaves_a_silent_server():
     async def hangs(received, writer):
         await asyncio.sleep(20)
 
-    async with fleet() as made:
-        made.configure()
-        dark = await made.add_server(hangs)
-        await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        silent = await env.add_server(hangs)
+        await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
         await until(lambda: len(app.gateway.steering.placement.known.servers) == 2)
         statuses = [
-            (await ask(app, "/safe/a", f"r{number}", key=str(number))).status
-            for number in range(8)
+            (await ask(app, "/safe/a", f"r{index}", key=str(index))).status
+            for index in range(8)
         ]
         assert statuses == [200] * 8
-        assert len(dark.requests) <= 2
+        assert len(silent.requests) <= 2
 
 
 @in_loop
@@ -190,10 +190,10 @@
     async def hangs(received, writer):
         await asyncio.sleep(20)
 
-    async with fleet() as made:
-        made.configure()
-        server = await made.add_server(hangs)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        server = await env.add_server(hangs)
+        app = await env.ready(await env.add_host())
         asking = asyncio.ensure_future(ask(app, "/safe/a"))
         await until(lambda: len(server.requests) == 1)
         asking.cancel()
@@ -204,13 +204,13 @@
 
 @in_loop
 async def test_a_configuration_change_is_in_force_at_every_host():
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(answers_at_once)
-        apps = [await made.add_host(domain=domain) for domain in ("a1", "a2", "b1")]
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(answers_at_once)
+        apps = [await env.add_host(domain=domain) for domain in ("a1", "a2", "b1")]
         for app in apps:
-            await made.ready(app)
-        made.configure(version=4, path_prefix="/moved/")
+            await env.ready(app)
+        env.configure(version=4, path_prefix="/moved/")
         for app in apps:
             await until(lambda app=app: app.gateway.steering.table.config.version == 4)
             assert (await ask(app, "/moved/x")).status == 200
@@ -219,30 +219,30 @@
 
 @in_loop
 @pytest.mark.parametrize("fault", ["busy", "many", "reset", "silent"])
-async def test_a_host_that_the_store_turns_away_follows_through_its_peers(fault):
+async def test_a_host_that_cannot_reach_the_store_gets_updates_from_its_peers(fault):
     # The store serves some hosts and turns this one away. It must not serve an old
     # configuration, nor send to servers that have left.
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(answers_at_once)
-        near = await made.ready(await made.add_host())
-        broken = type(made.store)(made.store.now)
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(answers_at_once)
+        connected = await env.ready(await env.add_host())
+        broken = type(env.store)(env.store.now)
         broken.faults.down = fault
         port = await broken.start()
-        deaf = await made.add_host(
+        isolated = await env.add_host(
             domain="a2",
             platform=f"127.0.0.1:{port}",
-            seeds=[near.gateway.cfg.peer],
+            seeds=[connected.gateway.cfg.peer],
         )
-        await made.ready(deaf)
-        made.configure(version=9)
-        await until(lambda: deaf.gateway.steering.table.config.version == 9)
-        made.store.delete("servers", "i-1")
-        await until(lambda: not deaf.gateway.steering.placement.known.servers)
+        await env.ready(isolated)
+        env.configure(version=9)
+        await until(lambda: isolated.gateway.steering.table.config.version == 9)
+        env.store.delete("servers", "i-1")
+        await until(lambda: not isolated.gateway.steering.placement.known.servers)
         await broken.close()
 
 
-def followers(apps, kind):
+def watching_hosts(apps, kind):
     """Return the hosts that follow a kind in the store themselves."""
     return [
         app
@@ -254,37 +254,37 @@
 
 
 @in_loop
-async def test_one_host_of_all_regions_follows_the_store_for_the_others():
+async def test_one_host_of_all_regions_watches_the_store_for_the_others():
     # Every call of the store is paid for, a waiting one too. Hosts that each follow
     # three kinds would spend more on calls than on all their processor time.
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(answers_at_once)
-        apps = [await made.add_host(domain=domain) for domain in ("a1", "a2", "b1")]
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(answers_at_once)
+        apps = [await env.add_host(domain=domain) for domain in ("a1", "a2", "b1")]
         for app in apps:
-            await made.ready(app)
+            await env.ready(app)
         for kind in Kind:
-            await until(lambda kind=kind: len(followers(apps, kind)) == 1)
-        made.configure(version=5)
+            await until(lambda kind=kind: len(watching_hosts(apps, kind)) == 1)
+        env.configure(version=5)
         for app in apps:
             steering = app.gateway.steering
             await until(lambda known=steering: known.table.config.version == 5)
 
 
 @in_loop
-async def test_another_host_steps_in_when_the_one_that_follows_the_store_dies():
+async def test_another_host_watches_the_store_when_the_elected_one_dies():
     # The host that follows the store loses power with all its streams open, and the
     # operator changes the configuration. The others must not go on with the old one.
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(answers_at_once)
-        apps = [await made.add_host(domain=domain) for domain in ("a1", "a2", "b1")]
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(answers_at_once)
+        apps = [await env.add_host(domain=domain) for domain in ("a1", "a2", "b1")]
         for app in apps:
-            await made.ready(app)
-        await until(lambda: len(followers(apps, Kind.CONFIG)) == 1)
-        dead = followers(apps, Kind.CONFIG)[0]
-        made.tasks[apps.index(dead)].cancel()
-        made.configure(version=5)
+            await env.ready(app)
+        await until(lambda: len(watching_hosts(apps, Kind.CONFIG)) == 1)
+        dead = watching_hosts(apps, Kind.CONFIG)[0]
+        env.tasks[apps.index(dead)].cancel()
+        env.configure(version=5)
         for app in apps:
             if app is not dead:
                 steering = app.gateway.steering
@@ -292,19 +292,19 @@
 
 
 @in_loop
-async def test_a_pull_from_another_hosts_copy_is_no_word_from_the_store():
+async def test_a_pull_from_another_host_is_no_contact_with_the_store():
     # The store is away. A host that starts pulls from one whose copy is old; if that
     # counted as word from the store, neither would notice how old their copies are.
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(answers_at_once)
-        near = await made.ready(await made.add_host())
-        made.store.faults.down = "reset"
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(answers_at_once)
+        connected = await env.ready(await env.add_host())
+        env.store.faults.down = "reset"
         nowhere = free_address()
-        late = await made.add_host(
-            domain="a2", platform=nowhere, seeds=[near.gateway.cfg.peer]
+        late = await env.add_host(
+            domain="a2", platform=nowhere, seeds=[connected.gateway.cfg.peer]
         )
-        await made.ready(late)
+        await env.ready(late)
         assert late.gateway.steering.store_age(late.gateway.now()) == float("inf")
 
 
@@ -312,19 +312,19 @@
 async def test_servers_whose_entries_lapsed_in_an_outage_are_kept_for_their_return():
     # The store is away for longer than entries live. At its return all of them are
     # missing for a moment; dropping them would refuse every request.
-    async with fleet() as made:
-        made.configure()
-        server = await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
-        made.store.faults.down = "reset"
+    async with fleet() as env:
+        env.configure()
+        server = await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
+        env.store.faults.down = "reset"
         outage_s = OUTAGE_S + 0.2
         steering = app.gateway.steering
         await until(lambda: steering.store_age(app.gateway.now()) > outage_s)
-        made.store.delete("servers", "i-1")
-        made.store.faults.down = ""
+        env.store.delete("servers", "i-1")
+        env.store.faults.down = ""
         await until(lambda: app.gateway.steering.store_age(app.gateway.now()) < 1.0)
         assert (await ask(app, "/safe/a")).status == 200
-        made.register("i-1", server.address)
+        env.register("i-1", server.address)
         await asyncio.sleep(2.5)
         assert (await ask(app, "/safe/a", "r2")).status == 200
         assert "i-1" in app.gateway.steering.placement.known.servers
@@ -332,66 +332,66 @@
 
 @in_loop
 async def test_a_server_that_left_while_the_history_was_dropped_is_noticed():
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(answers_at_once)
-        await made.add_server(answers_at_once)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(answers_at_once)
+        await env.add_server(answers_at_once)
+        app = await env.ready(await env.add_host())
         servers = app.gateway.steering.placement.known.servers
         await until(lambda: len(servers) == 2)
-        made.store.delete("servers", "i-2")
-        made.store.compact()
+        env.store.delete("servers", "i-2")
+        env.store.compact()
         await until(lambda: set(servers) == {"i-1"})
 
 
 @in_loop
 async def test_an_evacuated_failure_domain_gets_no_more_requests():
-    async with fleet() as made:
-        made.configure()
-        left = await made.add_server(answers_at_once, domain="a1")
-        await made.add_server(answers_at_once, domain="a2")
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        left = await env.add_server(answers_at_once, domain="a1")
+        await env.add_server(answers_at_once, domain="a2")
+        app = await env.ready(await env.add_host())
         await until(lambda: len(app.gateway.steering.placement.known.servers) == 2)
-        made.store.put("evacuations", "a1", {})
+        env.store.put("evacuations", "a1", {})
         steering = app.gateway.steering
         await until(lambda: len(steering.replica.update_since(2, 0).documents) == 1)
         before = len(left.requests)
-        for number in range(10):
-            got = await ask(app, "/safe/a", f"r{number}", key=str(number))
+        for index in range(10):
+            got = await ask(app, "/safe/a", f"r{index}", key=str(index))
             assert got.status == 200
         assert len(left.requests) == before
 
 
 @in_loop
-async def test_an_error_over_one_greeting_does_not_silence_a_host(monkeypatch):
+async def test_an_error_in_one_greeting_does_not_stop_a_hosts_gossip(monkeypatch):
     # One message to another host cannot be written, by an error of ours. The stream to
     # it was never opened again, and the other host took this one for dead.
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(answers_at_once)
-        first = await made.ready(await made.add_host())
-        telling = first._peers._gossip_sender
-        greeting = type(telling).greeting
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(answers_at_once)
+        first = await env.ready(await env.add_host())
+        sender = first._peers._gossip_sender
+        greeting = type(sender).greeting
         broken = [True, True]
 
-        def greets_badly(speaker, link):
-            if broken and speaker is telling:
+        def fails_to_greet(gossip_sender, link):
+            if broken and gossip_sender is sender:
                 broken.pop()
                 raise TypeError("not iterable")
-            return greeting(speaker, link)
+            return greeting(gossip_sender, link)
 
-        monkeypatch.setattr(type(telling), "greeting", greets_badly)
-        second = await made.ready(await made.add_host())
+        monkeypatch.setattr(type(sender), "greeting", fails_to_greet)
+        second = await env.ready(await env.add_host())
         entries = second.gateway.roster.entries
         await until(lambda: any(e.live(second.gateway.now()) for e in entries.values()))
         assert not broken
 
 
 @in_loop
-async def test_callers_are_told_of_live_hosts_only():
-    async with fleet() as made:
-        made.configure()
-        apps = [await made.add_host(domain=domain) for domain in ("a1", "a2", "b1")]
+async def test_lookups_name_live_hosts_only():
+    async with fleet() as env:
+        env.configure()
+        apps = [await env.add_host(domain=domain) for domain in ("a1", "a2", "b1")]
         first = apps[0]
         entries = first.gateway.roster.entries
         await until(
@@ -404,14 +404,14 @@
         )
         got = json.loads((await resolve(first)).body)
         assert set(got["addresses"]) == {app.gateway.cfg.entry for app in apps[:2]}
-        made.tasks[1].cancel()
+        env.tasks[1].cancel()
         await until(lambda: len(first.gateway.roster.live(first.gateway.now())) == 2)
         got = json.loads((await resolve(first)).body)
         assert got["addresses"] == [first.gateway.cfg.entry]
 
 
 @in_loop
-async def test_a_leaving_host_finishes_what_it_has_begun():
+async def test_a_leaving_host_finishes_its_requests():
     # A planned stop comes while an upload is at its server. The caller gets its
     # answer, the other hosts stop naming this one, and its name is taken away.
     release = asyncio.Event()
@@ -420,18 +420,18 @@
         await release.wait()
         writer.write(answer(received.request_id, b"done"))
 
-    async with fleet() as made:
-        made.configure()
-        server = await made.add_server(waits)
-        leaving = await made.ready(await made.add_host())
-        other = await made.ready(await made.add_host(domain="a2"))
+    async with fleet() as env:
+        env.configure()
+        server = await env.add_server(waits)
+        leaving = await env.ready(await env.add_host())
+        other = await env.ready(await env.add_host(domain="a2"))
         entries = other.gateway.roster.entries
         await until(lambda: "host-0" in entries and entries["host-0"].last_heard_at > 0)
         asking = asyncio.ensure_future(
             ask(leaving, "/unsafe/a", method="POST", body=b"x")
         )
         await until(lambda: len(server.requests) == 1)
-        made.stops[0].set()
+        env.stops[0].set()
         await until(lambda: entries["host-0"].leaving)
         assert leaving.gateway.cfg.entry.encode() not in (await resolve(other)).body
         release.set()
@@ -440,30 +440,30 @@
         late = await ask(leaving, "/unsafe/b", "r2", method="POST", body=b"x")
         assert late.status == 200
         assert header(late, "connection") == "close"
-        await made.tasks[0]
-        assert made.store.names("entry-hosts") == ["host-1"]
+        await env.tasks[0]
+        assert env.store.names("entry-hosts") == ["host-1"]
 
 
 @in_loop
 async def test_a_host_finds_the_others_through_a_seed_while_the_store_is_away():
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(answers_at_once)
-        near = await made.ready(await made.add_host())
-        made.store.faults.down = "reset"
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(answers_at_once)
+        connected = await env.ready(await env.add_host())
+        env.store.faults.down = "reset"
         nowhere = free_address()
-        late = await made.add_host(
-            domain="a2", platform=nowhere, seeds=[near.gateway.cfg.peer]
+        late = await env.add_host(
+            domain="a2", platform=nowhere, seeds=[connected.gateway.cfg.peer]
         )
-        await made.ready(late)
+        await env.ready(late)
         assert (await ask(late, "/safe/a")).status == 200
 
 
 @in_loop
 async def test_without_servers_callers_are_refused_at_once():
-    async with fleet() as made:
-        made.configure()
-        app = await made.add_host()
+    async with fleet() as env:
+        env.configure()
+        app = await env.add_host()
         await until(lambda: app.gateway.steering.table is not None)
         await until(lambda: app.entry.server.listening)
         got = await ask(app, "/safe/a")
@@ -472,16 +472,16 @@
 
 
 @in_loop
-async def test_a_read_that_a_server_ran_is_never_called_not_run():
+async def test_a_read_that_a_server_ran_is_not_reported_as_not_run():
     # A server runs a read and fails with 500; no other server can take it. "Not run"
     # would be a lie, and whoever reads the logs would look in the wrong place.
     async def fails(received, writer):
         writer.write(answer(received.request_id, b"oops", status=500))
 
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(fails)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(fails)
+        app = await env.ready(await env.add_host())
         got = await ask(app, "/safe/a")
         assert got.status == 500
         assert header(got, "x-lacewingcross-response-signature") == "s1"
@@ -493,8 +493,8 @@
     # typing error. The host must go on with what it had.
     path = tmp_path / "settings.json"
     path.write_text(rendered())
-    async with fleet() as made:
-        app = await made.add_host(settings=str(path))
+    async with fleet() as env:
+        app = await env.add_host(settings=str(path))
         await until(lambda: app.entry.server.listening)
         bounds = {"cold_over": 3.0, "retry_budget_ratio": 0.1}
         path.write_text(rendered(bounds=bounds))
--- a/tests/test_leaving_gateway.py
+++ b/tests/test_leaving_gateway.py
@@ -20,16 +20,16 @@
     monkeypatch.setattr(gateway_app, "ACCEPT_WHILE_LEAVING_S", 0.2)
     monkeypatch.setattr(ServerConnection, "close_if_idle", lambda self: None)
 
-    async def works(received, writer):
+    async def answers_later(received, writer):
         await asyncio.sleep(0.3)
         writer.write(answer(received.request_id))
 
-    async with fleet() as made:
-        made.configure()
-        server = await made.add_server(works)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        server = await env.add_server(answers_later)
+        app = await env.ready(await env.add_host())
         conn = await ClientConnection.open(app.gateway.cfg.entry)
-        made.stops[0].set()
+        env.stops[0].set()
         while not app.entry.server.closing:
             await asyncio.sleep(0.001)
         fields = [(b"Host", b"a.example"), *headers("r1"), (b"Content-Length", b"1")]
@@ -40,4 +40,4 @@
         assert head.status == 200
         assert len(server.requests) == 1
         conn.close()
-        await asyncio.wait_for(made.tasks[0], 5.0)
+        await asyncio.wait_for(env.tasks[0], 5.0)
--- a/tests/test_leaving_word_gateway.py
+++ b/tests/test_leaving_word_gateway.py
@@ -7,46 +7,46 @@
 from tests.test_rate_limits_gateway import hosts_ready, send_for
 
 
-async def says_that_it_leaves(received, writer):
+async def announces_shutdown(received, writer):
     writer.write(answer(received.request_id, extra=b"Server-Leaving: 1\r\n"))
 
 
 @in_loop
-async def test_a_server_that_leaves_by_its_own_word_gets_nothing_more():
+async def test_a_server_that_announces_its_shutdown_gets_no_more_requests():
     # The store is away when a server begins to leave; only its answers tell of it.
-    async with fleet() as made:
-        made.configure()
-        leaving = await made.add_server(says_that_it_leaves)
-        other = await made.add_server(answers_at_once, domain="b1")
-        apps = await hosts_ready(made, 3)
+    async with fleet() as env:
+        env.configure()
+        leaving = await env.add_server(announces_shutdown)
+        other = await env.add_server(answers_at_once, domain="b1")
+        apps = await hosts_ready(env, 3)
         for app in apps:
-            await until(lambda app=app: len(known(app)) == 2)
+            await until(lambda app=app: len(known_servers(app)) == 2)
         while not leaving.requests:
             await send_for(apps, 0.1)
         await asyncio.sleep(0.3)
         before = len(leaving.requests)
-        made.register("i-1", leaving.address, seq=2)
+        env.register("i-1", leaving.address, seq=2)
         responses = await send_for(apps, 1.0)
         assert len(leaving.requests) == before
         assert all(r.status == 200 for r in responses)
         assert other.requests
 
 
-def known(app):
+def known_servers(app):
     return app.gateway.steering.placement.known.servers
 
 
 @in_loop
-async def test_hosts_that_sent_nothing_are_told_that_a_server_leaves():
-    async with fleet() as made:
-        made.configure()
-        server = await made.add_server(says_that_it_leaves)
-        apps = await hosts_ready(made, 3)
+async def test_hosts_that_sent_no_request_learn_of_a_servers_shutdown():
+    async with fleet() as env:
+        env.configure()
+        server = await env.add_server(announces_shutdown)
+        apps = await hosts_ready(env, 3)
         assert (await ask(apps[0], "/safe/a")).status == 200
-        leaves = [app.gateway.steering.placement.gate.departures for app in apps]
-        await until(lambda: all(made.leaves(("i-1", 0)) for made in leaves))
-        late = await made.add_host(domain="a2")
-        await made.ready(late)
+        departures = [app.gateway.steering.placement.gate.departures for app in apps]
+        await until(lambda: all(record.leaves(("i-1", 0)) for record in departures))
+        late = await env.add_host(domain="a2")
+        await env.ready(late)
         departures = late.gateway.steering.placement.gate.departures
         await until(lambda: departures.leaves(("i-1", 0)))
         assert (await ask(late, "/safe/a", "r2")).status == 503
--- a/tests/test_rate_limits_gateway.py
+++ b/tests/test_rate_limits_gateway.py
@@ -18,15 +18,15 @@
 
 WINDOW_S = 4.0
 # Hosts have heard of a limit so long after it was first named, in seconds.
-HEARD_S = 1.0
+LIMIT_KNOWN_S = 1.0
 
 
-def most_in_window(times, window_s=WINDOW_S):
+def max_in_window(times, window_s=WINDOW_S):
     """Return the most arrivals in any window."""
     return max((sum(t <= x < t + window_s for x in times) for t in times), default=0)
 
 
-def naming(rate, arrivals):
+def sends_limit(rate, arrivals):
     """Return the behaviour of a server that names a limit; notes when it is asked."""
 
     async def behave(received, writer):
@@ -39,41 +39,41 @@
 
 async def send_for(apps, seconds, *, every_s=0.03):
     """Send requests with many keys to all hosts by turns; return the responses."""
-    ends = time.monotonic() + seconds
+    end_at = time.monotonic() + seconds
     sent = []
-    numbers = itertools.count()
-    while time.monotonic() < ends:
-        number = next(numbers)
-        app = apps[number % len(apps)]
-        asked = ask(app, "/safe/a", f"r{number}", key=str(number % 20))
+    indexes = itertools.count()
+    while time.monotonic() < end_at:
+        index = next(indexes)
+        app = apps[index % len(apps)]
+        asked = ask(app, "/safe/a", f"r{index}", key=str(index % 20))
         sent.append(asyncio.ensure_future(asked))
         await asyncio.sleep(every_s)
     return await asyncio.gather(*sent)
 
 
-async def hosts_ready(made, count):
+async def hosts_ready(env, count):
     """Start hosts and wait until each knows the others."""
-    apps = [await made.add_host(domain=d) for d in ("a1", "a2", "b1")[:count]]
+    apps = [await env.add_host(domain=d) for d in ("a1", "a2", "b1")[:count]]
     for app in apps:
-        await made.ready(app)
+        await env.ready(app)
     await until(lambda: all(len(a.gateway.roster.active) == count for a in apps))
     return apps
 
 
 @in_loop
-async def test_a_server_that_names_a_limit_gets_no_more_from_all_hosts_together():
+async def test_all_hosts_together_stay_within_a_servers_rate_limit():
     # A server in need says what it takes; its hosts send it as much as before.
     rate = 2.0
     arrivals = []
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(naming(rate, arrivals))
-        await made.add_server(naming(1000, []), domain="b1")
-        apps = await hosts_ready(made, 3)
-        responses = await send_for(apps, HEARD_S + WINDOW_S + 1.0)
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(sends_limit(rate, arrivals))
+        await env.add_server(sends_limit(1000, []), domain="b1")
+        apps = await hosts_ready(env, 3)
+        responses = await send_for(apps, LIMIT_KNOWN_S + WINDOW_S + 1.0)
         first = arrivals[0]
-        late = [at for at in arrivals if at > first + HEARD_S]
-        assert most_in_window(late) <= 1.5 * rate * WINDOW_S + 5
+        late = [at for at in arrivals if at > first + LIMIT_KNOWN_S]
+        assert max_in_window(late) <= 1.5 * rate * WINDOW_S + 5
         assert late, "a server with a limit is still asked"
         assert all(r.status == 200 for r in responses)
 
@@ -85,15 +85,15 @@
 
 
 @in_loop
-async def test_hosts_that_sent_nothing_are_told_of_a_limit_and_of_its_end():
-    async with fleet() as made:
-        made.configure()
-        server = await made.add_server(naming(2.0, []))
-        apps = await hosts_ready(made, 3)
+async def test_hosts_that_sent_no_request_learn_of_a_limit_and_of_its_end():
+    async with fleet() as env:
+        env.configure()
+        server = await env.add_server(sends_limit(2.0, []))
+        apps = await hosts_ready(env, 3)
         await ask(apps[0], "/safe/a")
         await until(lambda: all(limits_at(app) == {"i-1": 2.0} for app in apps))
-        late = await made.add_host(domain="a2")
-        await made.ready(late)
+        late = await env.add_host(domain="a2")
+        await env.ready(late)
         await until(lambda: limits_at(late) == {"i-1": 2.0})
         server.behave = answers_at_once
         await send_for(apps, 4.0)
@@ -102,13 +102,13 @@
 
 @in_loop
 async def test_when_all_servers_are_at_their_limit_callers_are_refused_at_once():
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(naming(1.0, []))
-        (app,) = await hosts_ready(made, 1)
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(sends_limit(1.0, []))
+        (app,) = await hosts_ready(env, 1)
         # The first answer names the limit, and the second request uses up the credit.
-        for number in range(2):
-            assert (await ask(app, "/safe/a", f"r{number}")).status == 200
+        for index in range(2):
+            assert (await ask(app, "/safe/a", f"r{index}")).status == 200
         began = time.monotonic()
         got = await ask(app, "/unsafe/a", "r2", method="POST", body=b"x")
         assert got.status == 503
@@ -118,7 +118,7 @@
         assert (await ask(app, "/safe/a", "r3")).status == 200
 
 
-class OvertakenOnce(RateLimits):
+class SupersededOnce(RateLimits):
     """Lets a request choose one of two servers, but not send to it any more."""
 
     def __init__(self, own):
@@ -131,14 +131,14 @@
 
 
 @in_loop
-async def test_a_request_whose_server_has_no_room_any_more_is_placed_anew():
+async def test_a_superseded_attempt_is_placed_again():
     # Another request takes the server's last credit while this one opens a connection.
-    async with fleet() as made:
-        made.configure()
-        servers = [await made.add_server(answers_at_once) for _ in range(2)]
-        (app,) = await hosts_ready(made, 1)
+    async with fleet() as env:
+        env.configure()
+        servers = [await env.add_server(answers_at_once) for _ in range(2)]
+        (app,) = await hosts_ready(env, 1)
         await until(lambda: len(app.gateway.steering.placement.known.servers) == 2)
-        app.gateway.steering.placement.gate.rates = OvertakenOnce("host-0")
+        app.gateway.steering.placement.gate.rates = SupersededOnce("host-0")
         got = await ask(app, "/unsafe/a", method="POST", body=b"x")
         assert got.status == 200
         assert sum(len(server.requests) for server in servers) == 1
@@ -151,11 +151,11 @@
 async def test_a_server_is_not_blamed_for_the_failure_of_the_one_before(monkeypatch):
     # The first server refuses connections; the second one takes no more requests, and
     # would be left alone as one that cannot be reached.
-    async with fleet() as made:
-        made.configure()
-        made.register("dead", free_address())
-        await made.add_server(answers_at_once)
-        (app,) = await hosts_ready(made, 1)
+    async with fleet() as env:
+        env.configure()
+        env.register("dead", free_address())
+        await env.add_server(answers_at_once)
+        (app,) = await hosts_ready(env, 1)
         placement = app.gateway.steering.placement
         await until(lambda: len(placement.known.servers) == 2)
         send = Placement.sent
@@ -166,8 +166,8 @@
 
         monkeypatch.setattr(Placement, "sent", every_second)
         counters = app.gateway.metrics.counters
-        for number in range(20):
-            got = await ask(app, "/safe/a", f"r{number}", key=str(number))
+        for index in range(20):
+            got = await ask(app, "/safe/a", f"r{index}", key=str(index))
             assert got.status == 200
         assert counters["retries.connect-refused"]
         good = placement.known.servers["i-1"]
