--- a/tests/crashing_servers.py
+++ b/tests/crashing_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers that end under certain requests and start again elsewhere."""
+"""Backend servers that crash while they run certain requests, and start again."""
 
 import asyncio
 import contextlib
@@ -7,18 +7,20 @@
 
 from .gateway_parts import Fleet, ScriptedServer, answer
 
-# A server is back so long after its end, in seconds, under a new id and address.
+# Time from a server's crash to its restart under a new id and address, in seconds.
 RESTART_AFTER_S = 0.3
-# Its entry lapses so long after its end, in seconds: three heartbeats of 1.5 s.
+# Time from a server's crash to the lapse of its entry, in seconds: three heartbeats of
+# 1.5 s.
 LAPSE_AFTER_S = 4.5
 SERVICE_TIME_S = 0.02
 
 
 @dataclass
 class CrashingServers:
-    """Servers of one service; a request with `bad_word` in target or body ends its server.
+    """Servers of one service that crash on bad requests.
 
-    `arrivals` and `crash_times` hold monotonic times of such requests and of what they did.
+    A request is bad if it has `bad_word` in its target or body. `arrivals` and
+    `crash_times` hold the monotonic times of bad requests and of the crashes.
     """
 
     env: Fleet
@@ -58,7 +60,7 @@
         return next(s for s in self.running if writer in s.writers)
 
     def crash(self, server):
-        """End a server with all that it runs; another one starts in its place."""
+        """Crash a server with all its requests; another server replaces it later."""
         self.crash_times.append(time.monotonic())
         self.running.remove(server)
         server.cut_off()
@@ -73,7 +75,7 @@
         self.env.store.delete("servers", server_id)
 
     def late_arrivals(self, window_s):
-        """Return when such requests came later than a window after the third end."""
+        """Return the times of bad requests after the third crash and `window_s`."""
         if len(self.crash_times) < 3:
             return []
         after = self.crash_times[2] + window_s
--- a/tests/gateway_parts.py
+++ b/tests/gateway_parts.py
@@ -1,4 +1,4 @@
-"""Parts for tests of the gateway: scripted servers, a small fleet in one process."""
+"""Helpers for tests of the gateway: scripted servers and a fleet in one process."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
 
 
 async def until(condition, limit_s=10.0):
-    """Wait until a condition holds; the limit only ends a test that has failed."""
+    """Wait until a condition holds; fail the test after `limit_s` seconds."""
     deadline = time.monotonic() + limit_s
     while not condition():
         assert time.monotonic() < deadline, "condition never held"
@@ -38,7 +38,7 @@
 
 
 def answer(request_id, body=b"ok", *, status=200, framing="length", extra=b""):
-    """Return a server's answer as bytes, framed by length, chunks or close."""
+    """Return a server's response as bytes, framed by length, chunks or close."""
     head = f"HTTP/1.1 {status} X\r\n{ID}: {request_id}\r\n".encode() + SIGNATURE + extra
     if framing == "length":
         return head + f"Content-Length: {len(body)}\r\n\r\n".encode() + body
@@ -50,7 +50,7 @@
 
 @dataclass
 class Received:
-    """One request as a server got it."""
+    """One request as a server received it."""
 
     method: str
     target: str
@@ -66,8 +66,9 @@
 class ScriptedServer:
     """A backend server whose behaviour is a coroutine function of the test.
 
-    The function gets the request and the stream's writer; returning False closes the
-    connection.
+    The function `behave` is called with the request and the stream's writer. If it
+    returns False, the connection is closed. `cut` counts the requests whose caller
+    closed the connection before the function returned.
     """
 
     behave: object
@@ -108,7 +109,7 @@
             writer.transport.abort()
 
     def cut_off(self):
-        """End at once: nothing listens any more, and all connections break."""
+        """Crash: close the listener and abort all connections at once."""
         self._server.close()
         for writer in list(self.writers):
             writer.transport.abort()
--- a/tests/test_accounts_gateway.py
+++ b/tests/test_accounts_gateway.py
@@ -1,4 +1,4 @@
-"""Client accounts as callers and backend servers see them."""
+"""Tests of client accounts from the view of callers and backend servers."""
 
 import asyncio
 
@@ -101,7 +101,7 @@
 
 @in_loop
 async def test_an_account_is_served_in_its_own_regions_only():
-    # The nearest server stands in region a; the account is bound to region b.
+    # The nearest server is in region a; the account is bound to region b.
     async with fleet() as env:
         bound = {"school": {"api_keys": [KEY], "home_regions": ["b"]}}
         env.configure(accounts=bound)
@@ -122,8 +122,9 @@
 
 @in_loop
 async def test_both_keys_of_an_account_are_one_caller_to_the_quarantine():
-    # A request that ends servers comes with one key of its account, then with another.
-    # Counted apart, it would end twice as many before it is refused.
+    # A request that crashes servers is sent with one key of its account, then with
+    # another. If crashes were counted for each key, the request would crash twice as
+    # many servers before it is refused.
     async with fleet() as env:
         env.configure(accounts=ACCOUNTS)
 
--- a/tests/test_backend_connection.py
+++ b/tests/test_backend_connection.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: every form of answer, and what is none."""
+"""Tests of connections to backend servers: valid and invalid forms of responses."""
 
 import asyncio
 import time
@@ -65,7 +65,8 @@
         assert await exchange(conn) == (200, b"hello")
         assert not conn.reusable()
 
-    # The scripted server resets; a clean end needs the stream's own close.
+    # The scripted server aborts its connections, so the stream is closed here to end
+    # the response cleanly.
     async def closes_cleanly(received, writer):
         await behave(received, writer)
         await writer.drain()
@@ -77,8 +78,8 @@
 
 
 def test_a_response_without_a_length_that_is_reset_is_not_complete():
-    # A server dies in the middle of an answer that would end with its connection.
-    # Passed on as whole, a caller would take half a calendar for all of it.
+    # A server crashes in the middle of a response that ends with its connection. If it
+    # were forwarded as complete, a caller would take half a calendar for all of it.
     async def behave(received, writer):
         writer.write(answer(received.request_id, b"half", framing="close"))
         await writer.drain()
@@ -123,8 +124,9 @@
 
 
 def test_a_late_second_response_is_not_used_for_the_next_request():
-    # A server sends an answer twice; the second copy arrives when the next request
-    # has gone out on the same connection. Its id says whose it is.
+    # A server sends a response twice. The second copy arrives after the next request
+    # was sent on the same connection; its request id shows that it is for an earlier
+    # one.
     async def behave(received, writer):
         if received.request_id == "r2":
             writer.write(answer("r1", b"late copy"))
@@ -171,8 +173,8 @@
 
 
 def test_an_answer_before_the_whole_body_ends_the_connection_after_it():
-    # A server answers a long upload early and reads on later. Another request on the
-    # same connection would be read as the rest of the body.
+    # A server responds to a long upload early and reads the rest later. It would read
+    # another request on the same connection as the rest of the body.
     async def behave(received, writer):
         writer.write(answer(received.request_id, b"enough", status=413))
         await asyncio.sleep(0.2)
@@ -184,7 +186,8 @@
             headers=[("Host", "a"), (ID, "r1"), ("Content-Length", "100")],
         )
         conn.send_request(head, [b"0123456789"], end=False)
-        # The scripted server waits for all of the body, so it is told to answer now.
+        # The scripted server responds only after the whole body, so the rest is written
+        # here without the connection noticing.
         conn.transport.write(b"0" * 90)
         got = await conn.read_head(b"r1")
         assert got.status == 413
@@ -235,8 +238,9 @@
     ("sent", "why"), [(b"", "closed"), (b"\x00 not HTTP\r\n\r\n", "not-http")]
 )
 def test_a_crashed_server_is_told_from_one_that_sends_an_invalid_response(sent, why):
-    # A server ends under a request. Engineers read that its answer was spoilt, like
-    # those of a server that runs on, and could not see that servers were ending.
+    # A server crashes while it runs a request. If the log called this an invalid
+    # response, as from a server that is still alive, engineers could not see the
+    # crashes.
     async def behave(received, writer):
         writer.write(sent)
         await writer.drain()
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: whose they are, and when they are used again."""
+"""Tests of the pool of connections to backend servers."""
 
 import asyncio
 
@@ -15,8 +15,9 @@
 
 
 def test_a_new_incarnation_of_a_server_gets_no_connection_of_the_earlier_one():
-    # A server crashes and starts again under its id and address. Its old connections
-    # are dead; a booking sent on one of them would have an unknown end.
+    # A server crashes and starts again under the same id and address. Its old
+    # connections are dead; the outcome of a booking that is sent on one of them would
+    # be unknown.
     async def check():
         server = await ScriptedServer(None).start()
         backends = Backends(lambda: 1.0, lambda: None)
@@ -35,8 +36,9 @@
 
 
 def test_connections_that_a_server_has_closed_do_not_use_up_the_limit():
-    # A server ends with all connections that a host may hold to it. The host could not
-    # ask whether it still listens, and took it for one that had dropped a connection.
+    # A server crashes while the host holds as many connections to it as the limit
+    # allows. If these still counted, the host could not check whether the server
+    # listens, and would assume that it only dropped a connection.
     async def check():
         server = await ScriptedServer(None).start()
         backends = Backends(lambda: 1.0, lambda: None)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests that end the backend servers which run them."""
+"""Tests of requests that crash the backend servers which run them."""
 
 import asyncio
 import contextlib
@@ -10,8 +10,8 @@
 from .gateway_parts import answer, ask, fleet, until
 from .test_gateway import header, in_loop
 
-# Hosts in touch may go on sending such a request for so long after it has ended its
-# third server, in seconds, and three times afterwards (the users' bound).
+# The users' bound: hosts that are connected may go on sending such a request for this
+# long after it has crashed its third server, in seconds, and three times afterwards.
 WINDOW_S = 3.0
 MAX_LATE_ARRIVALS = 3
 REPEAT_S = 0.05
@@ -26,7 +26,7 @@
 
 
 async def repeat(apps, target, seconds):
-    """Send one request again and again, at any host, under a new id each time."""
+    """Send one request repeatedly to all hosts in rotation, under new ids."""
     end_at = time.monotonic() + seconds
     statuses = []
     while time.monotonic() < end_at:
@@ -56,11 +56,12 @@
 
 @in_loop
 async def test_a_request_that_ends_its_servers_reaches_few_of_them():
-    # Servers of one service end one after the other, for as long as one caller repeats
-    # one request; callers beside it lose their answers with each of them. The request
-    # comes under a new id and at another host each time, and what a host learnt of it
-    # ended with each try. Evidence: of 24 servers that ended in nine seconds, each had
-    # a connection closed under the same method, path and body just before.
+    # Servers of one service crash one after the other while a caller repeats one
+    # request, and other callers lose their answers with each server. The request has a
+    # new id and goes to another host each time, so a host that forgets it after each
+    # attempt cannot recognise it. In one case 24 servers crashed in nine seconds, and
+    # each had lost a connection just before, during a request with the same method,
+    # path and body.
     async with fleet() as env:
         env.configure(max_attempts=3)
         async with crashing_servers(env, 12) as servers:
@@ -69,7 +70,7 @@
             assert len(servers.crash_times) >= 3
             late = servers.late_arrivals(WINDOW_S)
             assert len(late) <= MAX_LATE_ARRIVALS, (
-                f"{len(late)} late, {len(servers.crash_times)} ends"
+                f"{len(late)} late, {len(servers.crash_times)} crashes"
             )
 
 
@@ -87,7 +88,7 @@
 
 @in_loop
 async def test_other_requests_are_served_meanwhile():
-    # Path, credentials and body make a request; its neighbours are not refused for it.
+    # A request is identified by path, credentials and body. Other requests are served.
     async with refusing_fleet() as (env, _, apps):
         await until(lambda: len(env.servers) > 8)
         for app in apps:
@@ -123,8 +124,9 @@
 
 @in_loop
 async def test_hosts_that_all_start_again_still_refuse_it():
-    # All hosts lose power while a request is refused. None of them remembers anything,
-    # and it would end three more servers before it is refused again.
+    # All hosts lose power while a request is quarantined and keep nothing in memory. If
+    # the quarantine were not stored, the request would crash three more servers before
+    # it is refused again.
     async with refusing_fleet() as (env, servers, _):
         await until(lambda: env.store.names("quarantined-requests"))
         for task in env.tasks:
@@ -152,7 +154,7 @@
 async def test_an_operator_releases_a_request():
     async with refusing_fleet() as (env, servers, apps):
         await until(lambda: env.store.names("quarantined-requests"))
-        # The service is repaired.
+        # From now on no request crashes a server, as after a fix of the service.
         servers.bad_word = b"/nothing"
         await until(lambda: len(servers.running) >= 6)
         for name in env.store.names("quarantined-requests"):
@@ -165,8 +167,9 @@
 
 @in_loop
 async def test_servers_that_drop_connections_and_live_bring_nothing_into_quarantine():
-    # A server closes the connection in place of an answer, as lost answers show, and
-    # goes on. A request that met three of them would be refused for minutes.
+    # A server closes the connection instead of responding and stays alive, as if the
+    # response were lost. If that counted as a crash, a request that meets three such
+    # servers would be refused for minutes.
     async def drops(received, writer):
         if "/bad" in received.target:
             return False
@@ -185,8 +188,8 @@
 
 @pytest.mark.parametrize("size", [1_000, 1_200_000])
 def test_a_server_that_ends_within_its_answer_counts(size):
-    # A server ends in the middle of an answer, be it held back until it is whole or
-    # passed on as it comes.
+    # A server crashes in the middle of a response. A small response is buffered until
+    # it is complete, a large one is forwarded as it arrives.
     @in_loop
     async def run():
         async with fleet() as env:
@@ -217,9 +220,9 @@
 
 @in_loop
 async def test_a_server_that_one_host_saw_end_is_passed_over_by_the_others():
-    # A server ends. Each host found out by a request of its own that nobody listens
-    # there any more, and while servers end one after the other, callers were refused
-    # since both servers that were tried for them had ended.
+    # A server crashes. If each host had to find out by a request of its own that the
+    # server no longer listens, callers would be refused while servers crash one after
+    # the other, since both servers tried for a request have crashed.
     async with fleet() as env:
         env.configure()
         async with crashing_servers(env, 4) as servers:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway as callers, backend servers and operators see it."""
+"""Tests of the gateway from the view of callers, backend servers and operators."""
 
 import asyncio
 import functools
@@ -23,7 +23,7 @@
 
 
 def in_loop(test):
-    """Run a coroutine test to its end, within a bound."""
+    """Run a coroutine test with a time limit."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
@@ -83,8 +83,9 @@
 
 @in_loop
 async def test_a_booking_that_may_have_run_is_not_reported_as_not_run():
-    # A server takes a booking and its connection breaks. "Not run" would make the
-    # caller book again, and the family pays twice.
+    # A server accepts a booking and its connection breaks. If the host answered that
+    # the request has not run, the caller would book again and the family would pay
+    # twice.
     async def breaks(received, writer):
         return False
 
@@ -137,8 +138,8 @@
 
 @in_loop
 async def test_a_success_without_signature_is_not_passed_on():
-    # Another process has taken the server's address, or the answer was garbled on its
-    # way: whatever it says, it is not the server's answer.
+    # Another process has taken the server's address, or the response was damaged on its
+    # way. In both cases it is not the response of the server.
     async def unsigned(received, writer):
         data = answer(received.request_id)
         writer.write(data.replace(b"X-Lacewingcross-Response-Signature: s1\r\n", b""))
@@ -185,8 +186,8 @@
 
 @in_loop
 async def test_a_read_is_stopped_when_its_caller_leaves():
-    # Callers give up and ask again; servers that go on working for those who left
-    # have no slots for those who are there.
+    # Callers give up and send the request again. If servers went on with the requests
+    # of callers that have gone, they would have no slots for the others.
     async def hangs(received, writer):
         await asyncio.sleep(20)
 
@@ -220,8 +221,8 @@
 @in_loop
 @pytest.mark.parametrize("fault", ["busy", "many", "reset", "silent"])
 async def test_a_host_that_cannot_reach_the_store_gets_updates_from_its_peers(fault):
-    # The store serves some hosts and turns this one away. It must not serve an old
-    # configuration, nor send to servers that have left.
+    # The store is unreachable for this host and serves others. The host must not use an
+    # old configuration or send requests to servers that have left.
     async with fleet() as env:
         env.configure()
         await env.add_server(answers_at_once)
@@ -243,7 +244,7 @@
 
 
 def watching_hosts(apps, kind):
-    """Return the hosts that follow a kind in the store themselves."""
+    """Return the hosts that are elected to watch a kind of objects in the store."""
     return [
         app
         for app in apps
@@ -255,8 +256,9 @@
 
 @in_loop
 async def test_one_host_of_all_regions_watches_the_store_for_the_others():
-    # Every call of the store is paid for, a waiting one too. Hosts that each follow
-    # three kinds would spend more on calls than on all their processor time.
+    # Every call to the store costs money, also one that waits for changes. If each host
+    # watched three kinds, the calls would cost more than all processor time of the
+    # hosts.
     async with fleet() as env:
         env.configure()
         await env.add_server(answers_at_once)
@@ -273,8 +275,8 @@
 
 @in_loop
 async def test_another_host_watches_the_store_when_the_elected_one_dies():
-    # The host that follows the store loses power with all its streams open, and the
-    # operator changes the configuration. The others must not go on with the old one.
+    # The host that watches the store loses power with all its streams open, and the
+    # operator changes the configuration. The other hosts must get the new one.
     async with fleet() as env:
         env.configure()
         await env.add_server(answers_at_once)
@@ -293,8 +295,9 @@
 
 @in_loop
 async def test_a_pull_from_another_host_is_no_contact_with_the_store():
-    # The store is away. A host that starts pulls from one whose copy is old; if that
-    # counted as word from the store, neither would notice how old their copies are.
+    # The store is unavailable. A starting host pulls from a host whose copy is old. If
+    # that counted as contact with the store, neither host would notice how old its copy
+    # is.
     async with fleet() as env:
         env.configure()
         await env.add_server(answers_at_once)
@@ -310,8 +313,9 @@
 
 @in_loop
 async def test_servers_whose_entries_lapsed_in_an_outage_are_kept_for_their_return():
-    # The store is away for longer than entries live. At its return all of them are
-    # missing for a moment; dropping them would refuse every request.
+    # The store is unavailable for longer than the lifetime of entries. When it returns,
+    # all entries are missing for a moment. A host that dropped the servers at once
+    # would refuse every request.
     async with fleet() as env:
         env.configure()
         server = await env.add_server(answers_at_once)
@@ -364,8 +368,8 @@
 
 @in_loop
 async def test_an_error_in_one_greeting_does_not_stop_a_hosts_gossip(monkeypatch):
-    # One message to another host cannot be written, by an error of ours. The stream to
-    # it was never opened again, and the other host took this one for dead.
+    # A programming error makes one greeting to another host fail. If the stream to that
+    # host were never opened again, it would consider this host dead.
     async with fleet() as env:
         env.configure()
         await env.add_server(answers_at_once)
@@ -412,8 +416,8 @@
 
 @in_loop
 async def test_a_leaving_host_finishes_its_requests():
-    # A planned stop comes while an upload is at its server. The caller gets its
-    # answer, the other hosts stop naming this one, and its name is taken away.
+    # A host is stopped while a server runs an upload. The caller still gets its answer,
+    # the other hosts leave this host out of look-ups, and its entry is deleted.
     release = asyncio.Event()
 
     async def waits(received, writer):
@@ -473,8 +477,8 @@
 
 @in_loop
 async def test_a_read_that_a_server_ran_is_not_reported_as_not_run():
-    # A server runs a read and fails with 500; no other server can take it. "Not run"
-    # would be a lie, and whoever reads the logs would look in the wrong place.
+    # A server runs a read and fails with 500; no other server can take it. If the host
+    # reported the request as not run, readers of the logs would be misled.
     async def fails(received, writer):
         writer.write(answer(received.request_id, b"oops", status=500))
 
@@ -489,8 +493,8 @@
 
 @in_loop
 async def test_settings_are_read_again_and_bad_ones_are_refused(tmp_path):
-    # An operator changes the settings file and sends SIGHUP; the second change has a
-    # typing error. The host must go on with what it had.
+    # An operator changes the settings file and sends SIGHUP. The second change has a
+    # syntax error, and the host must keep the settings that it has.
     path = tmp_path / "settings.json"
     path.write_text(rendered())
     async with fleet() as env:
--- a/tests/test_leaving_gateway.py
+++ b/tests/test_leaving_gateway.py
@@ -1,4 +1,4 @@
-"""A host that leaves: the last requests that reach it."""
+"""Tests of the last requests that reach a leaving host."""
 
 import asyncio
 
@@ -11,12 +11,12 @@
 
 @in_loop
 async def test_a_request_that_comes_as_the_listener_closes_is_answered(monkeypatch):
-    # A host is told to end. It serves on for three seconds, closes its listener and the
-    # idle connections, finds that nothing is running, and ends. A caller's connection
-    # was just being accepted: it was in no list yet, so it stayed. Its booking was read
-    # and sent to a server, which ran it, and the caller got neither answer nor refusal.
-    # Evidence: the host's own lines, `host-stopped ... cut=0` and, a millisecond later,
-    # the `request-placed` of that booking.
+    # A host is asked to stop. It serves for three more seconds, closes its listener and
+    # the idle connections, finds no request running, and stops. A connection that is
+    # being accepted at that moment is in no list yet and stays open. Its booking is
+    # sent to a server, which runs it, but the caller gets no answer. The host's log
+    # shows `host-stopped ... cut=0` and, a millisecond later, `request-placed` for the
+    # booking.
     monkeypatch.setattr(gateway_app, "ACCEPT_WHILE_LEAVING_S", 0.2)
     monkeypatch.setattr(ServerConnection, "close_if_idle", lambda self: None)
 
--- a/tests/test_leaving_word_gateway.py
+++ b/tests/test_leaving_word_gateway.py
@@ -1,4 +1,4 @@
-"""Servers that say in their answers that they leave, as callers and they see it."""
+"""Tests of servers that announce their shutdown in their responses."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 @in_loop
 async def test_a_server_that_announces_its_shutdown_gets_no_more_requests():
-    # The store is away when a server begins to leave; only its answers tell of it.
+    # The store does not show that a server is shutting down; only its responses do.
     async with fleet() as env:
         env.configure()
         leaving = await env.add_server(announces_shutdown)
--- a/tests/test_rate_limits_gateway.py
+++ b/tests/test_rate_limits_gateway.py
@@ -1,4 +1,4 @@
-"""Servers that name a limit on their requests, as callers and they see it."""
+"""Tests of servers that announce a limit on their request rate."""
 
 import asyncio
 import itertools
@@ -17,17 +17,17 @@
 from tests.test_gateway import header, in_loop
 
 WINDOW_S = 4.0
-# Hosts have heard of a limit so long after it was first named, in seconds.
+# Time after which all hosts know of a limit that a server has announced, in seconds.
 LIMIT_KNOWN_S = 1.0
 
 
 def max_in_window(times, window_s=WINDOW_S):
-    """Return the most arrivals in any window."""
+    """Return the maximum number of arrivals in any window."""
     return max((sum(t <= x < t + window_s for x in times) for t in times), default=0)
 
 
 def sends_limit(rate, arrivals):
-    """Return the behaviour of a server that names a limit; notes when it is asked."""
+    """Return the behaviour of a server that announces a limit and records arrivals."""
 
     async def behave(received, writer):
         arrivals.append(time.monotonic())
@@ -38,7 +38,7 @@
 
 
 async def send_for(apps, seconds, *, every_s=0.03):
-    """Send requests with many keys to all hosts by turns; return the responses."""
+    """Send requests with 20 keys to all hosts, round robin; return the responses."""
     end_at = time.monotonic() + seconds
     sent = []
     indexes = itertools.count()
@@ -52,7 +52,7 @@
 
 
 async def hosts_ready(env, count):
-    """Start hosts and wait until each knows the others."""
+    """Start hosts and wait until each one counts all of them as active."""
     apps = [await env.add_host(domain=d) for d in ("a1", "a2", "b1")[:count]]
     for app in apps:
         await env.ready(app)
@@ -62,7 +62,8 @@
 
 @in_loop
 async def test_all_hosts_together_stay_within_a_servers_rate_limit():
-    # A server in need says what it takes; its hosts send it as much as before.
+    # An overloaded server announces the rate that it accepts. Hosts that ignore it
+    # would send as many requests as before.
     rate = 2.0
     arrivals = []
     async with fleet() as env:
@@ -79,7 +80,7 @@
 
 
 def limits_at(app):
-    """Return the rates that a host believes, by server id."""
+    """Return the rate limits that a host applies, by server id."""
     rates = app.gateway.steering.placement.gate.rates
     return {server[0]: limit.rate for server, limit in rates.in_force()}
 
@@ -106,7 +107,8 @@
         env.configure()
         await env.add_server(sends_limit(1.0, []))
         (app,) = await hosts_ready(env, 1)
-        # The first answer names the limit, and the second request uses up the credit.
+        # The first response announces the limit, and the second request uses the
+        # credit.
         for index in range(2):
             assert (await ask(app, "/safe/a", f"r{index}")).status == 200
         began = time.monotonic()
@@ -119,7 +121,7 @@
 
 
 class SupersededOnce(RateLimits):
-    """Lets a request choose one of two servers, but not send to it any more."""
+    """Allows both checks while one of two servers is chosen, then refuses the send."""
 
     def __init__(self, own):
         super().__init__(own)
@@ -149,8 +151,9 @@
 
 @in_loop
 async def test_a_server_is_not_blamed_for_the_failure_of_the_one_before(monkeypatch):
-    # The first server refuses connections; the second one takes no more requests, and
-    # would be left alone as one that cannot be reached.
+    # The first server refuses connections, and the second one takes no more requests at
+    # the moment. If the second attempt kept the failure of the first one, the second
+    # server would be skipped as unreachable.
     async with fleet() as env:
         env.configure()
         env.register("dead", free_address())
--- a/tests/test_server_backoffs_gateway.py
+++ b/tests/test_server_backoffs_gateway.py
@@ -1,4 +1,4 @@
-"""Servers that turn requests away and ask for rest, as callers and they see it."""
+"""Tests of servers that shed requests and request a back-off."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 
 
 def requests_backoff(arrivals, backoff_s=BACKOFF_S):
-    """Return the behaviour of a server that sheds all and asks for rest."""
+    """Return the behaviour of a server that sheds all and requests a back-off."""
 
     async def behave(received, writer):
         arrivals.append(time.monotonic())
