--- a/lacewingcross/gateway/attempt_series.py
+++ b/lacewingcross/gateway/attempt_series.py
@@ -57,7 +57,7 @@
         "_failure_reason",
         "_gateway",
         "_log",
-        "_repeated",
+        "_repeated_request",
         "_reply",
         "_req",
         "_service",
@@ -74,7 +74,7 @@
         self._req = req
         self._reply = reply
         self._log = AttemptLog(req.frame, req.terms, gateway)
-        self._repeated = RepeatedRequest(
+        self._repeated_request = RepeatedRequest(
             gateway, req.frame, req.exchange.head, req.body, req.caller_account
         )
         self._service = ""
@@ -113,12 +113,12 @@
         budget = steering.budget(self._service)
         budget.earn()
         while True:
-            refused_for_s = self._repeated.refused_for_s()
+            refused_for_s = self._repeated_request.refused_for_s()
             if refused_for_s:
                 return self._quarantined(refused_for_s)
             choice = self._choose()
             if isinstance(choice, Refusal):
-                self._repeated.record_not_run()
+                self._repeated_request.record_not_run()
                 if self.may_have_run:
                     return HostAnswer(502, self._failure_reason)
                 if self._shed_with_room:
@@ -211,7 +211,7 @@
             if not exc.sent:
                 attempt.stage = Stage.NOT_SENT
             elif run.lost:
-                self._repeated.connection_broke(server.entry)
+                self._repeated_request.connection_broke(server.entry)
         except _SupersededError:
             ending = Ending.CONNECT_FAILED
             self._superseded = True
@@ -244,7 +244,7 @@
         self.attempts -= 1
         self._reply.attempts = self.attempts
         self._tried.discard(attempt.server_id)
-        self._repeated.record_not_run()
+        self._repeated_request.record_not_run()
         self._gateway.metrics.count("attempts.overtaken")
         self._log.superseded(attempt, self._time_left_s())
         return Verdict.RETRY
@@ -323,7 +323,7 @@
         answer: Answer | None,
     ) -> Verdict:
         budget = self._gateway.steering.budget(self._service)
-        await self._repeated.wait_for_crash_check()
+        await self._repeated_request.wait_for_crash_check()
         verdict = decide(
             attempt,
             ending,
@@ -334,7 +334,7 @@
             budget_left=budget.available(),
         )
         if attempt.stage is Stage.NOT_SENT:
-            self._repeated.record_not_run()
+            self._repeated_request.record_not_run()
         if ending is Ending.SERVER_NOT_RUN:
             self._failure_reason = "server-full"
             back_soon = self._gateway.cfg.policy.shed_back_soon
@@ -346,7 +346,9 @@
             verdict = self._retry_server_error(verdict)
         if verdict is not Verdict.DONE or self.attempts > 1:
             time_left_s = self._time_left_s()
-            fingerprint = self._repeated.fingerprint if ending is Ending.BROKEN else ""
+            fingerprint = (
+                self._repeated_request.fingerprint if ending is Ending.BROKEN else ""
+            )
             self._log.ended(
                 attempt,
                 ending,
@@ -357,7 +359,7 @@
                 fingerprint,
             )
         if ending is Ending.ANSWERED:
-            self._repeated.record_answer()
+            self._repeated_request.record_answer()
         if verdict is Verdict.DONE:
             await self._deliver(run, answer)
         elif answer is not None and not answer.complete:
@@ -371,7 +373,7 @@
             # `Reply.deliver` has aborted the caller's connection, since only that shows
             # the caller that the rest of a large response will not come.
             if run.lost:
-                self._repeated.connection_broke(run.server.entry)
+                self._repeated_request.connection_broke(run.server.entry)
             logs.event(
                 "answer-broke-off", id=self._req.frame.request_id, why=exc.reason
             )
--- a/lacewingcross/gateway/forwarding.py
+++ b/lacewingcross/gateway/forwarding.py
@@ -34,7 +34,7 @@
     """
 
     has_accounts: bool = False
-    account: str = ""
+    name: str = ""
 
     def credentials(self, head: RequestHead) -> str:
         """Return what distinguishes this caller's requests from those of others.
@@ -43,7 +43,7 @@
         caller, and fingerprints, which are stored, must not be computed from a key.
         """
         if self.has_accounts:
-            return self.account
+            return self.name
         return hd.find(head.headers, hd.AUTHORIZATION)
 
 
@@ -75,8 +75,8 @@
         if item[0] not in OWN_REQUEST_HEADERS
         and not (caller_account.has_accounts and item[0] == hd.AUTHORIZATION)
     ]
-    if caller_account.account:
-        fields.append((ph.ACCOUNT, caller_account.account.encode()))
+    if caller_account.name:
+        fields.append((ph.ACCOUNT, caller_account.name.encode()))
     fields.append((ph.REMAINING_MS, str(max(1, int(time_left_s * 1000))).encode()))
     fields.append((ph.EXPECTED_INCARNATION, server_id.encode()))
     fields += _framing(head, body)
--- a/lacewingcross/gateway/pages.py
+++ b/lacewingcross/gateway/pages.py
@@ -67,10 +67,10 @@
         await exchange.respond(404, JSON_TYPE, UNKNOWN_PATH)
         return
     table = gateway.steering.table
-    homes = table.home_regions(lookup.host_name) if table else frozenset()
+    home_regions = table.home_regions(lookup.host_name) if table else frozenset()
     now = gateway.now()
     addresses = addresses_for(
-        gateway.roster, lookup.region, homes, now, lookup.failure_domain
+        gateway.roster, lookup.region, home_regions, now, lookup.failure_domain
     )
     gateway.metrics.count("lookups.answered")
     logs.event(
