--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -196,7 +196,7 @@
             logs.event("host-serving", config=gateway.steering.table.config.version)
 
     def _review_shares(self, now: float) -> None:
-        """Update this host's shares of limits, and the cores that all hosts need."""
+        """Update this host's shares of common limits and the number of cores needed."""
         gateway = self.gateway
         steering = gateway.steering
         placement = steering.placement
--- a/lacewingcross/gateway/backend_connection.py
+++ b/lacewingcross/gateway/backend_connection.py
@@ -241,6 +241,6 @@
         )
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
--- a/lacewingcross/gateway/forwarding.py
+++ b/lacewingcross/gateway/forwarding.py
@@ -12,6 +12,7 @@
 from .attempt import CallerBody
 from .frame import Frame
 
+# A caller's headers that are not forwarded, since this host sets them itself.
 OWN_REQUEST_HEADERS = frozenset(
     (
         ph.REMAINING_MS,
@@ -21,6 +22,7 @@
         hd.TRANSFER_ENCODING,
     )
 )
+# A server's headers that are not forwarded, since this host frames the body itself.
 OWN_ANSWER_HEADERS = frozenset((hd.CONTENT_LENGTH, hd.TRANSFER_ENCODING))
 
 
@@ -31,6 +33,9 @@
     If the configuration has accounts, credentials are API keys, secrets between callers
     and hosts. Backend servers then get no key but the name of the account, which only
     hosts may set. Without accounts, credentials are forwarded like any other header.
+
+    `has_accounts` tells whether the configuration has accounts. `name` is the account's
+    name, empty if the request has none.
     """
 
     has_accounts: bool = False
--- a/lacewingcross/gateway/request.py
+++ b/lacewingcross/gateway/request.py
@@ -133,6 +133,7 @@
             self._task.cancel()
 
     async def _serve(self, req: RoutedRequest) -> None:
+        """Read the body, send the request to servers, and answer by the deadline."""
         host_answer = None
         try:
             async with asyncio.timeout(req.time_left_s(self._gateway.now())):
