--- a/tests/test_rate_limits_gateway.py
+++ b/tests/test_rate_limits_gateway.py
@@ -26,7 +26,7 @@
     return max((sum(t <= x < t + window_s for x in times) for t in times), default=0)
 
 
-def sends_limit(rate, arrivals):
+def naming(rate, arrivals):
     """Return the behaviour of a server that announces a limit and records arrivals."""
 
     async def behave(received, writer):
@@ -68,8 +68,8 @@
     arrivals = []
     async with fleet() as env:
         env.configure()
-        await env.add_server(sends_limit(rate, arrivals))
-        await env.add_server(sends_limit(1000, []), domain="b1")
+        await env.add_server(naming(rate, arrivals))
+        await env.add_server(naming(1000, []), domain="b1")
         apps = await hosts_ready(env, 3)
         responses = await send_for(apps, LIMIT_KNOWN_S + WINDOW_S + 1.0)
         first = arrivals[0]
@@ -89,7 +89,7 @@
 async def test_hosts_that_sent_no_request_learn_of_a_limit_and_of_its_end():
     async with fleet() as env:
         env.configure()
-        server = await env.add_server(sends_limit(2.0, []))
+        server = await env.add_server(naming(2.0, []))
         apps = await hosts_ready(env, 3)
         await ask(apps[0], "/safe/a")
         await until(lambda: all(limits_at(app) == {"i-1": 2.0} for app in apps))
@@ -105,7 +105,7 @@
 async def test_when_all_servers_are_at_their_limit_callers_are_refused_at_once():
     async with fleet() as env:
         env.configure()
-        await env.add_server(sends_limit(1.0, []))
+        await env.add_server(naming(1.0, []))
         (app,) = await hosts_ready(env, 1)
         # The first response announces the limit, and the second request uses the
         # credit.
