--- a/tests/crashing_servers.py
+++ b/tests/crashing_servers.py
@@ -20,13 +20,13 @@
     """Servers of one service that crash on bad requests.
 
     A request is bad if it has `bad_word` in its target or body. `arrivals` and
-    `crash_times` hold the monotonic times of bad requests and of the crashes.
+    `ends` hold the monotonic times of bad requests and of the crashes.
     """
 
     env: Fleet
     bad_word: bytes = b"/bad"
     arrivals: list = field(default_factory=list)
-    crash_times: list = field(default_factory=list)
+    ends: list = field(default_factory=list)
     running: list = field(default_factory=list)
     _tasks: set = field(default_factory=set)
     _started_count: int = 0
@@ -61,7 +61,7 @@
 
     def crash(self, server):
         """Crash a server with all its requests; another server replaces it later."""
-        self.crash_times.append(time.monotonic())
+        self.ends.append(time.monotonic())
         self.running.remove(server)
         server.cut_off()
         task = asyncio.ensure_future(self._replace(server.server_id))
@@ -76,9 +76,9 @@
 
     def late_arrivals(self, window_s):
         """Return the times of bad requests after the third crash and `window_s`."""
-        if len(self.crash_times) < 3:
+        if len(self.ends) < 3:
             return []
-        after = self.crash_times[2] + window_s
+        after = self.ends[2] + window_s
         return [at for at in self.arrivals if at > after]
 
     async def close(self):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -67,10 +67,10 @@
         async with crashing_servers(env, 12) as servers:
             apps = await three_hosts(env)
             await repeat(apps, BAD, WINDOW_S + 6.0)
-            assert len(servers.crash_times) >= 3
+            assert len(servers.ends) >= 3
             late = servers.late_arrivals(WINDOW_S)
             assert len(late) <= MAX_LATE_ARRIVALS, (
-                f"{len(late)} late, {len(servers.crash_times)} crashes"
+                f"{len(late)} late, {len(servers.ends)} crashes"
             )
 
 
@@ -230,9 +230,7 @@
             await ask(apps[0], BAD)
             for app in apps:
                 counters = app.gateway.metrics.counters
-                await until(
-                    lambda c=counters: c["servers.ended"] == len(servers.crash_times)
-                )
+                await until(lambda c=counters: c["servers.ended"] == len(servers.ends))
             for index in range(12):
                 for app in apps[1:]:
                     got = await ask(app, f"/safe/{index}", key=str(index))
