--- a/lacewingcross/gateway/backend_connection.py
+++ b/lacewingcross/gateway/backend_connection.py
@@ -22,8 +22,7 @@
 # there answers.
 REFUSED = "connect-refused"
 UNREACHABLE = "connect-failed"
-# Maximum late responses to earlier requests that are skipped before the connection is
-# given up.
+# Responses read before an exchange fails because all of them were for other requests.
 MAX_STRAY_RESPONSES = 3
 
 
--- a/lacewingcross/gateway/request.py
+++ b/lacewingcross/gateway/request.py
@@ -126,7 +126,7 @@
 
         A request that must not run twice, such as a booking, is not cancelled once a
         server may have begun it. Cancelling it could leave it half done, and nobody
-        would be told.
+        would learn of it.
         """
         self._series.caller_gone = True
         if self._series.may_be_cancelled():
