--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -1,4 +1,4 @@
-"""The root of an entry host on the users' platform: its tree, its start, its end."""
+"""Builds, starts and shuts down an entry host on the users' platform."""
 
 import asyncio
 import gc
@@ -34,53 +34,56 @@
 from .store_follower import HostDirectory, StoreFollower
 
 INCARNATION_BITS = 31
+# Time between reviews of this host's state, in seconds.
 TICK_S = 0.1
-# The same at a host that cannot serve yet, in seconds: callers are told of it as soon
-# as it can.
+# The same while the host cannot serve yet, in seconds. It is shorter so that callers
+# are sent to the host as soon as it can serve.
 START_TICK_S = 0.02
-# Ticks between reviews of shares: they walk all hosts and servers, and move slowly.
-SHARES_TICKS = 5
-# How long a leaving host still takes new connections, in seconds: callers keep a list
+# Ticks between reviews of shares. These reviews iterate over all hosts and servers, and
+# shares change slowly.
+SHARE_REVIEW_TICKS = 5
+# How long a leaving host still accepts new connections, in seconds. Callers keep a list
 # of hosts for up to three times its lifetime.
-SERVE_ON_S = 3.2
-# Time kept between the end of the last request and the platform's kill, in seconds.
-END_EARLY_S = 0.3
+ACCEPT_WHILE_LEAVING_S = 3.2
+# Time between the latest end of a request and the time at which the platform kills the
+# process, in seconds.
+KILL_MARGIN_S = 0.3
 FINISH_POLL_S = 0.02
 # How long a leaving host waits for requests on connections that are still open, in
-# seconds: a packet that was lost on the way comes again within it.
-QUIET_END_S = 0.3
+# seconds. A lost packet is sent again within this time.
+QUIET_BEFORE_CLOSE_S = 0.3
 SETTINGS_POLL_S = 2.0
-# Part of a server's connection limit that all hosts together use.
-CONNECTION_MARGIN = 0.8
-# Allocations between collections of the youngest objects. A request leaves few cycles,
-# and a later collection finds as many at once.
+# Share of a server's connection limit that all hosts together use.
+CONNECTION_LIMIT_SHARE = 0.8
+# Allocations between garbage collections of the youngest generation. A request leaves
+# few reference cycles, and rarer collections find as many at once.
 GC_THRESHOLD = 10_000
 
 
 class GatewayApp:
     """One entry host.
 
-    The tree::
+    Its supervisor runs these children::
 
         gateway
         |-- readiness, directory, entry, metrics    listeners
-        |-- peers, tell, seek, quotas               other hosts
+        |-- peers, tell, seek, quotas               messages with other hosts
         |-- config, evacuations, servers,           the store
         |   quarantines, quarantine-store
-        |-- hosts                                   who else is there
-        |-- settings                                the settings file
-        `-- ticker
+        |-- hosts                                   list of entry hosts
+        |-- settings                                settings file
+        `-- ticker                                  periodic reviews
 
     Parameters
     ----------
     cfg : GatewaySettings
-        Settings.
+        Settings of this host.
     settings_path : str
-        File that the settings came from.
+        File that the settings were read from.
     clock : Clock, optional
         Source of time.
     rng : random.Random, optional
-        Source of spreads and of the incarnation.
+        Source of jitter and of the incarnation.
     """
 
     def __init__(
@@ -118,7 +121,7 @@
         )
         self.gateway.backends.limit = self._connection_limit
         self.entry = CallerListener(self.gateway)
-        # Until servers are known, as few hosts as there can be are active.
+        # Until servers are known, the smallest possible number of hosts is active.
         self.gateway.roster.needed = 0.0
         self._settings_path = settings_path
         self._reload = asyncio.Event()
@@ -137,7 +140,7 @@
             Child("peers", self._peers.run),
             Child("tell", self._peers.tell),
             Child("seek", self._peers.seek),
-            Child("quotas", self._follow_quotas),
+            Child("quotas", self._run_quotas),
             Child("config", follower.following(Kind.CONFIG)),
             Child("evacuations", follower.following(Kind.EVACUATION)),
             Child("servers", follower.following(Kind.SERVER)),
@@ -150,19 +153,19 @@
                 "readiness", PageListener(gateway, cfg.readiness, answer_readiness).run
             ),
             Child("metrics", PageListener(gateway, metrics, answer_metrics).run),
-            Child("settings", self._follow_settings),
+            Child("settings", self._watch_settings),
             Child("ticker", self._tick),
         ]
 
-    async def _follow_quotas(self) -> None:
+    async def _run_quotas(self) -> None:
         await self.gateway.quota_admission.tell(self._peers.send_to)
 
     def _connection_limit(self, service: str) -> int:
-        """Return this host's part of a server's connection limit."""
+        """Return this host's share of a server's connection limit."""
         table = self.gateway.steering.table
         declared = table.config.services.get(service) if table else None
-        most = declared.max_connections if declared else 100
-        return max(2, int(most * CONNECTION_MARGIN / self.gateway.steering.hosts))
+        limit = declared.max_connections if declared else 100
+        return max(2, int(limit * CONNECTION_LIMIT_SHARE / self.gateway.steering.hosts))
 
     async def _tick(self) -> None:
         for tick in itertools.count():
@@ -170,9 +173,9 @@
             await asyncio.sleep(START_TICK_S if starting else TICK_S)
             now = self.gateway.now()
             self._review(now)
-            if tick % SHARES_TICKS == 0:
+            if tick % SHARE_REVIEW_TICKS == 0:
                 self._review_shares(now)
-                self._measure(now)
+                self._update_gauges(now)
 
     def _review(self, now: float) -> None:
         gateway = self.gateway
@@ -193,7 +196,7 @@
             logs.event("host-serving", config=gateway.steering.table.config.version)
 
     def _review_shares(self, now: float) -> None:
-        """Review this host's part of what all hosts share, and what callers need."""
+        """Update this host's shares of common limits and the number of cores needed."""
         gateway = self.gateway
         steering = gateway.steering
         placement = steering.placement
@@ -210,35 +213,33 @@
         config = steering.table.config if steering.table else None
         roster.needed = cores_needed(config, servers)
 
-    def _measure(self, now: float) -> None:
+    def _update_gauges(self, now: float) -> None:
         metrics = self.gateway.metrics
         metrics.set_gauge("requests.running", self.entry.running)
         metrics.set_gauge("callers.connections", self.entry.server.connections)
         metrics.set_gauge("store.calls", self._store.calls)
         measure_host(self.gateway, now)
 
-    # Settings
-
     def reload(self) -> None:
-        """Read the settings again soon."""
+        """Cause the settings file to be read again at once."""
         self._reload.set()
 
-    async def _follow_settings(self) -> None:
-        """Read the settings file again when told, or when it has changed."""
-        seen = _changed_at(self._settings_path)
+    async def _watch_settings(self) -> None:
+        """Read the settings file again after `reload`, or when it has changed."""
+        modified_at = _modified_at(self._settings_path)
         while True:
             try:
                 async with asyncio.timeout(SETTINGS_POLL_S):
                     await self._reload.wait()
             except TimeoutError:
-                if _changed_at(self._settings_path) == seen:
+                if _modified_at(self._settings_path) == modified_at:
                     continue
             self._reload.clear()
-            seen = _changed_at(self._settings_path)
-            self._take_settings()
+            modified_at = _modified_at(self._settings_path)
+            self._apply_settings()
 
-    def _take_settings(self) -> None:
-        """Take over the promises and seeds; addresses stay until the next start."""
+    def _apply_settings(self) -> None:
+        """Apply new bounds and seeds; addresses only change at the next start."""
         try:
             cfg = load_gateway(self._settings_path)
         except SettingsError as exc:
@@ -254,53 +255,62 @@
         self.gateway.quotas.set_bound(bounds.quotas, self.gateway.times())
         logs.event("settings-reloaded", host_id=cfg.host_id)
 
-    # Life
-
     async def run(self, stop: asyncio.Event) -> None:
-        """Run until `stop` is set and every request has had its answer."""
-        await run_until_stopped(self.root, stop, self._leave, self._store.close)
+        """Run until `stop` is set, then finish the requests and shut down."""
+        await run_until_stopped(self.root, stop, self._shut_down, self._store.close)
 
-    async def _leave(self) -> None:
-        """Leave the lists of hosts at once, serve on, finish every request, then end.
+    async def _shut_down(self) -> None:
+        """Announce the shutdown, go on serving for a while, finish all requests, stop.
 
-        Failure: a host that closes its listener first refuses callers that were sent
-        to it a moment ago; one that ends at once cuts bookings and uploads.
+        Failure: a host that closes its listener first refuses callers that a look-up
+        has just sent to it. A host that stops at once cuts off bookings and uploads.
         """
         gateway = self.gateway
         gateway.roster.leaving = True
         gateway.quotas.leave(gateway.times())
         self._peers.announce()
         logs.event("host-leaving", running=self.entry.running)
-        started = gateway.now()
-        leave = asyncio.get_running_loop().create_task(self._hosts.leave())
-        await asyncio.sleep(min(SERVE_ON_S, gateway.cfg.bounds.grace_s / 2))
+        started_at = gateway.now()
+        leave_task = asyncio.get_running_loop().create_task(self._hosts.leave())
+        await asyncio.sleep(min(ACCEPT_WHILE_LEAVING_S, gateway.cfg.bounds.grace_s / 2))
         await self.entry.server.stop_listening()
-        await self._finish(started + gateway.cfg.bounds.grace_s - END_EARLY_S)
+        await self._wait_for_requests(
+            started_at + gateway.cfg.bounds.grace_s - KILL_MARGIN_S
+        )
         await self.entry.server.close()
-        leave.cancel()
-        await asyncio.gather(leave, return_exceptions=True)
+        leave_task.cancel()
+        await asyncio.gather(leave_task, return_exceptions=True)
         gateway.crashes.close()
         logs.event("host-stopped", cut=self.entry.running)
 
-    async def _finish(self, ends: float) -> None:
-        """Wait until every request has had its answer, `ends` at most.
+    async def _wait_for_requests(self, deadline: float) -> None:
+        """Wait until every request is answered, at most until `deadline`.
+
+        Failure: a connection is being accepted while the listener closes and is not yet
+        in the list of open connections. Its request arrives a moment later and is sent
+        to a server, but the host has found no request running and stops during it.
+        Therefore a host that still has connections waits until they have been quiet
+        for `QUIET_BEFORE_CLOSE_S`, and then closes them before another request can
+        begin.
 
-        Failure: a connection was being accepted as the listener closed, and no list of
-        open ones had it. Its request comes in the next moment, is sent to a server, and
-        the host, which had found nothing running, ends under it. So a host that still
-        has connections waits until they have been quiet for a while; then it closes
-        them before anything else can begin.
+        Parameters
+        ----------
+        deadline : float
+            Monotonic time in seconds.
         """
         quiet_since = self.gateway.now()
-        while (now := self.gateway.now()) < ends:
+        while (now := self.gateway.now()) < deadline:
             if self.entry.running:
                 quiet_since = now
-            elif not self.entry.server.connections or now - quiet_since >= QUIET_END_S:
+            elif (
+                not self.entry.server.connections
+                or now - quiet_since >= QUIET_BEFORE_CLOSE_S
+            ):
                 return
             await asyncio.sleep(FINISH_POLL_S)
 
 
-def _changed_at(path: str) -> float:
+def _modified_at(path: str) -> float:
     try:
         return os.stat(path).st_mtime
     except OSError:
@@ -308,17 +318,18 @@
 
 
 def main() -> None:
-    """Run an entry host with the settings that the platform names.
+    """Run an entry host with the settings file that the platform names.
 
     Raises
     ------
     SettingsError
-        With code ``no-settings`` when it names none.
+        With code ``no-settings`` when the platform names none.
     """
     path = settings_path()
     if not path:
         raise SettingsError("no-settings", f"expected {SETTINGS_VARIABLE} to be set")
-    # What is loaded now stays and need not be looked through at each collection.
+    # Objects that exist now stay for the whole run, so the garbage collector need not
+    # examine them in each collection.
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
     asyncio.run(run_gateway(path))
--- a/lacewingcross/gateway/attempt.py
+++ b/lacewingcross/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""Carries out one attempt of a request at one backend server."""
+"""One attempt of a request at one backend server."""
 
 from dataclasses import dataclass
 
@@ -13,58 +13,59 @@
 from .backend_connection import BackendConnection
 from .backends import Backends
 
-# An answer up to this size is read whole before any of it goes to the caller, so that
-# a spoilt one can be tried again; a larger one is passed on as it comes.
-WHOLE_MAX = 256 * 1024
+# A response up to this size is read completely before any of it goes to the caller, so
+# that the request can be tried again if the response is invalid. A larger one is
+# forwarded as it arrives.
+MAX_BUFFERED_BYTES = 256 * 1024
 MISDIRECTED = 421
-# Statuses from here on are the server's own failures.
-SERVER_ERRORS = 500
+# Statuses from this one on are the server's own errors.
+MIN_SERVER_ERROR = 500
 
 
 @dataclass(slots=True)
 class Answer:
-    """A backend server's answer; `whole` is False when more is still to come."""
+    """A backend server's response; `complete` is False while more of it is expected."""
 
     head: ResponseHead
     body: bytes
-    whole: bool
+    complete: bool
 
 
 @dataclass(slots=True)
 class CallerBody:
-    """The caller's body: what was read, and whether that is all of it."""
+    """What was read of the caller's body; `complete` is True when that is all of it."""
 
     exchange: Exchange
     parts: list[bytes]
     size: int = 0
-    whole: bool = False
+    complete: bool = False
 
-    async def gather(self, most: int) -> None:
-        """Read up to `most` bytes ahead."""
-        while self.size <= most:
+    async def read_ahead(self, max_bytes: int) -> None:
+        """Read the body until it is complete or longer than `max_bytes`."""
+        while self.size <= max_bytes:
             part = await self.exchange.read()
             if not part:
-                self.whole = True
+                self.complete = True
                 return
             self.parts.append(part)
             self.size += len(part)
 
 
-class SpoiltAnswerError(Exception):
-    """The answer cannot be the server's own whole answer to this request."""
+class InvalidResponseError(Exception):
+    """The response is not the server's own complete response to this request."""
 
 
 class AttemptRun:
-    """One attempt.
+    """Sends one request to one server and reads the response.
 
     Parameters
     ----------
     backends : Backends
-        Connections.
+        Connections to backend servers.
     server : Server
-        Where to send the request.
+        The server to send the request to.
     attempt : Attempt
-        What is known of it; the first byte written is noted here.
+        State of the attempt; it records when the first byte is written.
     body : CallerBody
         The caller's body.
     repeatable : bool
@@ -99,91 +100,100 @@
         self.server = server
 
     async def connect(self) -> None:
-        """Take a connection; raise HttpError when there is none."""
-        self._conn = await self._backends.take(
+        """Acquire a connection.
+
+        Raises
+        ------
+        HttpError
+            With ``sent=False`` when there is no connection.
+        """
+        self._conn = await self._backends.acquire(
             self.server.entry, repeatable=self._repeatable
         )
 
     def send(self, request: h11.Request) -> None:
-        """Send the request, and as much of its body as was read."""
+        """Send the request and the part of its body that was read so far."""
         self.attempt.first_byte_written()
-        self._conn.send_request(request, self._body.parts, end=self._body.whole)
+        self._conn.send_request(request, self._body.parts, end=self._body.complete)
 
     async def send_rest(self) -> None:
-        """Send the part of a large body that is still with the caller.
+        """Read the rest of a large body from the caller and send it.
 
-        An answer that comes before the end waits until the body is through.
+        A response that arrives earlier is read only after the whole body was sent.
         """
-        while not self._body.whole:
+        while not self._body.complete:
             part = await self._body.exchange.read()
-            self._body.whole = not part
+            self._body.complete = not part
             self._conn.send_more(part)
 
     async def read_head(self, request_id: bytes) -> ResponseHead:
-        """Wait for the head of the answer."""
+        """Wait for the head of the response."""
         return await self._conn.read_head(request_id)
 
     async def read_body(self, head: ResponseHead) -> Answer:
-        """Read the answer's body, or its beginning when it is large."""
+        """Read the response body, or only its beginning when it is large."""
         parts = []
         size = 0
-        while size <= WHOLE_MAX:
+        while size <= MAX_BUFFERED_BYTES:
             part = await self._conn.read_part()
             if not part:
-                return Answer(head, b"".join(parts), whole=True)
+                return Answer(head, b"".join(parts), complete=True)
             parts.append(part)
             size += len(part)
-        return Answer(head, b"".join(parts), whole=False)
+        return Answer(head, b"".join(parts), complete=False)
 
     async def read_more(self) -> bytes:
-        """Return the next part of a large answer, empty at its end."""
+        """Return the next part of a large response, empty at its end."""
         return await self._conn.read_part()
 
     @property
     def lost(self) -> bool:
-        """Tell whether the server's connection has ended under the attempt."""
+        """Return whether the connection to the server was lost during the attempt."""
         return self._lost or (self._conn is not None and bool(self._conn.lost))
 
-    def put_back(self) -> None:
-        """Keep the connection: nothing was sent on it."""
-        self._backends.put_back(self.server.entry, self._conn)
+    def release_unused(self) -> None:
+        """Pool the connection again; nothing was sent on it."""
+        self._backends.release_unused(self.server.entry, self._conn)
         self._conn = None
 
-    def let_go(self, *, whole: bool) -> None:
-        """Keep the connection after a whole exchange, drop it after any other."""
+    def release_connection(self, *, complete: bool) -> None:
+        """Pool the connection again after a complete exchange, else close it."""
         conn = self._conn
         self._conn = None
         if conn is None:
             return
         self._lost = bool(conn.lost)
-        if whole:
-            self._backends.give_back(self.server.entry, conn)
+        if complete:
+            self._backends.release(self.server.entry, conn)
         else:
-            self._backends.drop(self.server.entry, conn)
+            self._backends.discard(self.server.entry, conn)
 
 
 def classify(answer: Answer) -> Ending:
-    """Return what a whole answer says about the attempt.
+    """Return how an attempt ended, judged by the server's response.
 
     Raises
     ------
     SpoiltAnswerError
-        A success without the server's signature: garbled on the way out, or not from
-        a server at all.
+        The response reports success but lacks the server's signature. It was damaged
+        on its way, or did not come from a backend server.
     """
     head = answer.head
     if head.status == MISDIRECTED or hd.find(head.headers, ph.NOT_RUN):
         return Ending.SERVER_NOT_RUN
     signed = bool(hd.find(head.headers, ph.SIGNATURE))
     if 200 <= head.status < 300 and not signed:
-        raise SpoiltAnswerError("success-without-signature")
-    if head.status >= SERVER_ERRORS:
+        raise InvalidResponseError("success-without-signature")
+    if head.status >= MIN_SERVER_ERROR:
         return Ending.SERVER_ERROR
     return Ending.ANSWERED
 
 
 def reported_load(head: ResponseHead) -> int | None:
-    """Return what the server says runs and waits there, or None."""
+    """Return how many requests the server reports as running or waiting there.
+
+    None if the response does not report it in a readable form.
+    """
     fields = hd.find(head.headers, ph.LOAD).split(",")
     if len(fields) < 2 or not all(text.strip().isdigit() for text in fields[:2]):
         return None
@@ -191,5 +201,5 @@
 
 
 def was_full(answer: Answer, slots: int) -> bool:
-    """Tell whether a server that did not run a request had all its slots taken."""
+    """Return whether all slots were taken at a server that did not run a request."""
     return (reported_load(answer.head) or 0) >= slots
--- a/lacewingcross/gateway/attempt_log.py
+++ b/lacewingcross/gateway/attempt_log.py
@@ -1,4 +1,4 @@
-"""The log lines of one request's attempts."""
+"""Log lines about the attempts of one request."""
 
 from .. import logs
 from ..core.attempts import Attempt, Ending, Verdict
@@ -10,7 +10,7 @@
 
 
 class AttemptLog:
-    """Writes what decided an attempt, and how it ended.
+    """Logs why each server was chosen and how each attempt ended.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
     terms : Terms
         The request's account and rank.
     gateway : Gateway
-        Knows the version of the configuration in force.
+        Gives the version of the configuration in force.
     """
 
     __slots__ = ("_frame", "_gateway", "_terms")
@@ -29,8 +29,22 @@
         self._terms = terms
         self._gateway = gateway
 
-    def placed(self, choice: Choice, number: int, left_s: float, now: float) -> None:
-        """Write which server an attempt goes to, and why."""
+    def placed(
+        self, choice: Choice, attempt_number: int, time_left_s: float, now: float
+    ) -> None:
+        """Log which server an attempt goes to and why.
+
+        Parameters
+        ----------
+        choice : Choice
+            The server and the estimates that placement based the choice on.
+        attempt_number : int
+            1 for the request's first attempt.
+        time_left_s : float
+            Time until the request's deadline, in seconds.
+        now : float
+            Monotonic time in seconds.
+        """
         server = choice.server
         logs.event(
             "request-placed",
@@ -52,18 +66,18 @@
             slots=server.entry.slots,
             report_age_ms=int(min(9999, 1000 * (now - server.reported_at))),
             cold_ms=int(max(0.0, 1000 * (server.cold_until - now))),
-            attempt=number,
-            left_ms=int(1000 * left_s),
+            attempt=attempt_number,
+            left_ms=int(1000 * time_left_s),
         )
 
-    def overtaken(self, attempt: Attempt, left_s: float) -> None:
-        """Write that a server takes a request no more, before any of it was sent."""
+    def superseded(self, attempt: Attempt, time_left_s: float) -> None:
+        """Log that the chosen server takes no more requests and nothing was sent."""
         logs.event(
             "attempt-overtaken",
             id=self._frame.request_id,
             server=attempt.server_id,
             attempt=attempt.number,
-            left_ms=int(1000 * left_s),
+            left_ms=int(1000 * time_left_s),
         )
 
     def ended(
@@ -72,13 +86,14 @@
         ending: Ending,
         answer: Answer | None,
         verdict: Verdict,
-        why: str,
-        left_s: float,
-        request: str = "",
+        reason: str,
+        time_left_s: float,
+        fingerprint: str = "",
     ) -> None:
-        """Write how an attempt ended and what becomes of the request.
+        """Log how an attempt ended and what happens to the request.
 
-        `request` is the request's fingerprint where repeats of it matter.
+        `fingerprint` is given when a server's connection broke during the request:
+        other copies of the same request have the same fingerprint.
         """
         logs.event(
             "attempt-ended",
@@ -87,8 +102,8 @@
             attempt=attempt.number,
             ending=ending.value,
             status=answer.head.status if answer else 0,
-            why=why,
+            why=reason,
             verdict=verdict.value,
-            request=request,
-            left_ms=int(1000 * left_s),
+            request=fingerprint,
+            left_ms=int(1000 * time_left_s),
         )
--- a/lacewingcross/gateway/pages.py
+++ b/lacewingcross/gateway/pages.py
@@ -1,4 +1,4 @@
-"""Small listeners of a host: where to connect, whether it is ready, its figures."""
+"""A host's listeners for look-ups of entry hosts, readiness checks and metrics."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,34 +16,34 @@
 )
 from .context import Gateway
 
-# How long callers may keep an answer, in seconds. Some keep it three times as long;
-# a host that leaves serves on for that long.
+# How long callers may keep the answer to a look-up, in seconds. Some keep it three
+# times as long, so a leaving host goes on serving: see `app.ACCEPT_WHILE_LEAVING_S`.
 LOOKUP_TTL_S = 1.5
 TEXT_TYPE = (b"content-type", b"text/plain")
 UNKNOWN_PATH = b'{"error":"unknown-path"}'
 
-Answer = Callable[[Gateway, Exchange], Awaitable[None]]
+PageHandler = Callable[[Gateway, Exchange], Awaitable[None]]
 
 
 class PageListener:
-    """Serves one kind of question on an address of its own.
+    """Serves one kind of page at its own address.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        State and services that the parts of this host share.
     address : str
-        Where to listen.
-    answer : callable
-        Answers each request.
+        Where to listen, ``ip:port``.
+    respond_to : callable
+        Coroutine function that answers a request.
     """
 
-    __slots__ = ("_address", "_answer", "_gateway")
+    __slots__ = ("_address", "_gateway", "_respond")
 
-    def __init__(self, gateway: Gateway, address: str, answer: Answer) -> None:
+    def __init__(self, gateway: Gateway, address: str, respond_to: PageHandler) -> None:
         self._gateway = gateway
         self._address = address
-        self._answer = answer
+        self._respond = respond_to
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -56,28 +56,28 @@
             await server.close()
 
     async def _handle(self, exchange: Exchange) -> None:
-        await self._answer(self._gateway, exchange)
+        await self._respond(self._gateway, exchange)
 
 
 async def answer_lookup(gateway: Gateway, exchange: Exchange) -> None:
-    """Tell a caller which entry hosts to use."""
-    question = decode_question(exchange.head.target)
-    if question is None:
+    """Answer a caller's look-up with the entry hosts to use."""
+    lookup = decode_question(exchange.head.target)
+    if lookup is None:
         gateway.metrics.count("lookups.unknown-path")
         await exchange.respond(404, JSON_TYPE, UNKNOWN_PATH)
         return
     table = gateway.steering.table
-    homes = table.home_regions(question.host_name) if table else frozenset()
+    home_regions = table.home_regions(lookup.host_name) if table else frozenset()
     now = gateway.now()
     addresses = addresses_for(
-        gateway.roster, question.region, homes, now, question.failure_domain
+        gateway.roster, lookup.region, home_regions, now, lookup.failure_domain
     )
     gateway.metrics.count("lookups.answered")
     logs.event(
         "lookup-answered",
         "DEBUG",
-        name=question.host_name,
-        region=question.region,
+        name=lookup.host_name,
+        region=lookup.region,
         addresses=len(addresses),
     )
     body = encode_answer(addresses, LOOKUP_TTL_S)
@@ -85,7 +85,7 @@
 
 
 async def answer_readiness(gateway: Gateway, exchange: Exchange) -> None:
-    """Tell the platform whether this host takes requests."""
+    """Answer the platform's check whether this host accepts requests."""
     if exchange.head.target.partition("?")[0] != READINESS_PATH:
         await exchange.respond(404, JSON_TYPE, UNKNOWN_PATH)
         return
@@ -95,6 +95,6 @@
 
 
 async def answer_metrics(gateway: Gateway, exchange: Exchange) -> None:
-    """Give the counters and histograms as text."""
+    """Answer with the counters and histograms as text."""
     text = gateway.metrics.render()
     await exchange.respond(200, [TEXT_TYPE], text.encode())
--- a/lacewingcross/gateway/repeats.py
+++ b/lacewingcross/gateway/repeats.py
@@ -1,43 +1,47 @@
-"""What one request has to do with servers that ended under it."""
+"""Relates one request to server crashes during earlier copies of the same request."""
 
 import asyncio
 
 from .. import logs
 from ..core.backend_state import ServerEntry
-from ..core.fingerprint import fingerprint
+from ..core.fingerprint import fingerprint as fingerprint_of
 from ..core.rendezvous import owner
 from ..http1_exchange import RequestHead
 from .attempt import CallerBody
 from .context import Gateway
-from .forwarding import OnBehalf, identity_of
+from .forwarding import CallerAccount, identity_of
 from .frame import Frame
 
 
-class Repeats:
-    """A request as one of several repeats that share a fingerprint.
+class RepeatedRequest:
+    """A request seen as one of several copies that have the same fingerprint.
+
+    Callers repeat a request under new ids; the fingerprint stays the same. Copies that
+    crash servers put the fingerprint into quarantine.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        State and services that the parts of this host share.
     frame : Frame
-        Its frame.
+        The request's frame.
     head : RequestHead
-        Its head.
+        The request's head.
     body : CallerBody
-        Its body; all of it that counts has been read before anything is asked here.
-    on_behalf : OnBehalf
-        Whose request it is.
+        The request's body. The part that the fingerprint covers must have been read
+        before the fingerprint is used.
+    caller_account : CallerAccount
+        The client account that the request belongs to.
     """
 
     __slots__ = (
         "_body",
-        "_check",
+        "_caller_account",
+        "_crash_check",
+        "_fingerprint",
         "_frame",
         "_gateway",
         "_head",
-        "_name",
-        "_on_behalf",
         "_on_trial",
     )
 
@@ -47,74 +51,84 @@
         frame: Frame,
         head: RequestHead,
         body: CallerBody,
-        on_behalf: OnBehalf,
+        caller_account: CallerAccount,
     ) -> None:
         self._gateway = gateway
         self._frame = frame
         self._head = head
         self._body = body
-        self._on_behalf = on_behalf
-        self._check: asyncio.Task[None] | None = None
-        self._name = ""
+        self._caller_account = caller_account
+        self._crash_check: asyncio.Task[None] | None = None
+        self._fingerprint = ""
         self._on_trial = False
 
     @property
-    def name(self) -> str:
-        """Return the request's fingerprint, worked out when it is first needed."""
-        if not self._name:
-            identity = identity_of(self._frame, self._head, self._body, self._on_behalf)
-            self._name = fingerprint(identity, self._body.parts)
-        return self._name
-
-    def refused_for(self) -> float:
-        """Return for how long the request is refused, in seconds; 0 if it is not."""
+    def fingerprint(self) -> str:
+        """Return the request's fingerprint, computed when it is first needed."""
+        if not self._fingerprint:
+            identity = identity_of(
+                self._frame, self._head, self._body, self._caller_account
+            )
+            self._fingerprint = fingerprint_of(identity, self._body.parts)
+        return self._fingerprint
+
+    def refused_for_s(self) -> float:
+        """Return for how many seconds the request is refused, 0 if it is not.
+
+        A quarantined request whose trial is due is let through once, on one host.
+        """
         quarantine = self._gateway.crashes.ledger.quarantine
-        held = quarantine.get(self.name) if quarantine else None
+        held = quarantine.get(self.fingerprint) if quarantine else None
         if held is None:
             return 0.0
         now = self._gateway.now()
-        if quarantine.trial_due(self.name, now) and self._tries_here():
-            quarantine.begin_trial(self.name, now)
+        if quarantine.trial_due(self.fingerprint, now) and self._runs_trial_here():
+            quarantine.begin_trial(self.fingerprint, now)
             self._on_trial = True
-            logs.event("request-tried", id=self._frame.request_id, request=self.name)
+            logs.event(
+                "request-tried", id=self._frame.request_id, request=self.fingerprint
+            )
             return 0.0
         return held.refused_for(now)
 
-    def _tries_here(self) -> bool:
-        """Tell whether this host is the one of all that tries the request.
+    def _runs_trial_here(self) -> bool:
+        """Return whether this is the one host that runs the request's trial.
 
-        Failure: a quarantine ends at all hosts at once, and a bad request that is
-        repeated some times a second ends a server at each of them before they hear of
-        one another.
+        Failure: a trial becomes due at all hosts at once. A bad request that is
+        repeated several times a second would crash a server at each host before the
+        hosts receive each other's crash reports.
         """
         roster = self._gateway.roster
-        return owner(self.name, roster.active) == roster.own.host_id
+        return owner(self.fingerprint, roster.active) == roster.own.host_id
 
-    def not_run(self) -> None:
-        """Note that the server of the last attempt did not run the request."""
+    def record_not_run(self) -> None:
+        """Record that the server of the last attempt did not run the request."""
         if self._on_trial:
             self._on_trial = False
             quarantine = self._gateway.crashes.ledger.quarantine
-            quarantine.trial_void(self.name, self._gateway.now())
+            quarantine.trial_void(self.fingerprint, self._gateway.now())
 
-    def broke(self, entry: ServerEntry) -> None:
-        """Note that a server's connection ended under the request."""
-        self._check = self._gateway.crashes.broke(entry, self.name)
+    def connection_broke(self, entry: ServerEntry) -> None:
+        """Record that a server's connection broke during the request."""
+        self._crash_check = self._gateway.crashes.broke(entry, self.fingerprint)
 
-    async def settle(self) -> None:
-        """Wait until it is known whether the server has ended, if that may matter.
+    async def wait_for_crash_check(self) -> None:
+        """Wait until it is known whether the server crashed, if that may matter.
 
-        Failure: a request that has ended servers before ends two more within each try
-        of its caller, the second while it is being found out about the first. A request
-        without such a past is sent to another server at once: most are innocent.
+        Failure: a request that has crashed servers before crashes two more each time
+        that its caller sends it, the second one while the host still checks whether
+        the first one crashed. A request without earlier crashes does not wait and is
+        sent to another server at once, since most such requests are harmless.
         """
-        check = self._check
-        self._check = None
-        if check is not None and self._gateway.crashes.ledger.crash_count(self.name):
-            await asyncio.wait((check,))
-
-    def answered(self) -> None:
-        """Note that a server has answered the request."""
+        crash_check = self._crash_check
+        self._crash_check = None
+        if crash_check is not None and self._gateway.crashes.ledger.crash_count(
+            self.fingerprint
+        ):
+            await asyncio.wait((crash_check,))
+
+    def record_answer(self) -> None:
+        """Record that a server has answered the request."""
         crashes = self._gateway.crashes
         if crashes.ledger.watches:
-            crashes.answered(self.name)
+            crashes.answered(self.fingerprint)
--- a/lacewingcross/gateway/reply.py
+++ b/lacewingcross/gateway/reply.py
@@ -1,4 +1,4 @@
-"""Answers to one caller's request, the server's or this host's own."""
+"""Answers one caller's request with a server's response or an answer of this host."""
 
 import json
 from dataclasses import dataclass
@@ -12,13 +12,17 @@
 from .context import Gateway
 from .forwarding import answer_for_caller
 
-# What a 401 must say (RFC 9110): the kind of credentials that is expected.
-ASK_FOR_KEY = (b"www-authenticate", b"Bearer")
+# A 401 must name the kind of credentials that is expected (RFC 9110).
+BEARER_CHALLENGE = (b"www-authenticate", b"Bearer")
 
 
 @dataclass(slots=True, frozen=True)
-class Final:
-    """A final answer of this host's own."""
+class HostAnswer:
+    """An answer that this host makes itself.
+
+    `reason` is a stable code for the caller, the log and the metrics; without
+    `retry_after_s`, in seconds, no Retry-After is sent.
+    """
 
     status: int
     reason: str
@@ -27,12 +31,12 @@
 
 
 class Reply:
-    """Sends the one answer of a request and writes the line that ends it.
+    """Sends the only answer to a request and logs how the request ended.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        State and services that the parts of this host share.
     exchange : Exchange
         The caller's exchange.
     """
@@ -40,7 +44,7 @@
     __slots__ = (
         "_exchange",
         "_gateway",
-        "_started",
+        "_started_at",
         "account",
         "attempts",
         "request_id",
@@ -51,7 +55,7 @@
     def __init__(self, gateway: Gateway, exchange: Exchange) -> None:
         self._gateway = gateway
         self._exchange = exchange
-        self._started = gateway.now()
+        self._started_at = gateway.now()
         self.attempts = 0
         self.request_id = ""
         self.account = ""
@@ -59,21 +63,24 @@
         self.service = ""
 
     async def deliver(self, run: AttemptRun, answer: Answer) -> None:
-        """Send the server's answer to the caller as it is."""
+        """Send the server's response to the caller unchanged.
+
+        The body of a large response is forwarded as it arrives.
+        """
         head = answer.head
         fields = answer_for_caller(head) + self._gateway.closing_headers()
-        if answer.whole:
+        if answer.complete:
             await self._exchange.respond(head.status, fields, answer.body)
-            self.note("answered", head.status)
+            self.log_end("answered", head.status)
             return
         try:
             await self._stream(run, answer, fields)
         except BaseException:
-            # Part of the answer is with the caller; only a broken connection tells it
-            # that the rest will not come.
+            # The caller may have part of the response already. Only an aborted
+            # connection shows it that the rest will not come.
             self._exchange.abort()
-            run.let_go(whole=False)
-            self.note("broken-off", head.status)
+            run.release_connection(complete=False)
+            self.log_end("broken-off", head.status)
             raise
 
     async def _stream(
@@ -87,41 +94,61 @@
         while part := await run.read_more():
             await self._exchange.send_body(part)
         self._exchange.finish()
-        run.let_go(whole=True)
-        self.note("answered", answer.head.status)
+        run.release_connection(complete=True)
+        self.log_end("answered", answer.head.status)
 
-    async def finish(self, final: Final) -> None:
-        """Send a final answer of our own."""
+    async def finish(self, host_answer: HostAnswer) -> None:
+        """Send an answer of this host's own; abort if a response was already begun."""
         if self._exchange.started:
             self._exchange.abort()
             return
         fields = [*JSON_TYPE]
         if self.request_id:
             fields.append((ph.REQUEST_ID, self.request_id.encode("latin-1")))
-        if final.retry_after_s:
-            pause = f"{final.retry_after_s:.3f}".encode()
-            fields.append((hd.RETRY_AFTER, pause))
-        if final.status == 401:
-            fields.append(ASK_FOR_KEY)
+        if host_answer.retry_after_s:
+            retry_after = f"{host_answer.retry_after_s:.3f}".encode()
+            fields.append((hd.RETRY_AFTER, retry_after))
+        if host_answer.status == 401:
+            fields.append(BEARER_CHALLENGE)
         fields += self._gateway.closing_headers()
-        self.note(final.reason, final.status, final.retry_after_s, final.detail)
+        self.log_end(
+            host_answer.reason,
+            host_answer.status,
+            host_answer.retry_after_s,
+            host_answer.detail,
+        )
         body = (
-            json.dumps({"error": final.reason, "detail": final.detail}).encode() + b"\n"
+            json.dumps(
+                {"error": host_answer.reason, "detail": host_answer.detail}
+            ).encode()
+            + b"\n"
         )
-        await self._exchange.respond(final.status, fields, body)
+        await self._exchange.respond(host_answer.status, fields, body)
 
-    def note(
+    def log_end(
         self,
         outcome: str,
         status: int = 0,
         retry_after_s: float = 0.0,
         detail: str = "",
     ) -> None:
-        """Write the line that ends the request, and count it."""
-        took = self._gateway.now() - self._started
+        """Log and count the end of the request.
+
+        Parameters
+        ----------
+        outcome : str
+            Stable code of how the request ended.
+        status : int, default=0
+            Status that the caller got; 0 when it got none.
+        retry_after_s : float, default=0.0
+            The Retry-After that was sent, in seconds; 0 when none was sent.
+        detail : str, default=""
+            More for the log.
+        """
+        duration_s = self._gateway.now() - self._started_at
         metrics = self._gateway.metrics
         metrics.count(f"requests.{status}.{outcome}")
-        metrics.observe("request", took)
+        metrics.observe("request", duration_s)
         logs.event(
             "request-ended",
             id=self.request_id,
@@ -131,7 +158,7 @@
             outcome=outcome,
             status=status,
             attempts=self.attempts,
-            took_ms=int(took * 1000),
+            took_ms=int(duration_s * 1000),
             retry_after_ms=int(retry_after_s * 1000),
             detail=detail,
         )
--- a/tests/test_backend_connection.py
+++ b/tests/test_backend_connection.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: every form of answer, and what is none."""
+"""Tests of connections to backend servers: valid and invalid forms of responses."""
 
 import asyncio
 import time
@@ -19,7 +19,7 @@
     )
 
 
-async def whole(conn, request_id="r1"):
+async def exchange(conn, request_id="r1"):
     conn.send_request(request(request_id), [], end=True)
     head = await conn.read_head(request_id.encode())
     parts = []
@@ -48,24 +48,25 @@
         writer.write(answer(received.request_id, b"hello", framing=framing))
 
     async def check(conn, server):
-        for number in range(3):
-            assert await whole(conn, f"r{number}") == (200, b"hello")
+        for index in range(3):
+            assert await exchange(conn, f"r{index}") == (200, b"hello")
             assert conn.reusable()
         assert server.connections == 1
 
     with_server(behave, check)
 
 
-def test_an_answer_that_ends_with_its_connection_is_whole_but_the_last():
+def test_a_response_that_ends_with_its_connection_is_complete_and_the_last():
     async def behave(received, writer):
         writer.write(answer(received.request_id, b"hello", framing="close"))
         return False
 
     async def check(conn, server):
-        assert await whole(conn) == (200, b"hello")
+        assert await exchange(conn) == (200, b"hello")
         assert not conn.reusable()
 
-    # The scripted server resets; a clean end needs the stream's own close.
+    # The scripted server aborts its connections, so the stream is closed here to end
+    # the response cleanly.
     async def closes_cleanly(received, writer):
         await behave(received, writer)
         await writer.drain()
@@ -76,9 +77,9 @@
     with_server(closes_cleanly, check)
 
 
-def test_an_answer_without_a_length_that_is_reset_is_not_whole():
-    # A server dies in the middle of an answer that would end with its connection.
-    # Passed on as whole, a caller would take half a calendar for all of it.
+def test_a_response_without_a_length_that_is_reset_is_not_complete():
+    # A server crashes in the middle of a response that ends with its connection. If it
+    # were forwarded as complete, a caller would take half a calendar for all of it.
     async def behave(received, writer):
         writer.write(answer(received.request_id, b"half", framing="close"))
         await writer.drain()
@@ -92,7 +93,7 @@
 
     async def check(conn, server):
         with pytest.raises(HttpError):
-            await whole(conn)
+            await exchange(conn)
 
     with_server(behave, check)
 
@@ -105,35 +106,36 @@
 
     async def check(conn, server):
         with pytest.raises(HttpError) as caught:
-            await whole(conn)
+            await exchange(conn)
         assert caught.value.sent
 
     with_server(behave, check)
 
 
-def test_bytes_that_are_no_answer_are_an_error():
+def test_bytes_that_are_no_http_are_an_error():
     async def behave(received, writer):
         writer.write(b"\x00\x01 this is not HTTP\r\n\r\n")
 
     async def check(conn, server):
         with pytest.raises(HttpError):
-            await whole(conn)
+            await exchange(conn)
 
     with_server(behave, check)
 
 
-def test_a_late_second_answer_is_not_taken_for_the_next_requests():
-    # A server sends an answer twice; the second copy arrives when the next request
-    # has gone out on the same connection. Its id says whose it is.
+def test_a_late_second_response_is_not_used_for_the_next_request():
+    # A server sends a response twice. The second copy arrives after the next request
+    # was sent on the same connection; its request id shows that it is for an earlier
+    # one.
     async def behave(received, writer):
         if received.request_id == "r2":
             writer.write(answer("r1", b"late copy"))
         writer.write(answer(received.request_id, received.request_id.encode()))
 
     async def check(conn, server):
-        assert await whole(conn, "r1") == (200, b"r1")
+        assert await exchange(conn, "r1") == (200, b"r1")
         assert conn.reusable()
-        assert await whole(conn, "r2") == (200, b"r2")
+        assert await exchange(conn, "r2") == (200, b"r2")
         assert conn.reusable()
 
     with_server(behave, check)
@@ -148,7 +150,7 @@
         await asyncio.sleep(0.2)
 
     async def check(conn, server):
-        await whole(conn)
+        await exchange(conn)
         conn.reusable()
         await asyncio.sleep(0.2)
         assert conn.lost
@@ -164,15 +166,15 @@
         writer.write(answer(received.request_id) + b"surplus")
 
     async def check(conn, server):
-        await whole(conn)
+        await exchange(conn)
         assert not conn.reusable()
 
     with_server(behave, check)
 
 
 def test_an_answer_before_the_whole_body_ends_the_connection_after_it():
-    # A server answers a long upload early and reads on later. Another request on the
-    # same connection would be read as the rest of the body.
+    # A server responds to a long upload early and reads the rest later. It would read
+    # another request on the same connection as the rest of the body.
     async def behave(received, writer):
         writer.write(answer(received.request_id, b"enough", status=413))
         await asyncio.sleep(0.2)
@@ -184,7 +186,8 @@
             headers=[("Host", "a"), (ID, "r1"), ("Content-Length", "100")],
         )
         conn.send_request(head, [b"0123456789"], end=False)
-        # The scripted server waits for all of the body, so it is told to answer now.
+        # The scripted server responds only after the whole body, so the rest is written
+        # here without the connection noticing.
         conn.transport.write(b"0" * 90)
         got = await conn.read_head(b"r1")
         assert got.status == 413
@@ -201,7 +204,7 @@
         writer.write(answer(received.request_id, extra=extra))
 
     async def check(conn, server):
-        await whole(conn)
+        await exchange(conn)
         assert conn.reusable()
         conn.used_at = 100.0
         assert conn.fresh(105.9, 60.0)
@@ -218,13 +221,13 @@
         opened = []
         backends = Backends(time.monotonic, lambda: opened.append(1))
         backends.limit = lambda service: 2
-        kept = [await backends.take(entry, repeatable=True) for _ in range(2)]
+        kept = [await backends.acquire(entry, repeatable=True) for _ in range(2)]
         with pytest.raises(HttpError) as caught:
-            await backends.take(entry, repeatable=True)
+            await backends.acquire(entry, repeatable=True)
         assert caught.value.reason == CONNECTION_LIMIT
         assert not caught.value.sent
-        backends.drop(entry, kept[0])
-        backends.drop(entry, await backends.take(entry, repeatable=True))
+        backends.discard(entry, kept[0])
+        backends.discard(entry, await backends.acquire(entry, repeatable=True))
         assert len(opened) == 3
         await server.close()
 
@@ -234,9 +237,10 @@
 @pytest.mark.parametrize(
     ("sent", "why"), [(b"", "closed"), (b"\x00 not HTTP\r\n\r\n", "not-http")]
 )
-def test_a_server_that_ends_is_told_from_one_that_spoils_its_answer(sent, why):
-    # A server ends under a request. Engineers read that its answer was spoilt, like
-    # those of a server that runs on, and could not see that servers were ending.
+def test_a_crashed_server_is_told_from_one_that_sends_an_invalid_response(sent, why):
+    # A server crashes while it runs a request. If the log called this an invalid
+    # response, as from a server that is still alive, engineers could not see the
+    # crashes.
     async def behave(received, writer):
         writer.write(sent)
         await writer.drain()
@@ -246,7 +250,7 @@
 
     async def check(conn, server):
         with pytest.raises(HttpError) as caught:
-            await whole(conn)
+            await exchange(conn)
         assert caught.value.reason == why
 
     with_server(behave, check)
--- a/tests/test_leaving_gateway.py
+++ b/tests/test_leaving_gateway.py
@@ -1,4 +1,4 @@
-"""A host that leaves: the last requests that reach it."""
+"""Tests of the last requests that reach a leaving host."""
 
 import asyncio
 
@@ -11,25 +11,25 @@
 
 @in_loop
 async def test_a_request_that_comes_as_the_listener_closes_is_answered(monkeypatch):
-    # A host is told to end. It serves on for three seconds, closes its listener and the
-    # idle connections, finds that nothing is running, and ends. A caller's connection
-    # was just being accepted: it was in no list yet, so it stayed. Its booking was read
-    # and sent to a server, which ran it, and the caller got neither answer nor refusal.
-    # Evidence: the host's own lines, `host-stopped ... cut=0` and, a millisecond later,
-    # the `request-placed` of that booking.
-    monkeypatch.setattr(gateway_app, "SERVE_ON_S", 0.2)
+    # A host is asked to stop. It serves for three more seconds, closes its listener and
+    # the idle connections, finds no request running, and stops. A connection that is
+    # being accepted at that moment is in no list yet and stays open. Its booking is
+    # sent to a server, which runs it, but the caller gets no answer. The host's log
+    # shows `host-stopped ... cut=0` and, a millisecond later, `request-placed` for the
+    # booking.
+    monkeypatch.setattr(gateway_app, "ACCEPT_WHILE_LEAVING_S", 0.2)
     monkeypatch.setattr(ServerConnection, "close_if_idle", lambda self: None)
 
-    async def works(received, writer):
+    async def answers_later(received, writer):
         await asyncio.sleep(0.3)
         writer.write(answer(received.request_id))
 
-    async with fleet() as made:
-        made.configure()
-        server = await made.add_server(works)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        server = await env.add_server(answers_later)
+        app = await env.ready(await env.add_host())
         conn = await ClientConnection.open(app.gateway.cfg.entry)
-        made.stops[0].set()
+        env.stops[0].set()
         while not app.entry.server.closing:
             await asyncio.sleep(0.001)
         fields = [(b"Host", b"a.example"), *headers("r1"), (b"Content-Length", b"1")]
@@ -40,4 +40,4 @@
         assert head.status == 200
         assert len(server.requests) == 1
         conn.close()
-        await asyncio.wait_for(made.tasks[0], 5.0)
+        await asyncio.wait_for(env.tasks[0], 5.0)
