--- a/lacewingcross/core/account_usage.py
+++ b/lacewingcross/core/account_usage.py
@@ -1,4 +1,4 @@
-"""The sums of one client account on one host, see `quota_keeper.Charge`."""
+"""The running totals of one client account on one host, see `quota_keeper.Charge`."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,10 +8,13 @@
 
 @dataclass(slots=True)
 class AccountUsage:
-    """What a host runs for an account; `waiting` of those charged are undecided.
+    """Requests that a host runs for an account, and what is paid of them.
 
-    `told` is what the account's keeper was told last, charged and returned;
-    `next_paid_at` is when it will pay the next open charge, as it said.
+    Of the charged requests, `waiting` are not decided yet. `told` holds the totals
+    (charged, returned) that were last sent to the keeper, at `told_at`. `heard_at` is
+    the time of its last receipt, which also says when it will pay the next open charge:
+    `next_paid_at`. `next_turn` is the latest retry time given to a refused caller.
+    Times are monotonic, in seconds.
     """
 
     quota: Quota
@@ -21,37 +24,38 @@
     paid: int = 0
     waiting: int = 0
     told: tuple[int, int] = (0, 0)
-    # The most that any keeper was told; sums never go back behind it.
+    # The highest total of charges sent to any keeper; `charged` never falls below it.
     told_most: int = 0
     told_at: float = float("-inf")
     heard_at: float = float("-inf")
     next_paid_at: float = float("-inf")
     next_turn: float = float("-inf")
-    # When the requests were admitted that are not paid for, the oldest first.
+    # Admission times of the unpaid requests, the oldest first.
     _unpaid: deque[float] = field(default_factory=deque)
 
     @property
     def open(self) -> int:
-        """Return the requests that are charged and not paid for."""
+        """Return the number of requests that are charged and not paid."""
         return self.charged - self.returned - self.paid
 
     @property
     def debt(self) -> int:
-        """Return the requests that run and are not paid for.
+        """Return the number of requests that were run and are not paid.
 
-        Below 0 for credit that waiting requests have, and that no other one may take.
+        It is below 0 if waiting requests are paid already; no other request may use
+        that credit.
         """
         return self.open - self.waiting
 
     def note_admitted(self, now: float) -> None:
-        """Note that a request was admitted that is charged already."""
+        """Note the admission of a request that is charged already."""
         if self.debt > 0:
             self._unpaid.append(now)
 
     def take_back(self) -> None:
-        """Charge one request less, the newest."""
+        """Take back the charge of the newest request."""
         if self.charged > self.told_most:
-            # No keeper has heard of it.
+            # This charge was not sent to any keeper, so no return has to be reported.
             self.charged -= 1
         else:
             self.returned += 1
@@ -60,13 +64,13 @@
             self._unpaid.pop()
 
     def pay(self, paid: int) -> None:
-        """Take over how many requests a keeper has paid, the oldest first."""
+        """Update the total of paid requests; the oldest requests are paid first."""
         self.paid = max(self.paid, min(paid, self.charged - self.returned))
         while len(self._unpaid) > max(0, self.debt):
             self._unpaid.popleft()
 
     def forgive(self, until: float) -> None:
-        """Count as paid what was admitted before a time."""
+        """Count requests that were admitted before `until` as paid."""
         while self._unpaid and self._unpaid[0] < until:
             self._unpaid.popleft()
             self.paid += 1
--- a/lacewingcross/core/accounts.py
+++ b/lacewingcross/core/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts, and which of them holds a key."""
+"""Client accounts, and the lookup of an account by its API key."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -14,13 +14,13 @@
     Attributes
     ----------
     name : str
-        Name, which backend servers are told.
+        Name, which is passed on to backend servers.
     rank : int or None
-        Rank of its requests, 0 first; None leaves them that of their route.
+        Rank of its requests, 0 first; None means that the route's rank applies.
     home_regions : frozenset of str
         Regions that may serve it; empty means all.
     quota : Quota or None
-        What it may run; None means any number.
+        Limit of its requests; None means no limit.
     """
 
     name: str
@@ -32,19 +32,20 @@
 class Accounts:
     """The accounts of one version of the configuration.
 
-    Without accounts nobody is asked for a key, and what callers send as credentials is
-    between them and the backend servers.
+    If no accounts are declared, callers need no key, and the credentials that they send
+    are a matter between them and the backend servers.
 
     Parameters
     ----------
     accounts : iterable of (ClientAccount, list of str)
-        Each account and its keys.
+        Each account and its API keys.
 
     Raises
     ------
     AccountError
-        With code ``shared-key`` when two accounts have the same key: a request of one
-        would be counted and run as the other's. The message names no key.
+        With code ``shared-key`` if two accounts have the same key, because a request of
+        one would be counted and run as the other's. The message does not contain the
+        key.
     """
 
     __slots__ = ("_by_key", "by_name")
@@ -65,7 +66,7 @@
                     )
 
     def __bool__(self) -> bool:
-        """Tell whether there are accounts, so that callers need keys."""
+        """Return whether there are accounts, so that callers need keys."""
         return bool(self.by_name)
 
     def holder(self, key: str) -> ClientAccount | None:
--- a/lacewingcross/core/quota.py
+++ b/lacewingcross/core/quota.py
@@ -1,25 +1,29 @@
-"""How many requests a client account may run, and how the bound on all is divided."""
+"""Quotas of client accounts, and the bound that all hosts together keep to.
+
+The bound allows somewhat more than the quota itself. `QuotaBound.spare` is that margin,
+and the constants below divide it.
+"""
 
 from dataclasses import dataclass
 
-# Parts of what the bound leaves over the quota. One goes to debts: requests that hosts
-# run before the keeper of the account has heard of them. One lets short bursts of small
-# accounts pass at the keeper. The rest covers what nobody counts: requests on their way
-# when a host is killed.
+# Shares of the margin between the quota and the bound. The first goes to debts:
+# requests that hosts run before the account's keeper has received the charge. The
+# second lets short bursts of small accounts pass at the keeper. The rest (0.1) covers
+# requests that no host counts, because they were in flight when a host was killed.
 DEBT_PART = 0.6
 BURST_PART = 0.3
 
 
 @dataclass(slots=True, frozen=True)
 class Quota:
-    """What a client account may run over all hosts.
+    """The requests that a client account may run on all hosts together.
 
     Attributes
     ----------
     rate : float
-        Requests a second; above 0.
+        Requests per second; above 0.
     burst : float
-        Requests on top.
+        Requests that may run in addition to the rate.
     """
 
     rate: float
@@ -28,10 +32,10 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaBound:
-    """What all hosts together keep to for each account, in touch or not.
+    """The bound on each account's requests, which holds even between partitioned hosts.
 
-    In any span of `window_s` seconds at most ``(rate * window_s + burst) * (1 + excess)
-    + slack`` requests run.
+    In any span of `window_s` seconds, all hosts together run at most ``(rate * window_s
+    + burst) * (1 + excess) + slack`` requests of an account.
     """
 
     window_s: float = 5.0
@@ -39,20 +43,28 @@
     slack: float = 20.0
 
     def most(self, quota: Quota) -> float:
-        """Return how many requests may run in any window."""
+        """Return the maximum number of requests in any window of `window_s` seconds."""
         return self._owed(quota) + self.spare(quota)
 
     def spare(self, quota: Quota) -> float:
-        """Return how many requests of the bound lie over the quota itself."""
+        """Return how many more requests the bound allows than the quota itself."""
         return self._owed(quota) * self.excess + self.slack
 
     def _owed(self, quota: Quota) -> float:
         return quota.rate * self.window_s + quota.burst
 
     def debt_each(self, quota: Quota, holders: int) -> int:
-        """Return the unpaid requests that each of some hosts may run."""
+        """Return how many unpaid requests each host may run.
+
+        Parameters
+        ----------
+        quota : Quota
+            The account's quota.
+        holders : int
+            Number of hosts among which the debts are divided.
+        """
         return int(self.spare(quota) * DEBT_PART / max(1, holders))
 
     def credit_most(self, quota: Quota) -> float:
-        """Return how much credit a quiet account saves up."""
+        """Return how much credit an account without requests may accumulate."""
         return quota.burst + self.spare(quota) * BURST_PART
--- a/lacewingcross/core/quota_holders.py
+++ b/lacewingcross/core/quota_holders.py
@@ -1,13 +1,15 @@
 """Which entry hosts hold shares of the client accounts' quotas, and who keeps which.
 
-A quota is a promise of the whole fleet, kept by hosts in touch or not. So each of a few
-hosts, the *holders*, owns an equal share of every quota, whether it lives or not; all
-shares together are one whole. A holder lends its shares to the *keepers* of the
-accounts, one living holder each (see `quota_keeper`), by leases that it lets lapse
-before it lends them to anybody else. However a fleet is cut, no share counts twice.
-
-Holders go by the list of hosts and not by who lives: all hosts reckon the same ones,
-and none takes over the share of one that it merely cannot hear.
+The bound on a quota applies to the whole fleet, even while hosts cannot reach each
+other. So each of a few hosts, the *holders*, owns an equal share of every quota,
+whether the host is alive or not; all shares add up to one. Each account has one live
+holder as its *keeper* (see `quota_keeper`). A holder lends its shares of an account to
+the keeper by leases, and lets a lease expire before it lends the same share to another
+host. So no share counts twice, however the fleet is partitioned.
+
+The holders are computed from the list of hosts and not from the hosts that are alive.
+So all hosts compute the same holders, and no host takes over the share of one that is
+only unreachable.
 """
 
 from collections.abc import Iterable
@@ -17,16 +19,16 @@
 from .rendezvous import hash64
 from .roster import FORGET_AFTER_S, Roster
 
-# Each holder may run some requests of an account on trust. The smallest accounts bear
-# one each for so many hosts.
+# Each holder may run some requests of an account before they are paid for. The debt of
+# the smallest accounts is enough for one request at each of this many hosts.
 HOLDERS_MOST = 12
-# Holders that start for the first time, all together, find each other within so long,
-# in seconds; nothing was lent before.
+# Time in which holders find each other when the whole system starts for the first time,
+# in seconds. No share can have been lent before that.
 FIRST_SETTLE_S = 2.0
 
 
 class Holders:
-    """The holders in one view of the fleet, and whom they have keep each account.
+    """The holders in one view of the fleet, and the keeper of each account.
 
     Parameters
     ----------
@@ -36,9 +38,9 @@
     Attributes
     ----------
     names : tuple of str
-        Host ids in order.
+        Host ids, sorted.
     key : str
-        The same for all hosts that have the same view.
+        Hash of the names; equal on all hosts that have the same view.
     """
 
     __slots__ = ("_orders", "_places", "key", "names")
@@ -50,15 +52,15 @@
         self._orders: dict[str, tuple[int, ...]] = {}
 
     def __contains__(self, host_id: str) -> bool:
-        """Tell whether a host is one of them."""
+        """Return whether a host is one of the holders."""
         return host_id in self._places
 
     def __len__(self) -> int:
-        """Return how many there are."""
+        """Return the number of holders."""
         return len(self.names)
 
     def mask(self, live: Iterable[str]) -> int:
-        """Return a number whose bits say which holders are among some hosts."""
+        """Return a bit mask of the holders that are in `live`, by index in `names`."""
         found = 0
         for name in live:
             place = self._places.get(name)
@@ -67,7 +69,7 @@
         return found
 
     def keeper(self, account: str, mask: int) -> str | None:
-        """Return the holder that keeps an account if those of a mask live."""
+        """Return the keeper of an account if the holders in `mask` are alive."""
         for place in self._order(account):
             if mask >> place & 1:
                 return self.names[place]
@@ -86,19 +88,19 @@
 
 
 def choose_holders(hosts: Iterable[HostInfo]) -> list[str]:
-    """Return the holders among hosts: large ones, of as many domains as there are."""
+    """Return the ids of the holders: large hosts from all failure domains."""
     chosen = active_hosts(hosts, 0.0)
     return [info.host_id for info in in_order(chosen)][:HOLDERS_MOST]
 
 
 class HolderWatch:
-    """Works out the holders, and whether this host's own share counts.
+    """Computes the holders, and whether this host's own share counts.
 
-    Failure: a host that joins takes a share while others still count without it, for
-    instance behind a cut; together they hold more than the whole. So a newcomer's share
-    counts only once every other holder, and every one that it displaces, has said that
-    it counts the newcomer. A host that was killed and is back under its name was
-    counted all along.
+    Guards against a host that joins and takes a share while other hosts, for instance
+    behind a partition, still compute the holders without it: together they would hold
+    more than the whole. So a newcomer's share counts only after every other holder, and
+    every one that the newcomer displaces, has reported a view that includes it. A host
+    that was killed and restarts under the same name has been included all the time.
 
     Parameters
     ----------
@@ -106,6 +108,13 @@
         The known hosts.
     first_start : bool
         Whether the whole system starts for the first time.
+
+    Attributes
+    ----------
+    good : bool
+        Whether this host's own share counts.
+    holders : Holders
+        The holders in this host's view.
     """
 
     __slots__ = (
@@ -125,7 +134,7 @@
         self.first_start = first_start
         self.holders = Holders(())
         self.good = False
-        # The view that each other host has told last, by its key.
+        # Key of the view that each other host has reported last, by host id.
         self._counted_by: dict[str, str] = {}
         self._held_at = float("-inf")
         self._known: list[HostInfo] = []
@@ -133,7 +142,7 @@
         self._rivals: frozenset[str] = frozenset()
 
     def review(self, now: float) -> None:
-        """Take over what the roster knows now."""
+        """Update the holders, and whether the own share counts, from the roster."""
         own = self._roster.own
         others = [entry.info for entry in self._roster.entries.values()]
         if others != self._known or not self.holders.names:
@@ -168,15 +177,15 @@
         )
 
     def counted(self, host_id: str, key: str) -> None:
-        """Note which view another host has."""
+        """Note the key of the view that another host has reported."""
         self._counted_by[host_id] = key
 
     def tells(self, now: float) -> bool:
-        """Tell whether this host has to tell others its view."""
+        """Return whether this host is, or was recently, a holder and sends leases."""
         return now - self._held_at < FORGET_AFTER_S
 
     def live(self, now: float) -> int:
-        """Return the mask of the holders that this host can speak to."""
+        """Return the mask of the holders that this host can reach."""
         roster = self._roster
         if roster.is_active or roster.own.host_id in self.holders:
             live = {h for h, entry in roster.entries.items() if entry.live(now)}
@@ -189,5 +198,5 @@
 
     def _serves(self, host_id: str) -> bool:
         entry = self._roster.entries[host_id]
-        # A process that has ended holds no lease: nobody waits for it to lapse.
+        # A process that has ended holds no lease, so no host waits for one to expire.
         return not (entry.leaving or entry.starting or entry.ended())
--- a/lacewingcross/core/quota_keeper.py
+++ b/lacewingcross/core/quota_keeper.py
@@ -1,13 +1,16 @@
 """The keeper of client accounts' quotas: credit from the shares that are lent to it.
 
-A keeper has one bucket of credit for each account that it keeps. It fills at the part
-of the account's rate that holders have lent, and holds at most that part of what a
-quiet account saves up. Hosts run requests first and charge them here; a charge that the
-bucket cannot pay waits. Hosts take turns, so none waits for another one's flood.
-
-A share is lent by a lease that ends by the keeper's own clock, which started before the
-lender's did: it never counts here when its lender may have lent it to another keeper.
-Buckets start empty, so a keeper that starts again, or takes over, gives nothing twice.
+A keeper has one token bucket of credit for each account that it keeps. The bucket fills
+at the share of the account's rate that holders have lent, and its size is the same
+share of the credit that an account without requests may accumulate. Hosts run requests
+first and charge them here; a charge that the bucket cannot pay waits. Hosts are served
+round robin, so a flood of charges from one host does not delay the others.
+
+A share is lent by a lease. The lease ends by the keeper's own clock, and is counted
+from the newest reading of that clock that the lender had received, which is before the
+lender sent the lease. So a share never counts here at a time when its lender may have
+lent it to another keeper. Buckets start empty, so a keeper that restarts or takes over
+an account grants no credit twice.
 """
 
 from collections import deque
@@ -18,16 +21,18 @@
 from .quota import Quota, QuotaBound
 from .quota_holders import Holders
 
-# How long a share is lent for, in seconds: shorter than the silence after which a host
-# is taken for dead (2 s), so its shares are free again when the next keeper steps in.
+# Duration of a lease, in seconds. It is shorter than the silence after which a host is
+# considered dead (2 s), so its shares are free again when the next keeper takes over.
 LEASE_S = 1.2
-# Told to hosts while nothing is lent, as the time until there is credit, in seconds.
+# While no share is lent, hosts are sent this time until the next credit, in seconds.
 UNLENT_PAUSE_S = 0.5
-# Views of the holders that are remembered; all hosts have a new one within moments.
+# Number of views of the holders that are remembered. All hosts compute a new view at
+# almost the same time, so leases refer to recent views only.
 VIEWS_KEPT = 4
-# Books of a host that charged nothing for so long are closed, in seconds, and how often
-# they are looked through: there is one for each account and host.
+# Charges of a host that has sent none for this time are forgotten, in seconds. There is
+# one record for each account and host.
 BOOK_KEPT_S = 60.0
+# Interval of the search for such records, in seconds.
 CLOSE_EVERY_S = 5.0
 
 Incarnation = tuple[str, int]
@@ -35,18 +40,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Charge:
-    """What a host says of one account: sums since it started.
+    """Running totals of one account on one host, since that host started.
 
     Attributes
     ----------
     account : str
         Name of the account.
     charged : int
-        Requests that it has run or means to run.
+        Requests that the host has run, or will run when they are paid.
     returned : int
-        Those of them that never ran.
+        Charged requests that never ran.
     paid : int
-        Those of the others that are paid for, as far as it was told.
+        Other charged requests that are paid, according to the receipts so far.
     """
 
     account: str
@@ -57,9 +62,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Receipt:
-    """What a keeper answers: how many are paid, after how many returns.
+    """A keeper's response to a charge: the total of paid requests.
 
-    `wait_s` is the time until the host's next charge is paid, 0 if none is open.
+    `returned` repeats the total that the keeper has received. `wait_s` is the time in
+    seconds until the host's next charge is paid, 0 if no charge is open.
     """
 
     account: str
@@ -70,7 +76,7 @@
 
 @dataclass(slots=True)
 class _Book:
-    """Charges of one host for one account."""
+    """Charges of one host for one account; the totals are those of `Charge`."""
 
     charged: int = 0
     returned: int = 0
@@ -86,7 +92,8 @@
 class _Bucket:
     """Credit of one account; `part` of its quota is lent to this keeper.
 
-    `turns` holds the hosts with open charges, the next one first.
+    `level` is the credit at the time `at`. `turns` holds the hosts with open charges in
+    round-robin order, the next one first.
     """
 
     quota: Quota
@@ -99,7 +106,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Lease:
-    """Shares lent until a time by a host that sees some holders live."""
+    """Shares lent until a time; `live` is the mask of holders the lender sees alive."""
 
     holders: Holders
     live: int
@@ -107,14 +114,16 @@
 
 
 class QuotaKeeper:
-    """Keeps accounts on one host; times are of a clock that does not stop in a suspend.
+    """Keeps accounts on one host.
+
+    All times are in seconds, on a clock that goes on while the machine is suspended.
 
     Parameters
     ----------
     own_id : str
-        This host.
+        Id of this host.
     bound : QuotaBound
-        What all hosts keep to.
+        The bound that all hosts together keep to.
     """
 
     __slots__ = (
@@ -134,10 +143,11 @@
         self._leases: dict[str, _Lease] = {}
         self._views: dict[str, Holders] = {}
 
-    # What operators declare
-
     def configure(self, quotas: dict[str, Quota], now: float) -> None:
-        """Take over the quotas of all accounts; credit beyond a lower one is lost."""
+        """Apply the quotas of all accounts.
+
+        If a quota is lowered, credit above the new maximum is dropped.
+        """
         self._pass_time(now)
         for account in self._buckets.keys() - quotas.keys():
             del self._buckets[account]
@@ -153,30 +163,30 @@
                 self._cap(bucket)
 
     def set_bound(self, bound: QuotaBound, now: float) -> None:
-        """Take over what all hosts keep to."""
+        """Change the bound that all hosts together keep to."""
         for bucket in self._buckets.values():
             self._fill(bucket, now)
         self._bound = bound
 
-    # Shares
-
     def know(self, holders: Holders) -> None:
-        """Remember a view of the holders, so that leases that go by it can be read."""
+        """Remember a view of the holders, so that leases under its key are accepted."""
         self._views[holders.key] = holders
         while len(self._views) > VIEWS_KEPT:
             del self._views[next(iter(self._views))]
 
     def lend(self, host_id: str, key: str, live: int, until: float, now: float) -> None:
-        """Take over a host's shares, of the accounts that it has this host keep.
+        """Replace the lease of one lender.
+
+        It covers the lender's shares of the accounts that this host keeps.
 
         Parameters
         ----------
         host_id : str
             The lender.
         key : str
-            Its view of the holders; one that is not known here lends nothing.
+            Key of its view of the holders; a view that is unknown here lends nothing.
         live : int
-            Mask of the holders that it sees live; 0 lends nothing.
+            Mask of the holders that it sees alive; 0 lends nothing.
         until : float
             When the lease ends.
         now : float
@@ -195,13 +205,13 @@
             self._update_parts(now)
 
     def give_up(self, now: float) -> None:
-        """Keep nothing any more, before the lenders are told to lend elsewhere."""
+        """End all leases, before the lenders learn that they can lend elsewhere."""
         self._pass_time(now)
         self._leases.clear()
         self._update_parts(now)
 
     def _pass_time(self, now: float) -> None:
-        """End leases whose time has come, each at its own moment."""
+        """End expired leases, crediting each bucket up to the moment of expiry."""
         while self._leases:
             host_id, lease = min(self._leases.items(), key=lambda item: item[1].until)
             if lease.until > now:
@@ -232,13 +242,11 @@
         most = self._bound.credit_most(bucket.quota) * bucket.part
         bucket.level = min(bucket.level, most)
 
-    # Charges
-
     def charge(self, host: Incarnation, item: Charge, now: float) -> Receipt | None:
-        """Take in what a host says; return the receipt.
+        """Process a host's charge; return the receipt.
 
-        None for an account without a quota here, and for what is older than what the
-        host has said before.
+        Returns None for an account without a quota here, and for a charge that is older
+        than the last one from the host.
         """
         bucket = self._buckets.get(item.account)
         if bucket is None:
@@ -263,14 +271,14 @@
         return self._receipt(item.account, bucket, host)
 
     def _refund(self, bucket: _Bucket, book: _Book) -> None:
-        """Give credit back for what was paid and never ran."""
+        """Return the credit of requests that were paid and never ran."""
         if book.open < 0:
             bucket.level -= book.open
             book.paid += book.open
             self._cap(bucket)
 
     def _pay(self, bucket: _Bucket) -> set[Incarnation]:
-        """Pay one charge of each host in turn; return those that any were paid for."""
+        """Pay charges round robin, one per host; return the hosts that were paid."""
         paid = set()
         while bucket.turns:
             host = bucket.turns[0]
@@ -299,7 +307,7 @@
         return max(0.0, ahead - bucket.level) / rate
 
     def review(self, now: float) -> Iterator[tuple[str, Receipt]]:
-        """Pay what can be paid by now; yield a receipt for each host that it is for."""
+        """Pay the charges that credit covers; yield receipts with their host ids."""
         self._pass_time(now)
         for account, bucket in self._buckets.items():
             if bucket.turns:
@@ -318,15 +326,13 @@
                 if now - book.used_at <= BOOK_KEPT_S or host in bucket.turns
             }
 
-    # Questions
-
     def part(self, account: str) -> float:
-        """Return which part of an account's quota is lent to this host."""
+        """Return the share of an account's quota that is lent to this host, 0 to 1."""
         bucket = self._buckets.get(account)
         return bucket.part if bucket else 0.0
 
     def credit(self, account: str, now: float) -> float:
-        """Return the credit of an account, less what waits to be paid."""
+        """Return the credit of an account minus its open charges."""
         bucket = self._buckets.get(account)
         if bucket is None:
             return inf
--- a/lacewingcross/core/quota_ledger.py
+++ b/lacewingcross/core/quota_ledger.py
@@ -1,10 +1,11 @@
-"""What one host runs for client accounts, and what of it is paid for.
-
-Answers this load: each account's requests come to all hosts at once, a few a second or
-some hundred, and each has to be admitted or refused at once. A host runs a few requests
-of each account before its keeper has paid for them, its *debt*; all hosts' debts
-together stay within what the bound leaves over the quota. So an ordinary request waits
-for nobody, and while a keeper is being replaced requests go on.
+"""The requests that one host runs for client accounts, and which of them are paid.
+
+Designed for accounts whose requests arrive at all hosts at the same time, from a few to
+some hundred per second, and have to be admitted or refused without delay. A host runs a
+few requests of each account before the account's keeper has paid for them; these are
+its *debt*. The debts of all hosts together stay within the margin that the bound leaves
+over the quota. So an ordinary request does not wait for another host, and requests
+continue while a keeper is being replaced.
 """
 
 from collections.abc import Iterator
@@ -16,33 +17,35 @@
 from .quota_keeper import Charge, Receipt
 from .randomness import RandomSource
 
-# How long a request may wait for its keeper's word, in seconds: the farthest region's
-# answer takes 70 ms, the first one over a new stream three times that.
+# How long a request may wait for its keeper's receipt, in seconds. A response from the
+# farthest region takes 70 ms, and the first one over a new stream three times that.
 MAX_WAIT_S = 0.25
-# Requests of an account that may wait at a host for its keeper's word.
+# Maximum number of requests of one account that wait at a host for a receipt.
 WAITERS_MOST = 64
-# Open charges are told again after so long, in seconds: a stream may have lost them.
+# Open charges are sent again after this time, in seconds, since a stream that broke may
+# have lost them.
 TELL_AGAIN_S = 0.25
-# A debt counts for the bound's window and this much longer, in seconds: the requests
-# were sent a little after they were admitted.
+# A debt counts for the bound's window and this much longer, in seconds, because
+# requests are sent a little after they were admitted.
 DEBT_MARGIN_S = 0.5
 
 
 class Outcome(Enum):
-    """What a host does with a request of an account."""
+    """The decision on a request of an account."""
 
     ADMITTED = "admitted"
     REFUSED = "refused"
-    # The keeper has been asked and will say within moments.
+    # The charge is open, and the keeper's receipt will decide.
     WAITING = "waiting"
 
 
 @dataclass(slots=True, frozen=True)
 class Admission:
-    """The outcome, when to come back, and what it rests on.
+    """The decision on a request, and the figures that it is based on.
 
-    `debt` is how many requests are run and not paid for, of `debt_most`; `age_s` how
-    long ago the keeper was last heard on this account.
+    A refused caller should retry after `retry_after_s`. `debt` is the number of
+    requests that were run and are not paid, `debt_most` its limit. `age_s` is the time
+    since the last receipt for this account. Times are in seconds.
     """
 
     outcome: Outcome
@@ -55,9 +58,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Decided:
-    """How many of the requests that wait are decided.
+    """How many waiting requests are decided.
 
-    The oldest ones are admitted, the newest ones refused.
+    The oldest ones are admitted, the newest ones are refused.
     """
 
     admitted: int
@@ -67,12 +70,15 @@
 class QuotaLedger:
     """Admits requests of accounts on one host.
 
+    Each request is charged to the keeper of its account. The keeper's receipt says how
+    many of the charges it has paid.
+
     Parameters
     ----------
     bound : QuotaBound
-        What all hosts keep to.
+        The bound that all hosts together keep to.
     rng : RandomSource
-        Source of spreads.
+        Source of jitter.
     """
 
     __slots__ = (
@@ -89,17 +95,17 @@
         self._bound = bound
         self._rng = rng
         self._tabs: dict[str, AccountUsage] = {}
-        # The highest sums, charged and returned, of accounts that are gone.
+        # The highest totals (charged, returned) of accounts that were removed.
         self._dropped = (0, 0)
-        # Accounts of which something is yet to be told or paid.
+        # Accounts with charges that are not yet sent or not yet paid.
         self._open: set[str] = set()
-        # Among how many hosts debts are divided; 0 allows this host none.
+        # Number of hosts among which debts are divided; 0 allows this host no debt.
         self.holders = 0
-        # Among how many hosts callers choose.
+        # Number of hosts among which callers choose.
         self.callers_parts = 1
 
     def configure(self, quotas: dict[str, Quota]) -> None:
-        """Take over the quotas of all accounts."""
+        """Apply the quotas of all accounts."""
         for account in self._tabs.keys() - quotas.keys():
             self._drop(account)
         for account, quota in quotas.items():
@@ -115,20 +121,21 @@
         self._dropped = (max(charged, tab.charged), max(returned, tab.returned))
 
     def _new_tab(self, quota: Quota) -> AccountUsage:
-        """Return a tab whose sums are no lower than those of any that was dropped.
+        """Return usage whose totals are no lower than those of any removed account.
 
-        Failure: an account loses its quota and gets it back, and its keeper has heard
-        only of the last version. Lower sums look like old news to it.
+        Guards against an account that loses its quota and gets it back, while its
+        keeper has seen only the last version of the configuration. The keeper would
+        ignore lower totals as outdated.
         """
         charged, returned = self._dropped
         return AccountUsage(quota, None, charged, returned, paid=charged - returned)
 
     def set_bound(self, bound: QuotaBound) -> None:
-        """Take over what all hosts keep to."""
+        """Change the bound that all hosts together keep to."""
         self._bound = bound
 
     def set_keeper(self, account: str, keeper: str | None) -> None:
-        """Have another host keep an account; it is told all that is open."""
+        """Change the keeper of an account; all open charges become due for it."""
         tab = self._tabs[account]
         if tab.keeper != keeper:
             tab.keeper = keeper
@@ -138,7 +145,7 @@
 
     @property
     def has_open(self) -> bool:
-        """Tell whether anything is yet to be told or paid."""
+        """Return whether any charges are not yet sent or not yet paid."""
         return bool(self._open)
 
     def accounts(self) -> Iterator[str]:
@@ -148,13 +155,11 @@
     def _debt_most(self, tab: AccountUsage) -> int:
         return self._bound.debt_each(tab.quota, self.holders) if self.holders else 0
 
-    # Requests
-
     def ask(self, account: str, now: float) -> Admission:
         """Decide on a request.
 
-        One that is admitted counts from now on; `cancel` takes it back. One that waits
-        is decided by `decided`, or given up by `give_up`.
+        An admitted request is charged immediately; `cancel` takes the charge back. A
+        waiting request is decided later by `decided`, or abandoned by `give_up`.
         """
         tab = self._tabs.get(account)
         if tab is None:
@@ -173,7 +178,7 @@
         return self._outcome(tab, Outcome.WAITING, now)
 
     def _may_wait(self, tab: AccountUsage, ahead: int, now: float) -> bool:
-        """Tell whether a request behind some others will have its turn in moments."""
+        """Return whether a request with `ahead` others before it is paid in time."""
         if ahead >= WAITERS_MOST:
             return False
         soonest_s = tab.next_paid_at - now
@@ -182,11 +187,11 @@
         return soonest_s + ahead * self._apart_s(tab) <= MAX_WAIT_S
 
     def _apart_s(self, tab: AccountUsage) -> float:
-        """Return how far apart credit comes for this host's callers, in seconds."""
+        """Return the interval between credits for this host's callers, in seconds."""
         return self.callers_parts / tab.quota.rate
 
     def decided(self, account: str, now: float) -> Decided:
-        """Decide on requests that wait, as far as that is known."""
+        """Decide on waiting requests as far as the receipts allow."""
         tab = self._tabs.get(account)
         if tab is None:
             return Decided(0, 0)
@@ -202,7 +207,7 @@
         return Decided(admitted, refused)
 
     def give_up(self, account: str) -> None:
-        """Wait no longer for the decision on a request."""
+        """Abandon one waiting request and take its charge back."""
         tab = self._tabs.get(account)
         if tab is not None and tab.waiting:
             tab.waiting -= 1
@@ -219,7 +224,7 @@
         self._open.add(account)
 
     def refusal(self, account: str, now: float) -> Admission:
-        """Return the refusal of a request that waited in vain."""
+        """Return the refusal of a request that was not paid while it waited."""
         tab = self._tabs.get(account)
         if tab is None:
             return Admission(Outcome.REFUSED, self._bound.window_s)
@@ -237,34 +242,33 @@
         )
 
     def _turn_s(self, tab: AccountUsage, now: float) -> float:
-        """Return when a refused caller should come back, in seconds.
+        """Return after how many seconds a refused caller should retry.
 
-        Failure: all who are refused in a second are told the same time, come back
-        together and are refused again. Each gets a turn of its own, as far apart as
-        credit comes for this host's callers.
+        Guards against callers that are refused together, get the same retry time, and
+        are refused together again. Each caller gets a retry time of its own; these
+        times are as far apart as the credits for this host's callers.
         """
         apart_s = self._apart_s(tab)
         soonest = max(now, tab.next_paid_at)
         turn = max(soonest, tab.next_turn) + apart_s
         if turn - now > self._bound.window_s:
-            # Who is told more than a window has no better chance for it; the turns of
-            # callers that never came back are dealt again.
+            # A caller that waits longer than a window gains nothing by it. The retry
+            # times start from the beginning, which reuses those of callers that never
+            # retried.
             turn = soonest + apart_s * self._rng.uniform(0.0, 1.0)
         tab.next_turn = turn
         return turn - now
 
     def _age(self, tab: AccountUsage, now: float) -> None:
-        """Forgive debts that no window counts any more.
+        """Forgive debts that are older than the bound's window.
 
-        Failure: no keeper can be reached. Without this, a host would run its debt once
-        and refuse the account from then on.
+        Guards against a time in which no keeper is reachable: without this, a host
+        would run its debt once and then refuse the account from then on.
         """
         tab.forgive(now - self._bound.window_s - DEBT_MARGIN_S)
 
-    # Keepers
-
     def to_tell(self, now: float) -> Iterator[tuple[str, Charge]]:
-        """Yield what keepers are to be told now, and note it as told."""
+        """Yield the charges that are due, with their keepers, and note them as sent."""
         for account in sorted(self._open):
             tab = self._tabs[account]
             if tab.keeper is not None and self._due(tab, now):
@@ -273,7 +277,7 @@
                 self._open.discard(account)
 
     def charge_of(self, account: str, now: float) -> Charge:
-        """Return what the account's keeper is told now, and note it as told."""
+        """Return the current charge for the account's keeper, and note it as sent."""
         tab = self._tabs[account]
         tab.told = (tab.charged, tab.returned)
         tab.told_most = max(tab.told_most, tab.charged)
@@ -281,12 +285,12 @@
         return Charge(account, tab.charged, tab.returned, tab.paid)
 
     def keeper(self, account: str) -> str | None:
-        """Return the host that keeps an account, as far as it is known."""
+        """Return the keeper of an account, or None if it is unknown."""
         tab = self._tabs.get(account)
         return tab.keeper if tab else None
 
     def debt(self, account: str) -> int:
-        """Return how many requests of an account are run and not paid for."""
+        """Return how many requests of an account were run and are not paid."""
         tab = self._tabs.get(account)
         return max(0, tab.debt) if tab else 0
 
@@ -295,13 +299,15 @@
             return True
         if tab.told == (tab.charged, tab.returned):
             return False
-        # Many small debts are told together; a large one is told at once.
+        # Small debts are collected into one message; a debt of half the limit or more,
+        # or one with waiting requests, is sent at once.
         return tab.waiting > 0 or 2 * tab.debt >= self._debt_most(tab)
 
     def paid(self, keeper: str, receipt: Receipt, now: float) -> bool:
-        """Take in a keeper's receipt; return whether it is valid.
+        """Process a keeper's receipt; return whether it is valid.
 
-        One that does not know of all returns yet may count what was given back.
+        A receipt that does not include all returns yet is ignored, since it may count
+        returned requests as paid.
         """
         tab = self._tabs.get(receipt.account)
         if tab is None or tab.keeper != keeper or tab.returned != receipt.returned:
--- a/lacewingcross/core/quotas.py
+++ b/lacewingcross/core/quotas.py
@@ -1,8 +1,14 @@
-"""Quotas of client accounts on one host: its ledger, what it keeps, what it lends.
+"""Quotas of client accounts on one host: its ledger, its keeper and its leases.
 
-No I/O: what others are to be told is returned as messages, and what they tell is handed
-in. `quota_holders` says how the promise holds, `quota_keeper` and `quota_ledger` how it
-is kept on each side.
+No I/O happens here: messages to other hosts are returned, and messages from them are
+passed in.
+
+- `quota_holders` decides which hosts own shares of the quotas, and why the shares never
+  add up to more than the whole.
+- `quota_keeper` grants credit for the accounts that this host keeps.
+- `quota_ledger` admits requests on this host. Charges are the requests that it has run,
+  a receipt acknowledges charges that the keeper has paid from its credit, and debt is
+  the requests run and not yet acknowledged as paid.
 """
 
 from collections.abc import Iterator, Sequence
@@ -21,13 +27,17 @@
 
 T = TypeVar("T")
 
-# How often shares are lent again, in seconds: four times within a lease.
+# Interval at which leases are renewed, in seconds: four times within a lease.
 LEND_EVERY_S = 0.3
 
 
 @dataclass(slots=True, frozen=True)
 class ClockReading:
-    """One moment: `now` on the ordinary clock, `boot` on one that counts suspends."""
+    """One moment on two clocks, in seconds.
+
+    `now` is the monotonic clock, which stops while the machine is suspended. `boot` is
+    a clock that also counts suspends.
+    """
 
     now: float
     boot: float
@@ -35,31 +45,35 @@
 
 @dataclass(slots=True)
 class _Peer:
-    """What another holder has said, and what it was told."""
+    """Leases exchanged with another holder.
+
+    `heard_ms` is the sender's clock in the newest lease that was received. `told_at`
+    and `told_live` are the time and the mask of the last lease that was sent.
+    """
 
     incarnation: int = 0
     heard_ms: int = 0
     told_at: float = float("-inf")
     told_live: int = 0
-    # The holders that it goes by, as it told last.
+    # Mask of the live holders in the last lease that it sent.
     said_live: int = 0
-    # This host's clock as it had heard it when it spoke last.
+    # The newest reading of this host's clock that it has echoed.
     acked_ms: int = 0
-    # Since when this host sees it live, on the clock that counts suspends.
+    # When this host began to see it alive, on the clock that counts suspends.
     live_since: float | None = None
 
 
 class Quotas:
-    """All that one host does about quotas.
+    """Combines ledger, keeper and leases of one host.
 
     Parameters
     ----------
     roster : Roster
         The known hosts.
     bound : QuotaBound
-        What all hosts keep to.
+        The bound that all hosts together keep to.
     rng : RandomSource
-        Source of spreads.
+        Source of jitter.
     first_start : bool
         Whether the whole system starts for the first time.
     """
@@ -98,17 +112,15 @@
 
     @property
     def in_force(self) -> bool:
-        """Tell whether any account has a quota."""
+        """Return whether any account has a quota."""
         return bool(self._quotas)
 
     def busy(self, now: float) -> bool:
-        """Tell whether anything may be due within moments."""
+        """Return whether messages may soon be due, so that polling has to go on."""
         return self.in_force and (self.watch.tells(now) or self.ledger.has_open)
 
-    # What is known
-
     def configure(self, accounts: Accounts, at: ClockReading) -> None:
-        """Take over the accounts of the configuration in force."""
+        """Apply the accounts of the configuration in force."""
         if accounts is self._accounts:
             return
         self._accounts = accounts
@@ -120,13 +132,13 @@
             self._set_keepers()
 
     def set_bound(self, bound: QuotaBound, at: ClockReading) -> None:
-        """Take over what all hosts keep to."""
+        """Change the bound that all hosts together keep to."""
         self._bound = bound
         self.keeper.set_bound(bound, at.boot)
         self.ledger.set_bound(bound)
 
     def review(self, at: ClockReading) -> None:
-        """Take over who holds shares, who lives, and what this host may run unpaid."""
+        """Update the holders, the live hosts, and how much this host may run unpaid."""
         if self._started_at is None:
             self._started_at = at.now
         holders = self.watch.holders
@@ -142,10 +154,12 @@
         self.ledger.callers_parts = max(1, len(self._roster.active))
 
     def _may_owe(self, now: float) -> bool:
-        """Tell whether this host may run requests that are not paid for.
+        """Return whether this host may run requests that are not paid for.
 
-        Failure: all hosts are killed and start again, twice within a window. Each time
-        they would owe as much anew, and nobody knows what the earlier runs owed.
+        Guards against a restart of all hosts, twice within a window. The debts of the
+        earlier runs are forgotten, so each restart would allow the full debt again.
+        A host that holds a share therefore waits for one window after its start, except
+        on the first start of the whole system.
         """
         first = self.watch.first_start
         settled = now - self._started_at >= self._bound.window_s
@@ -171,13 +185,15 @@
         self.keeper.lend(own, key, live, at.boot + LEASE_S, at.boot)
 
     def leave(self, at: ClockReading) -> None:
-        """Keep nothing any more: this host is about to say that it leaves."""
+        """Stop keeping accounts; call before announcing that this host shuts down."""
         self.keeper.give_up(at.boot)
 
-    # Requests
-
     def ask(self, account: str, at: ClockReading) -> Admission:
-        """Decide on a request of an account, see `QuotaLedger.ask`."""
+        """Decide on a request of an account, see `QuotaLedger.ask`.
+
+        If this host keeps the account itself, a request that would wait is decided
+        at once when possible.
+        """
         found = self.ledger.ask(account, at.now)
         if self.ledger.keeper(account) != self._roster.own.host_id:
             return found
@@ -192,16 +208,14 @@
         return found
 
     def _charge_own(self, charge: Charge, at: ClockReading) -> None:
-        """Charge what this host runs for an account that it keeps itself."""
+        """Charge this host's own requests of an account that it keeps itself."""
         own = self._roster.own.host_id
         receipt = self.keeper.charge((own, 0), charge, at.boot)
         if receipt is not None:
             self.ledger.paid(own, receipt, at.now)
 
-    # What others are told
-
     def outgoing(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
-        """Yield the messages that are due, and to whom."""
+        """Yield the messages that are due, each with the id of its receiver."""
         yield from self._leases(at)
         yield from self._receipts(at)
         yield from self._charges(at)
@@ -221,11 +235,13 @@
             yield host_id, msg.QuotaLease(key, live, sent_ms, peer.heard_ms)
 
     def _lent_to(self, place: int, peer: _Peer, boot: float) -> int:
-        """Return the holders that another one is told to go by.
+        """Return the mask of live holders to send to another holder.
 
-        Failure: a holder appears, and its accounts were lent to another one that has
-        not heard of it yet. So the newcomer is told to go by the holders without itself
-        until all others have heard, or every lease to them has ended.
+        Guards against lending one share twice. When a holder becomes alive, its
+        accounts may still be lent to another holder that does not know of it yet. So
+        the newcomer gets a mask without itself until all other holders have
+        acknowledged a lease that was sent after it became alive, or every older lease
+        has ended.
         """
         if not self.watch.good or self._roster.out_of_service:
             return 0
@@ -242,7 +258,7 @@
         )
 
     def _living_peers(self) -> Iterator[tuple[int, _Peer]]:
-        """Yield the other holders that live, and their places."""
+        """Yield the other live holders, each with its index in `Holders.names`."""
         own = self._roster.own.host_id
         for place, host_id in enumerate(self.watch.holders.names):
             if host_id != own and self._live >> place & 1:
@@ -273,28 +289,27 @@
                 items = [(c.account, c.charged, c.returned, c.paid) for c in some]
                 yield keeper, msg.QuotaCharges(items)
 
-    # What others tell
-
     def on_lease(
         self, host: Incarnation, message: msg.QuotaLease, at: ClockReading
     ) -> None:
-        """Take over the shares that a host lends."""
+        """Process a lease of shares from another host."""
         host_id, incarnation = host
         self.watch.counted(host_id, message.key)
         peer = self._peers.setdefault(host_id, _Peer())
         if peer.incarnation != incarnation:
-            # Its clock may have started again with its machine.
+            # If the sender's machine has restarted, its clock has restarted too.
             peer.incarnation = incarnation
             peer.heard_ms = 0
             peer.acked_ms = 0
         peer.heard_ms = max(peer.heard_ms, message.sent_ms)
         peer.acked_ms = max(peer.acked_ms, message.echo_ms)
         if peer.said_live != message.live:
-            # It waits to hear that this is known here.
+            # The sender waits for the acknowledgement, so the next lease is due at
+            # once.
             peer.said_live = message.live
             peer.told_at = float("-inf")
         until = message.echo_ms / 1000 + LEASE_S
-        # An echo from the future is one of an earlier start of this machine.
+        # An echo from the future stems from an earlier start of this machine.
         valid = not self._roster.out_of_service and until <= at.boot + LEASE_S
         live = message.live if valid else 0
         self.keeper.lend(host_id, message.key, live, until, at.boot)
@@ -302,7 +317,7 @@
     def on_charges(
         self, host: Incarnation, message: msg.QuotaCharges, at: ClockReading
     ) -> msg.QuotaReceipts | None:
-        """Take in what a host runs; return the receipts for it, if any."""
+        """Process the charges of another host; return the receipts, if any."""
         found = (
             self.keeper.charge(host, Charge(*item), at.boot) for item in message.items
         )
@@ -312,13 +327,13 @@
     def on_receipts(
         self, host_id: str, message: msg.QuotaReceipts, at: ClockReading
     ) -> list[str]:
-        """Take in what is paid; return the accounts that it concerns."""
+        """Process a keeper's receipts; return the accounts of the valid ones."""
         receipts = [Receipt(*item) for item in message.items]
         return [r.account for r in receipts if self.ledger.paid(host_id, r, at.now)]
 
 
 def _in_parts(items: Sequence[T]) -> Iterator[Sequence[T]]:
-    """Yield items in parts that one message carries."""
+    """Yield items in batches that fit into one message."""
     for first in range(0, len(items), MAX_ACCOUNTS_PER_MESSAGE):
         yield items[first : first + MAX_ACCOUNTS_PER_MESSAGE]
 
