--- a/lacewingcross/core/account_usage.py
+++ b/lacewingcross/core/account_usage.py
@@ -10,11 +10,11 @@
 class AccountUsage:
     """Requests that a host runs for an account, and what is paid of them.
 
-    Of the charged requests, `waiting` are not decided yet. `told` holds the totals
-    (charged, returned) that were last sent to the keeper, at `told_at`. `heard_at` is
-    the time of its last receipt, which also says when it will pay the next open charge:
-    `next_paid_at`. `next_turn` is the latest retry time given to a refused caller.
-    Times are monotonic, in seconds.
+    Of the charged requests, `waiting` are not decided yet. `sent_totals` holds the
+    totals (charged, returned) that were last sent to the keeper, at `sent_at`.
+    `receipt_at` is the time of its last receipt, which also says when it will pay the
+    next open charge: `next_paid_at`. `last_retry_at` is the latest retry time given to
+    a refused caller. Times are monotonic, in seconds.
     """
 
     quota: Quota
@@ -23,15 +23,15 @@
     returned: int = 0
     paid: int = 0
     waiting: int = 0
-    told: tuple[int, int] = (0, 0)
+    sent_totals: tuple[int, int] = (0, 0)
     # The highest total of charges sent to any keeper; `charged` never falls below it.
-    told_most: int = 0
-    told_at: float = float("-inf")
-    heard_at: float = float("-inf")
+    max_sent_charged: int = 0
+    sent_at: float = float("-inf")
+    receipt_at: float = float("-inf")
     next_paid_at: float = float("-inf")
-    next_turn: float = float("-inf")
+    last_retry_at: float = float("-inf")
     # Admission times of the unpaid requests, the oldest first.
-    _unpaid: deque[float] = field(default_factory=deque)
+    _unpaid_since: deque[float] = field(default_factory=deque)
 
     @property
     def open(self) -> int:
@@ -50,27 +50,27 @@
     def note_admitted(self, now: float) -> None:
         """Note the admission of a request that is charged already."""
         if self.debt > 0:
-            self._unpaid.append(now)
+            self._unpaid_since.append(now)
 
     def take_back(self) -> None:
         """Take back the charge of the newest request."""
-        if self.charged > self.told_most:
+        if self.charged > self.max_sent_charged:
             # This charge was not sent to any keeper, so no return has to be reported.
             self.charged -= 1
         else:
             self.returned += 1
         self.paid = min(self.paid, self.charged - self.returned)
-        while len(self._unpaid) > max(0, self.debt):
-            self._unpaid.pop()
+        while len(self._unpaid_since) > max(0, self.debt):
+            self._unpaid_since.pop()
 
     def pay(self, paid: int) -> None:
         """Update the total of paid requests; the oldest requests are paid first."""
         self.paid = max(self.paid, min(paid, self.charged - self.returned))
-        while len(self._unpaid) > max(0, self.debt):
-            self._unpaid.popleft()
+        while len(self._unpaid_since) > max(0, self.debt):
+            self._unpaid_since.popleft()
 
     def forgive(self, until: float) -> None:
         """Count requests that were admitted before `until` as paid."""
-        while self._unpaid and self._unpaid[0] < until:
-            self._unpaid.popleft()
+        while self._unpaid_since and self._unpaid_since[0] < until:
+            self._unpaid_since.popleft()
             self.paid += 1
--- a/lacewingcross/core/quota.py
+++ b/lacewingcross/core/quota.py
@@ -10,8 +10,8 @@
 # requests that hosts run before the account's keeper has received the charge. The
 # second lets short bursts of small accounts pass at the keeper. The rest (0.1) covers
 # requests that no host counts, because they were in flight when a host was killed.
-DEBT_PART = 0.6
-BURST_PART = 0.3
+DEBT_SHARE = 0.6
+BURST_SHARE = 0.3
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,18 +42,18 @@
     excess: float = 0.1
     slack: float = 20.0
 
-    def most(self, quota: Quota) -> float:
+    def max_per_window(self, quota: Quota) -> float:
         """Return the maximum number of requests in any window of `window_s` seconds."""
-        return self._owed(quota) + self.spare(quota)
+        return self._quota_per_window(quota) + self.spare(quota)
 
     def spare(self, quota: Quota) -> float:
         """Return how many more requests the bound allows than the quota itself."""
-        return self._owed(quota) * self.excess + self.slack
+        return self._quota_per_window(quota) * self.excess + self.slack
 
-    def _owed(self, quota: Quota) -> float:
+    def _quota_per_window(self, quota: Quota) -> float:
         return quota.rate * self.window_s + quota.burst
 
-    def debt_each(self, quota: Quota, holders: int) -> int:
+    def max_debt_per_host(self, quota: Quota, holders: int) -> int:
         """Return how many unpaid requests each host may run.
 
         Parameters
@@ -63,8 +63,8 @@
         holders : int
             Number of hosts among which the debts are divided.
         """
-        return int(self.spare(quota) * DEBT_PART / max(1, holders))
+        return int(self.spare(quota) * DEBT_SHARE / max(1, holders))
 
-    def credit_most(self, quota: Quota) -> float:
+    def max_credit(self, quota: Quota) -> float:
         """Return how much credit an account without requests may accumulate."""
-        return quota.burst + self.spare(quota) * BURST_PART
+        return quota.burst + self.spare(quota) * BURST_SHARE
--- a/lacewingcross/core/quota_holders.py
+++ b/lacewingcross/core/quota_holders.py
@@ -21,10 +21,10 @@
 
 # Each holder may run some requests of an account before they are paid for. The debt of
 # the smallest accounts is enough for one request at each of this many hosts.
-HOLDERS_MOST = 12
+MAX_HOLDERS = 12
 # Time in which holders find each other when the whole system starts for the first time,
 # in seconds. No share can have been lent before that.
-FIRST_SETTLE_S = 2.0
+FIRST_START_SETTLE_S = 2.0
 
 
 class Holders:
@@ -43,17 +43,17 @@
         Hash of the names; equal on all hosts that have the same view.
     """
 
-    __slots__ = ("_orders", "_places", "key", "names")
+    __slots__ = ("_indexes", "_keeper_orders", "key", "names")
 
     def __init__(self, names: Iterable[str]) -> None:
         self.names = tuple(sorted(names))
         self.key = f"{hash64('quota-holders', *self.names):016x}"
-        self._places = {name: place for place, name in enumerate(self.names)}
-        self._orders: dict[str, tuple[int, ...]] = {}
+        self._indexes = {name: index for index, name in enumerate(self.names)}
+        self._keeper_orders: dict[str, tuple[int, ...]] = {}
 
     def __contains__(self, host_id: str) -> bool:
         """Return whether a host is one of the holders."""
-        return host_id in self._places
+        return host_id in self._indexes
 
     def __len__(self) -> int:
         """Return the number of holders."""
@@ -61,36 +61,36 @@
 
     def mask(self, live: Iterable[str]) -> int:
         """Return a bit mask of the holders that are in `live`, by index in `names`."""
-        found = 0
+        bits = 0
         for name in live:
-            place = self._places.get(name)
-            if place is not None:
-                found |= 1 << place
-        return found
+            index = self._indexes.get(name)
+            if index is not None:
+                bits |= 1 << index
+        return bits
 
     def keeper(self, account: str, mask: int) -> str | None:
         """Return the keeper of an account if the holders in `mask` are alive."""
-        for place in self._order(account):
-            if mask >> place & 1:
-                return self.names[place]
+        for index in self._keeper_order(account):
+            if mask >> index & 1:
+                return self.names[index]
         return None
 
-    def _order(self, account: str) -> tuple[int, ...]:
-        known = self._orders.get(account)
+    def _keeper_order(self, account: str) -> tuple[int, ...]:
+        known = self._keeper_orders.get(account)
         if known is None:
             names = self.names
-            places = range(len(names))
+            indexes = range(len(names))
             known = tuple(
-                sorted(places, key=lambda p: hash64(account, names[p]), reverse=True)
+                sorted(indexes, key=lambda p: hash64(account, names[p]), reverse=True)
             )
-            self._orders[account] = known
+            self._keeper_orders[account] = known
         return known
 
 
 def choose_holders(hosts: Iterable[HostInfo]) -> list[str]:
     """Return the ids of the holders: large hosts from all failure domains."""
     chosen = active_hosts(hosts, 0.0)
-    return [info.host_id for info in in_order(chosen)][:HOLDERS_MOST]
+    return [info.host_id for info in in_order(chosen)][:MAX_HOLDERS]
 
 
 class HolderWatch:
@@ -118,11 +118,11 @@
     """
 
     __slots__ = (
-        "_counted_by",
-        "_held_at",
-        "_known",
+        "_confirming_hosts",
+        "_known_hosts",
+        "_last_holder_at",
         "_listed_at",
-        "_rivals",
+        "_reported_views",
         "_roster",
         "first_start",
         "good",
@@ -135,25 +135,25 @@
         self.holders = Holders(())
         self.good = False
         # Key of the view that each other host has reported last, by host id.
-        self._counted_by: dict[str, str] = {}
-        self._held_at = float("-inf")
-        self._known: list[HostInfo] = []
+        self._reported_views: dict[str, str] = {}
+        self._last_holder_at = float("-inf")
+        self._known_hosts: list[HostInfo] = []
         self._listed_at: float | None = None
-        self._rivals: frozenset[str] = frozenset()
+        self._confirming_hosts: frozenset[str] = frozenset()
 
     def review(self, now: float) -> None:
         """Update the holders, and whether the own share counts, from the roster."""
         own = self._roster.own
         others = [entry.info for entry in self._roster.entries.values()]
-        if others != self._known or not self.holders.names:
-            self._known = others
+        if others != self._known_hosts or not self.holders.names:
+            self._known_hosts = others
             self._choose(others)
         if self._roster.listed and self._listed_at is None:
             self._listed_at = now
         if own.host_id not in self.holders:
             self.good = False
             return
-        self._held_at = now
+        self._last_holder_at = now
         self.good = self.good or self._may_hold(now)
 
     def _choose(self, others: list[HostInfo]) -> None:
@@ -162,7 +162,7 @@
         if tuple(sorted(names)) != self.holders.names:
             self.holders = Holders(names)
         displaced = choose_holders(others)
-        self._rivals = frozenset((*names, *displaced)) - {own.host_id}
+        self._confirming_hosts = frozenset((*names, *displaced)) - {own.host_id}
 
     def _may_hold(self, now: float) -> bool:
         if self._listed_at is None:
@@ -170,21 +170,21 @@
         if self._roster.was_listed:
             return True
         if self.first_start:
-            return now - self._listed_at >= FIRST_SETTLE_S
+            return now - self._listed_at >= FIRST_START_SETTLE_S
         return all(
-            self._counted_by.get(host_id) == self.holders.key
-            for host_id in self._rivals
+            self._reported_views.get(host_id) == self.holders.key
+            for host_id in self._confirming_hosts
         )
 
-    def counted(self, host_id: str, key: str) -> None:
+    def note_reported_view(self, host_id: str, key: str) -> None:
         """Note the key of the view that another host has reported."""
-        self._counted_by[host_id] = key
+        self._reported_views[host_id] = key
 
-    def tells(self, now: float) -> bool:
+    def sends_leases(self, now: float) -> bool:
         """Return whether this host is, or was recently, a holder and sends leases."""
-        return now - self._held_at < FORGET_AFTER_S
+        return now - self._last_holder_at < FORGET_AFTER_S
 
-    def live(self, now: float) -> int:
+    def live_mask(self, now: float) -> int:
         """Return the mask of the holders that this host can reach."""
         roster = self._roster
         if roster.is_active or roster.own.host_id in self.holders:
--- a/lacewingcross/core/quota_keeper.py
+++ b/lacewingcross/core/quota_keeper.py
@@ -25,15 +25,15 @@
 # considered dead (2 s), so its shares are free again when the next keeper takes over.
 LEASE_S = 1.2
 # While no share is lent, hosts are sent this time until the next credit, in seconds.
-UNLENT_PAUSE_S = 0.5
+UNLENT_WAIT_S = 0.5
 # Number of views of the holders that are remembered. All hosts compute a new view at
 # almost the same time, so leases refer to recent views only.
-VIEWS_KEPT = 4
+MAX_VIEWS_KEPT = 4
 # Charges of a host that has sent none for this time are forgotten, in seconds. There is
 # one record for each account and host.
-BOOK_KEPT_S = 60.0
+CHARGES_KEPT_S = 60.0
 # Interval of the search for such records, in seconds.
-CLOSE_EVERY_S = 5.0
+CLEANUP_INTERVAL_S = 5.0
 
 Incarnation = tuple[str, int]
 
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class _Book:
+class _HostCharges:
     """Charges of one host for one account; the totals are those of `Charge`."""
 
     charged: int = 0
@@ -90,18 +90,18 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    """Credit of one account; `part` of its quota is lent to this keeper.
+    """Credit of one account; `lent_share` of its quota is lent to this keeper.
 
-    `level` is the credit at the time `at`. `turns` holds the hosts with open charges in
-    round-robin order, the next one first.
+    `level` is the credit at the time `filled_at`. `pending_hosts` holds the hosts with
+    open charges in round-robin order, the next one first.
     """
 
     quota: Quota
-    at: float
-    part: float = 0.0
+    filled_at: float
+    lent_share: float = 0.0
     level: float = 0.0
-    books: dict[Incarnation, _Book] = field(default_factory=dict)
-    turns: deque[Incarnation] = field(default_factory=deque)
+    charges_by_host: dict[Incarnation, _HostCharges] = field(default_factory=dict)
+    pending_hosts: deque[Incarnation] = field(default_factory=deque)
 
 
 @dataclass(slots=True, frozen=True)
@@ -129,7 +129,7 @@
     __slots__ = (
         "_bound",
         "_buckets",
-        "_closed_at",
+        "_cleaned_up_at",
         "_leases",
         "_own_id",
         "_views",
@@ -139,7 +139,7 @@
         self._own_id = own_id
         self._bound = bound
         self._buckets: dict[str, _Bucket] = {}
-        self._closed_at = float("-inf")
+        self._cleaned_up_at = float("-inf")
         self._leases: dict[str, _Lease] = {}
         self._views: dict[str, Holders] = {}
 
@@ -148,14 +148,14 @@
 
         If a quota is lowered, credit above the new maximum is dropped.
         """
-        self._pass_time(now)
+        self._expire_leases(now)
         for account in self._buckets.keys() - quotas.keys():
             del self._buckets[account]
         for account, quota in quotas.items():
             bucket = self._buckets.get(account)
             if bucket is None:
                 bucket = _Bucket(quota, now)
-                bucket.part = self._part(account)
+                bucket.lent_share = self._compute_lent_share(account)
                 self._buckets[account] = bucket
             elif bucket.quota != quota:
                 self._fill(bucket, now)
@@ -168,13 +168,15 @@
             self._fill(bucket, now)
         self._bound = bound
 
-    def know(self, holders: Holders) -> None:
+    def remember_view(self, holders: Holders) -> None:
         """Remember a view of the holders, so that leases under its key are accepted."""
         self._views[holders.key] = holders
-        while len(self._views) > VIEWS_KEPT:
+        while len(self._views) > MAX_VIEWS_KEPT:
             del self._views[next(iter(self._views))]
 
-    def lend(self, host_id: str, key: str, live: int, until: float, now: float) -> None:
+    def set_lease(
+        self, host_id: str, key: str, live: int, until: float, now: float
+    ) -> None:
         """Replace the lease of one lender.
 
         It covers the lender's shares of the accounts that this host keeps.
@@ -192,40 +194,42 @@
         now : float
             Time in seconds.
         """
-        self._pass_time(now)
+        self._expire_leases(now)
         old = self._leases.get(host_id)
         holders = self._views.get(key)
         if holders is None or not live or host_id not in holders or until <= now:
             if old is not None:
                 del self._leases[host_id]
-                self._update_parts(now)
+                self._update_lent_shares(now)
             return
         self._leases[host_id] = _Lease(holders, live, until)
         if old is None or old.live != live or old.holders is not holders:
-            self._update_parts(now)
+            self._update_lent_shares(now)
 
-    def give_up(self, now: float) -> None:
+    def end_leases(self, now: float) -> None:
         """End all leases, before the lenders learn that they can lend elsewhere."""
-        self._pass_time(now)
+        self._expire_leases(now)
         self._leases.clear()
-        self._update_parts(now)
+        self._update_lent_shares(now)
 
-    def _pass_time(self, now: float) -> None:
+    def _expire_leases(self, now: float) -> None:
         """End expired leases, crediting each bucket up to the moment of expiry."""
         while self._leases:
-            host_id, lease = min(self._leases.items(), key=lambda item: item[1].until)
+            host_id, lease = min(
+                self._leases.items(), key=lambda totals: totals[1].until
+            )
             if lease.until > now:
                 return
             del self._leases[host_id]
-            self._update_parts(lease.until)
+            self._update_lent_shares(lease.until)
 
-    def _update_parts(self, now: float) -> None:
+    def _update_lent_shares(self, now: float) -> None:
         for account, bucket in self._buckets.items():
             self._fill(bucket, now)
-            bucket.part = self._part(account)
+            bucket.lent_share = self._compute_lent_share(account)
             self._cap(bucket)
 
-    def _part(self, account: str) -> float:
+    def _compute_lent_share(self, account: str) -> float:
         return sum(
             1.0 / len(lease.holders)
             for lease in self._leases.values()
@@ -233,103 +237,106 @@
         )
 
     def _fill(self, bucket: _Bucket, now: float) -> None:
-        if now > bucket.at:
-            bucket.level += bucket.quota.rate * bucket.part * (now - bucket.at)
-            bucket.at = now
+        if now > bucket.filled_at:
+            bucket.level += (
+                bucket.quota.rate * bucket.lent_share * (now - bucket.filled_at)
+            )
+            bucket.filled_at = now
             self._cap(bucket)
 
     def _cap(self, bucket: _Bucket) -> None:
-        most = self._bound.credit_most(bucket.quota) * bucket.part
-        bucket.level = min(bucket.level, most)
+        max_level = self._bound.max_credit(bucket.quota) * bucket.lent_share
+        bucket.level = min(bucket.level, max_level)
 
-    def charge(self, host: Incarnation, item: Charge, now: float) -> Receipt | None:
+    def charge(self, host: Incarnation, totals: Charge, now: float) -> Receipt | None:
         """Process a host's charge; return the receipt.
 
         Returns None for an account without a quota here, and for a charge that is older
         than the last one from the host.
         """
-        bucket = self._buckets.get(item.account)
+        bucket = self._buckets.get(totals.account)
         if bucket is None:
             return None
-        self._pass_time(now)
+        self._expire_leases(now)
         self._fill(bucket, now)
-        book = bucket.books.get(host)
-        if book is None:
-            book = _Book()
-            bucket.books[host] = book
-        elif item.charged < book.charged or item.returned < book.returned:
+        charges = bucket.charges_by_host.get(host)
+        if charges is None:
+            charges = _HostCharges()
+            bucket.charges_by_host[host] = charges
+        elif totals.charged < charges.charged or totals.returned < charges.returned:
             return None
-        book.charged = item.charged
-        book.returned = item.returned
+        charges.charged = totals.charged
+        charges.returned = totals.returned
         # Another keeper may have been paid in the meantime.
-        book.paid = max(book.paid, item.paid)
-        book.used_at = now
-        self._refund(bucket, book)
-        if book.open > 0 and host not in bucket.turns:
-            bucket.turns.append(host)
+        charges.paid = max(charges.paid, totals.paid)
+        charges.used_at = now
+        self._refund(bucket, charges)
+        if charges.open > 0 and host not in bucket.pending_hosts:
+            bucket.pending_hosts.append(host)
         self._pay(bucket)
-        return self._receipt(item.account, bucket, host)
+        return self._receipt(totals.account, bucket, host)
 
-    def _refund(self, bucket: _Bucket, book: _Book) -> None:
+    def _refund(self, bucket: _Bucket, charges: _HostCharges) -> None:
         """Return the credit of requests that were paid and never ran."""
-        if book.open < 0:
-            bucket.level -= book.open
-            book.paid += book.open
+        if charges.open < 0:
+            bucket.level -= charges.open
+            charges.paid += charges.open
             self._cap(bucket)
 
     def _pay(self, bucket: _Bucket) -> set[Incarnation]:
         """Pay charges round robin, one per host; return the hosts that were paid."""
         paid = set()
-        while bucket.turns:
-            host = bucket.turns[0]
-            book = bucket.books[host]
-            if book.open > 0:
+        while bucket.pending_hosts:
+            host = bucket.pending_hosts[0]
+            charges = bucket.charges_by_host[host]
+            if charges.open > 0:
                 if bucket.level < 1.0:
                     break
                 bucket.level -= 1.0
-                book.paid += 1
+                charges.paid += 1
                 paid.add(host)
-            bucket.turns.popleft()
-            if book.open > 0:
-                bucket.turns.append(host)
+            bucket.pending_hosts.popleft()
+            if charges.open > 0:
+                bucket.pending_hosts.append(host)
         return paid
 
     def _receipt(self, account: str, bucket: _Bucket, host: Incarnation) -> Receipt:
-        book = bucket.books[host]
-        wait_s = self._wait_s(bucket, host) if book.open > 0 else 0.0
-        return Receipt(account, book.returned, book.paid, wait_s)
+        charges = bucket.charges_by_host[host]
+        wait_s = self._wait_s(bucket, host) if charges.open > 0 else 0.0
+        return Receipt(account, charges.returned, charges.paid, wait_s)
 
     def _wait_s(self, bucket: _Bucket, host: Incarnation) -> float:
-        rate = bucket.quota.rate * bucket.part
+        rate = bucket.quota.rate * bucket.lent_share
         if rate <= 0:
-            return UNLENT_PAUSE_S
-        ahead = bucket.turns.index(host) + 1
+            return UNLENT_WAIT_S
+        ahead = bucket.pending_hosts.index(host) + 1
         return max(0.0, ahead - bucket.level) / rate
 
     def review(self, now: float) -> Iterator[tuple[str, Receipt]]:
         """Pay the charges that credit covers; yield receipts with their host ids."""
-        self._pass_time(now)
+        self._expire_leases(now)
         for account, bucket in self._buckets.items():
-            if bucket.turns:
+            if bucket.pending_hosts:
                 self._fill(bucket, now)
                 for host in sorted(self._pay(bucket)):
                     yield host[0], self._receipt(account, bucket, host)
-        if now - self._closed_at >= CLOSE_EVERY_S:
-            self._closed_at = now
-            self._close_books(now)
+        if now - self._cleaned_up_at >= CLEANUP_INTERVAL_S:
+            self._cleaned_up_at = now
+            self._forget_idle_hosts(now)
 
-    def _close_books(self, now: float) -> None:
+    def _forget_idle_hosts(self, now: float) -> None:
         for bucket in self._buckets.values():
-            bucket.books = {
-                host: book
-                for host, book in bucket.books.items()
-                if now - book.used_at <= BOOK_KEPT_S or host in bucket.turns
+            bucket.charges_by_host = {
+                host: charges
+                for host, charges in bucket.charges_by_host.items()
+                if now - charges.used_at <= CHARGES_KEPT_S
+                or host in bucket.pending_hosts
             }
 
-    def part(self, account: str) -> float:
+    def lent_share(self, account: str) -> float:
         """Return the share of an account's quota that is lent to this host, 0 to 1."""
         bucket = self._buckets.get(account)
-        return bucket.part if bucket else 0.0
+        return bucket.lent_share if bucket else 0.0
 
     def credit(self, account: str, now: float) -> float:
         """Return the credit of an account minus its open charges."""
@@ -337,4 +344,6 @@
         if bucket is None:
             return inf
         self._fill(bucket, now)
-        return bucket.level - sum(bucket.books[host].open for host in bucket.turns)
+        return bucket.level - sum(
+            bucket.charges_by_host[host].open for host in bucket.pending_hosts
+        )
--- a/lacewingcross/core/quotas.py
+++ b/lacewingcross/core/quotas.py
@@ -28,7 +28,7 @@
 T = TypeVar("T")
 
 # Interval at which leases are renewed, in seconds: four times within a lease.
-LEND_EVERY_S = 0.3
+LEASE_RENEWAL_S = 0.3
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,16 +47,16 @@
 class _Peer:
     """Leases exchanged with another holder.
 
-    `heard_ms` is the sender's clock in the newest lease that was received. `told_at`
-    and `told_live` are the time and the mask of the last lease that was sent.
+    `received_ms` is the sender's clock in the newest lease that was received. `sent_at`
+    and `sent_live` are the time and the mask of the last lease that was sent.
     """
 
     incarnation: int = 0
-    heard_ms: int = 0
-    told_at: float = float("-inf")
-    told_live: int = 0
+    received_ms: int = 0
+    sent_at: float = float("-inf")
+    sent_live: int = 0
     # Mask of the live holders in the last lease that it sent.
-    said_live: int = 0
+    received_live: int = 0
     # The newest reading of this host's clock that it has echoed.
     acked_ms: int = 0
     # When this host began to see it alive, on the clock that counts suspends.
@@ -117,7 +117,9 @@
 
     def busy(self, now: float) -> bool:
         """Return whether messages may soon be due, so that polling has to go on."""
-        return self.in_force and (self.watch.tells(now) or self.ledger.has_open)
+        return self.in_force and (
+            self.watch.sends_leases(now) or self.ledger.has_open_charges
+        )
 
     def configure(self, accounts: Accounts, at: ClockReading) -> None:
         """Apply the accounts of the configuration in force."""
@@ -143,17 +145,19 @@
             self._started_at = at.now
         holders = self.watch.holders
         self.watch.review(at.now)
-        live = self.watch.live(at.now)
+        live = self.watch.live_mask(at.now)
         if live != self._live or self.watch.holders is not holders:
             self._live = live
             self._set_keepers()
-        self._note_live(at.boot)
-        self.keeper.know(self.watch.holders)
-        self._lend_own(at)
-        self.ledger.holders = len(self.watch.holders) if self._may_owe(at.now) else 0
-        self.ledger.callers_parts = max(1, len(self._roster.active))
+        self._update_live_since(at.boot)
+        self.keeper.remember_view(self.watch.holders)
+        self._lend_to_self(at)
+        self.ledger.holders = (
+            len(self.watch.holders) if self._may_run_unpaid(at.now) else 0
+        )
+        self.ledger.caller_hosts = max(1, len(self._roster.active))
 
-    def _may_owe(self, now: float) -> bool:
+    def _may_run_unpaid(self, now: float) -> bool:
         """Return whether this host may run requests that are not paid for.
 
         Guards against a restart of all hosts, twice within a window. The debts of the
@@ -170,23 +174,23 @@
         for account in self.ledger.accounts():
             self.ledger.set_keeper(account, holders.keeper(account, self._live))
 
-    def _note_live(self, boot: float) -> None:
-        for place, host_id in enumerate(self.watch.holders.names):
+    def _update_live_since(self, boot: float) -> None:
+        for index, host_id in enumerate(self.watch.holders.names):
             peer = self._peers.setdefault(host_id, _Peer())
-            if not self._live >> place & 1:
+            if not self._live >> index & 1:
                 peer.live_since = None
             elif peer.live_since is None:
                 peer.live_since = boot
 
-    def _lend_own(self, at: ClockReading) -> None:
+    def _lend_to_self(self, at: ClockReading) -> None:
         own = self._roster.own.host_id
         live = self._live if self.watch.good and not self._roster.out_of_service else 0
         key = self.watch.holders.key
-        self.keeper.lend(own, key, live, at.boot + LEASE_S, at.boot)
+        self.keeper.set_lease(own, key, live, at.boot + LEASE_S, at.boot)
 
     def leave(self, at: ClockReading) -> None:
         """Stop keeping accounts; call before announcing that this host shuts down."""
-        self.keeper.give_up(at.boot)
+        self.keeper.end_leases(at.boot)
 
     def ask(self, account: str, at: ClockReading) -> Admission:
         """Decide on a request of an account, see `QuotaLedger.ask`.
@@ -194,25 +198,25 @@
         If this host keeps the account itself, a request that would wait is decided
         at once when possible.
         """
-        found = self.ledger.ask(account, at.now)
+        admission = self.ledger.ask(account, at.now)
         if self.ledger.keeper(account) != self._roster.own.host_id:
-            return found
+            return admission
         self._charge_own(self.ledger.charge_of(account, at.now), at)
-        if found.outcome is not Outcome.WAITING:
-            return found
+        if admission.outcome is not Outcome.WAITING:
+            return admission
         decided = self.ledger.decided(account, at.now)
         if decided.admitted:
-            return Admission(Outcome.ADMITTED, keeper=found.keeper)
+            return Admission(Outcome.ADMITTED, keeper=admission.keeper)
         if decided.refused:
             return self.ledger.refusal(account, at.now)
-        return found
+        return admission
 
     def _charge_own(self, charge: Charge, at: ClockReading) -> None:
         """Charge this host's own requests of an account that it keeps itself."""
         own = self._roster.own.host_id
         receipt = self.keeper.charge((own, 0), charge, at.boot)
         if receipt is not None:
-            self.ledger.paid(own, receipt, at.now)
+            self.ledger.take_receipt(own, receipt, at.now)
 
     def outgoing(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
         """Yield the messages that are due, each with the id of its receiver."""
@@ -221,20 +225,20 @@
         yield from self._charges(at)
 
     def _leases(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
-        if not self.watch.tells(at.now):
+        if not self.watch.sends_leases(at.now):
             return
-        for place, peer in self._living_peers():
-            live = self._lent_to(place, peer, at.boot)
-            if live == peer.told_live and at.now - peer.told_at < LEND_EVERY_S:
+        for index, peer in self._live_peers():
+            live = self._live_mask_for(index, peer, at.boot)
+            if live == peer.sent_live and at.now - peer.sent_at < LEASE_RENEWAL_S:
                 continue
-            peer.told_live = live
-            peer.told_at = at.now
+            peer.sent_live = live
+            peer.sent_at = at.now
             sent_ms = int(at.boot * 1000)
             key = self.watch.holders.key
-            host_id = self.watch.holders.names[place]
-            yield host_id, msg.QuotaLease(key, live, sent_ms, peer.heard_ms)
+            host_id = self.watch.holders.names[index]
+            yield host_id, msg.QuotaLease(key, live, sent_ms, peer.received_ms)
 
-    def _lent_to(self, place: int, peer: _Peer, boot: float) -> int:
+    def _live_mask_for(self, index: int, peer: _Peer, boot: float) -> int:
         """Return the mask of live holders to send to another holder.
 
         Guards against lending one share twice. When a holder becomes alive, its
@@ -246,47 +250,47 @@
         if not self.watch.good or self._roster.out_of_service:
             return 0
         ended = boot - peer.live_since >= LEASE_S
-        if ended or self._all_heard_of(peer):
+        if ended or self._all_acknowledged(peer):
             return self._live
-        return self._live & ~(1 << place)
+        return self._live & ~(1 << index)
 
-    def _all_heard_of(self, newcomer: _Peer) -> bool:
+    def _all_acknowledged(self, newcomer: _Peer) -> bool:
         since_ms = newcomer.live_since * 1000
         return all(
             peer is newcomer or peer.acked_ms >= since_ms
-            for place, peer in self._living_peers()
+            for index, peer in self._live_peers()
         )
 
-    def _living_peers(self) -> Iterator[tuple[int, _Peer]]:
+    def _live_peers(self) -> Iterator[tuple[int, _Peer]]:
         """Yield the other live holders, each with its index in `Holders.names`."""
         own = self._roster.own.host_id
-        for place, host_id in enumerate(self.watch.holders.names):
-            if host_id != own and self._live >> place & 1:
-                yield place, self._peers[host_id]
+        for index, host_id in enumerate(self.watch.holders.names):
+            if host_id != own and self._live >> index & 1:
+                yield index, self._peers[host_id]
 
     def _receipts(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
         own = self._roster.own.host_id
-        told: dict[str, list[Receipt]] = {}
+        batches: dict[str, list[Receipt]] = {}
         for host_id, receipt in self.keeper.review(at.boot):
             if host_id == own:
-                self.ledger.paid(own, receipt, at.now)
+                self.ledger.take_receipt(own, receipt, at.now)
             else:
-                told.setdefault(host_id, []).append(receipt)
-        for host_id, receipts in told.items():
-            for some in _in_parts(receipts):
-                yield host_id, receipts_message(some)
+                batches.setdefault(host_id, []).append(receipt)
+        for host_id, receipts in batches.items():
+            for batch in _in_batches(receipts):
+                yield host_id, receipts_message(batch)
 
     def _charges(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
         own = self._roster.own.host_id
-        told: dict[str, list[Charge]] = {}
-        for keeper, charge in self.ledger.to_tell(at.now):
+        batches: dict[str, list[Charge]] = {}
+        for keeper, charge in self.ledger.due_charges(at.now):
             if keeper == own:
                 self._charge_own(charge, at)
             else:
-                told.setdefault(keeper, []).append(charge)
-        for keeper, charges in told.items():
-            for some in _in_parts(charges):
-                items = [(c.account, c.charged, c.returned, c.paid) for c in some]
+                batches.setdefault(keeper, []).append(charge)
+        for keeper, charges in batches.items():
+            for batch in _in_batches(charges):
+                items = [(c.account, c.charged, c.returned, c.paid) for c in batch]
                 yield keeper, msg.QuotaCharges(items)
 
     def on_lease(
@@ -294,25 +298,25 @@
     ) -> None:
         """Process a lease of shares from another host."""
         host_id, incarnation = host
-        self.watch.counted(host_id, message.key)
+        self.watch.note_reported_view(host_id, message.key)
         peer = self._peers.setdefault(host_id, _Peer())
         if peer.incarnation != incarnation:
             # If the sender's machine has restarted, its clock has restarted too.
             peer.incarnation = incarnation
-            peer.heard_ms = 0
+            peer.received_ms = 0
             peer.acked_ms = 0
-        peer.heard_ms = max(peer.heard_ms, message.sent_ms)
+        peer.received_ms = max(peer.received_ms, message.sent_ms)
         peer.acked_ms = max(peer.acked_ms, message.echo_ms)
-        if peer.said_live != message.live:
+        if peer.received_live != message.live:
             # The sender waits for the acknowledgement, so the next lease is due at
             # once.
-            peer.said_live = message.live
-            peer.told_at = float("-inf")
+            peer.received_live = message.live
+            peer.sent_at = float("-inf")
         until = message.echo_ms / 1000 + LEASE_S
         # An echo from the future stems from an earlier start of this machine.
         valid = not self._roster.out_of_service and until <= at.boot + LEASE_S
         live = message.live if valid else 0
-        self.keeper.lend(host_id, message.key, live, until, at.boot)
+        self.keeper.set_lease(host_id, message.key, live, until, at.boot)
 
     def on_charges(
         self, host: Incarnation, message: msg.QuotaCharges, at: ClockReading
@@ -329,10 +333,12 @@
     ) -> list[str]:
         """Process a keeper's receipts; return the accounts of the valid ones."""
         receipts = [Receipt(*item) for item in message.items]
-        return [r.account for r in receipts if self.ledger.paid(host_id, r, at.now)]
+        return [
+            r.account for r in receipts if self.ledger.take_receipt(host_id, r, at.now)
+        ]
 
 
-def _in_parts(items: Sequence[T]) -> Iterator[Sequence[T]]:
+def _in_batches(items: Sequence[T]) -> Iterator[Sequence[T]]:
     """Yield items in batches that fit into one message."""
     for first in range(0, len(items), MAX_ACCOUNTS_PER_MESSAGE):
         yield items[first : first + MAX_ACCOUNTS_PER_MESSAGE]
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -137,7 +137,9 @@
     bound = QuotaBound(5.0, 0.1, 20.0)
     for quota in (Quota(1.6, 1.6), Quota(198.0, 198.0), Quota(5.0, 0.0)):
         for holders in (1, 2, 7, 12):
-            debts = holders * bound.debt_each(quota, holders)
-            saved = bound.credit_most(quota)
-            assert saved + quota.rate * 5.0 + debts <= bound.most(quota)
-        assert bound.debt_each(quota, 12) >= 1
+            debts = holders * bound.max_debt_per_host(quota, holders)
+            max_credit_saved = bound.max_credit(quota)
+            assert max_credit_saved + quota.rate * 5.0 + debts <= bound.max_per_window(
+                quota
+            )
+        assert bound.max_debt_per_host(quota, 12) >= 1
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -193,7 +193,7 @@
     fleet.configure({**BOTH, "large": Quota(6.0, 6.0)})
     flood_through(fleet, 15.0)
     lowered = [at for at in fleet.runs["large"] if at > fleet.now - 5.0]
-    assert len(lowered) <= fleet.bound.most(Quota(6.0, 6.0))
+    assert len(lowered) <= fleet.bound.max_per_window(Quota(6.0, 6.0))
     fleet.configure(BOTH)
     flood_through(fleet, 15.0)
     raised = [at for at in fleet.runs["large"] if at > fleet.now - 10.0]
@@ -261,13 +261,13 @@
         near = [i for i in live if now - entries[i.host_id].last_heard_at < 2.0]
         chosen = active_hosts([self._roster.own, *near], 0.0)
         self.holders = quota_holders.Holders(info.host_id for info in chosen)
-        self._rivals = frozenset()
+        self._confirming_hosts = frozenset()
 
     monkeypatch.setattr(quota_holders.HolderWatch, "_choose", living)
     review = quota_holders.HolderWatch.review
 
     def anew(self, now):
-        self._known = None
+        self._known_hosts = None
         review(self, now)
 
     monkeypatch.setattr(quota_holders.HolderWatch, "review", anew)
@@ -275,7 +275,9 @@
 
 
 def test_debts_at_once_after_a_start_would_break_the_promise(monkeypatch):
-    monkeypatch.setattr(quotas.Quotas, "_may_owe", lambda self, now: self.watch.good)
+    monkeypatch.setattr(
+        quotas.Quotas, "_may_run_unpaid", lambda self, now: self.watch.good
+    )
     monkeypatch.setattr(quota_keeper, "_Bucket", full_bucket())
     assert broken_by(restart_all_twice)
 
@@ -297,7 +299,9 @@
 
 
 def test_leases_without_an_end_would_break_the_promise(monkeypatch):
-    monkeypatch.setattr(quota_keeper.QuotaKeeper, "_pass_time", lambda self, now: None)
+    monkeypatch.setattr(
+        quota_keeper.QuotaKeeper, "_expire_leases", lambda self, now: None
+    )
     assert broken_by(keepers_change)
 
 
