--- a/lacewingcross/core/crash_gossip.py
+++ b/lacewingcross/core/crash_gossip.py
@@ -1,8 +1,8 @@
-"""What a host has yet to tell each other one of servers that ended.
+"""The reports of crashed servers that a host still has to send to each other host.
 
-Each piece of news has a number. A stream to another host notes the number up to which
-everything was told on it, and a new stream starts from the beginning: whoever was cut
-off, has just started or lost messages gets all that is remembered.
+Each report has a sequence number. A stream to another host keeps the number up to which
+everything was sent on it. A new stream starts from the beginning, so a host that was
+partitioned, has just started or lost messages receives all reports that are remembered.
 """
 
 from collections import deque
@@ -13,16 +13,17 @@
 from .backend_state import Incarnation
 from .crashes import MAX_CRASHES_KEPT, CrashLedger
 
-# Pieces of news that are kept; the oldest go first. Each end is told once by each host
-# that had requests there, mostly one or two.
+# Maximum number of reports that are kept; the oldest are dropped first. Each crash is
+# reported once by each host that had requests at the server, usually one or two hosts.
 KEPT = 2 * MAX_CRASHES_KEPT
 
 
 @dataclass(slots=True, frozen=True)
 class GossipItem:
-    """One piece: a server that ended, or else a request that was answered.
+    """One report: a server that crashed, or else a request that was answered.
 
-    `source` is the host that told it, empty for what this host saw itself.
+    `number` is its sequence number. `source` is the host that sent it, empty if this
+    host observed it itself.
     """
 
     number: int
@@ -32,12 +33,17 @@
 
 
 class CrashGossip:
-    """News in the order in which it came.
+    """Reports in the order in which they arrived.
 
     Parameters
     ----------
     ledger : CrashLedger
-        Knows what is still held against whom.
+        The crashes that still count, and the requests that they count against.
+
+    Attributes
+    ----------
+    newest : int
+        Sequence number of the newest report, 0 if there is none.
     """
 
     __slots__ = ("_ledger", "_pieces", "newest")
@@ -48,24 +54,24 @@
         self.newest = 0
 
     def crashed(self, server: Incarnation, source: str = "") -> None:
-        """Note that a server has ended, or that more is known of its end."""
+        """Add a report of a crashed server, or of more requests that it was running."""
         self.newest += 1
         self._pieces.append(GossipItem(self.newest, source, crashed=server))
 
     def answered(self, request: str, source: str = "") -> None:
-        """Note that a request under which servers had ended was answered."""
+        """Add a report that a request with crashes against it was answered."""
         self.newest += 1
         self._pieces.append(GossipItem(self.newest, source, answered=request))
 
     def since(self, number: int | None) -> Iterator[GossipItem]:
-        """Return what is newer than a number and still true.
+        """Return the reports after a sequence number that are still valid.
 
-        With None, for a new stream: all ends that count against a request. The others
-        only served to leave a server alone for some seconds.
+        None stands for a new stream and returns all crashes that count against a
+        request. Other crashes only made hosts skip a server for some seconds.
         """
         if number is None:
             return (piece for piece in self._pieces if self._counts(piece))
-        # Numbers have no gaps, so the newer pieces are the last ones.
+        # Sequence numbers have no gaps, so the newer reports are the last ones.
         newest_first = islice(reversed(self._pieces), self.newest - number)
         newer = reversed(list(newest_first))
         return (p for p in newer if p.answered or self._ledger.has_crashed(p.crashed))
@@ -79,11 +85,12 @@
 def should_pass_on(
     piece: GossipItem, receiver: str, active: Container[str], *, fresh: bool
 ) -> bool:
-    """Tell whether a piece of news is for another host.
+    """Return whether a report should be sent to another host.
 
-    Active hosts tell each other what they saw, so among them nobody passes on what
-    another one has said: in a fleet of `n` active hosts each end costs ``n * n``
-    messages and not ``n * n * n``. A stream that is `fresh` gets everything.
+    Active hosts send each other what they observe themselves, so they do not forward
+    reports from one active host to another. In a fleet of `n` active hosts each crash
+    costs ``n * n`` messages instead of ``n * n * n``. A new stream (`fresh`) receives
+    everything except the receiver's own reports.
     """
     if piece.source == receiver:
         return False
--- a/lacewingcross/core/crashes.py
+++ b/lacewingcross/core/crashes.py
@@ -1,13 +1,14 @@
-"""Which requests backend servers end under, and when that is the request's fault.
+"""Which requests were running when backend servers crashed, and which one is to blame.
 
-Answers this load: one request, repeated by its caller, that ends each server which
-begins to run it. Every end costs the other requests at that server their answers and
-leaves a cold server behind. No single host sees enough of it, since each repeat may
-come in at another one; so hosts tell each other of each server that ended, and of the
-requests that it was running then.
+Designed for a request that crashes each server that begins to run it, and that its
+caller repeats. Every crash costs the other requests at that server their responses, and
+the server restarts cold. No single host sees enough of these crashes, since each repeat
+may arrive at another host. So hosts send each other a report of each server that
+crashed, with the requests that it was running then.
 
-A server that ends takes innocent requests with it. What tells them apart is that they
-are answered elsewhere: a good answer clears a request of all ends before it.
+A crash also affects harmless requests that were running at the server. They differ from
+the request to blame in that another server responds to them: a response clears a
+request of all crashes before it.
 """
 
 from dataclasses import dataclass, field
@@ -15,24 +16,25 @@
 from .backend_state import Incarnation
 from .quarantine import QuarantineList
 
-# Servers that may end under a request before it is quarantined. An innocent request is
-# at two ends in a row when a service is being killed server by server; for three it
-# would have to meet each of them within the few tries that its caller makes.
+# Number of crashes after which a request is quarantined. A harmless request can meet
+# two crashes in a row while the servers of a service are killed one after the other. To
+# meet three, it would have to hit each of them within the few tries that its caller
+# makes.
 MAX_CRASHES_PER_REQUEST = 3
-# How long an end counts against the requests that were there, in seconds. A caller that
-# repeats a request by hand or by schedule does so within minutes.
+# How long a crash counts against the requests that were running, in seconds. A caller
+# that repeats a request by hand or by schedule does so within minutes.
 REMEMBERED_S = 300.0
-# Ends that are remembered at most, so that they take some megabytes; the oldest goes
-# first.
+# Maximum number of crashes that are remembered, which limits them to some megabytes.
+# The oldest is dropped first.
 MAX_CRASHES_KEPT = 512
 
 
 @dataclass(slots=True, frozen=True)
 class ServerCrash:
-    """One run of a backend server has ended, with these requests at it.
+    """A report that one run of a backend server has crashed.
 
-    `requests` holds fingerprints; it may be empty, and several hosts may each tell the
-    requests that they had sent.
+    `requests` holds the fingerprints of requests that were running there. It may be
+    empty, and several hosts may each report the requests that they had sent.
     """
 
     server: Incarnation
@@ -44,12 +46,12 @@
     at: float
     own: bool = False
     requests: set[str] = field(default_factory=set)
-    # Requests that a server has answered since, so that a late report of them is void.
+    # Requests that a server has answered since; a late report of them is ignored.
     cleared: set[str] = field(default_factory=set)
 
 
 class CrashLedger:
-    """Ends of servers, the requests that they count against, and quarantines."""
+    """Crashes of servers, the requests that they count against, and quarantines."""
 
     __slots__ = ("_against", "_ends", "quarantine")
 
@@ -58,46 +60,42 @@
         self._against: dict[str, set[Incarnation]] = {}
         self.quarantine = QuarantineList()
 
-    # Questions
-
     @property
     def watches(self) -> bool:
-        """Tell whether anything is held against any request."""
+        """Return whether any crash counts against a request or one is quarantined."""
         return bool(self._against or self.quarantine)
 
     def has_crashed(self, server: Incarnation) -> bool:
-        """Tell whether a run of a server is known to have ended."""
+        """Return whether a run of a server is known to have crashed."""
         return server in self._ends
 
     def crash_count(self, request: str) -> int:
-        """Return how many servers have ended under a request and count against it."""
+        """Return the number of crashes that count against a request."""
         return len(self._against.get(request, ()))
 
     def crash_requests(self, server: Incarnation) -> frozenset[str]:
-        """Return the requests that the end of a server counts against."""
+        """Return the requests that the crash of a server counts against."""
         ended = self._ends.get(server)
         return frozenset(ended.requests) if ended else frozenset()
 
-    # What happens
-
     def record_crash(
         self, end: ServerCrash, now: float, *, own: bool = False
     ) -> tuple[bool, list[str]]:
-        """Take in that a server has ended.
+        """Record a report of a crash.
 
         Parameters
         ----------
-        end : ServerEnd
-            What ended, and under which requests.
+        end : ServerCrash
+            The server that crashed, and the requests that were running there.
         now : float
             Monotonic time in seconds.
         own : bool
-            Whether this host has seen it itself.
+            Whether this host has observed the crash itself.
 
         Returns
         -------
-        news : bool
-            Whether any of it was not known here.
+        updated : bool
+            Whether the report contained anything new.
         quarantined : list of str
             Requests that are quarantined from now on.
         """
@@ -140,10 +138,11 @@
         self.quarantine.doubt(request, now)
 
     def answered(self, request: str) -> bool:
-        """Clear a request that a server has answered; return whether that is news.
+        """Clear a request that a server has answered; return whether that was needed.
 
-        Failure: a server ends three times under load while a popular request is always
-        at it. Everybody who asks for the same would be refused for minutes.
+        Guards against a server that crashes three times under load while a popular
+        request is running there each time. All callers that send the same request would
+        be refused for minutes.
         """
         if request not in self._against and request not in self.quarantine:
             return False
@@ -151,19 +150,19 @@
         return True
 
     def release(self, request: str) -> None:
-        """Hold nothing against a request any more."""
+        """End a request's quarantine, and clear it of all crashes."""
         self.quarantine.release(request)
         for server in self._against.pop(request, ()):
             self._ends[server].requests.discard(request)
             self._ends[server].cleared.add(request)
 
     def stored(self, request: str, servers: tuple[str, ...], now: float) -> None:
-        """Take over a quarantine that a host has stored."""
+        """Add a quarantine that some host has written to the store."""
         if request not in self.quarantine:
             self.quarantine.add(request, servers, now)
 
     def review(self, now: float) -> list[str]:
-        """Forget what is too old; return requests that are no longer refused."""
+        """Drop old crashes and quarantines; return requests no longer refused."""
         old = [s for s, ended in self._ends.items() if now - ended.at > REMEMBERED_S]
         for server in old:
             self._forget(server)
--- a/lacewingcross/core/fingerprint.py
+++ b/lacewingcross/core/fingerprint.py
@@ -1,28 +1,28 @@
-"""What makes two requests the same one, sent again.
+"""Recognizes a request that is sent again.
 
-Each try of a caller carries an id of its own, so ids cannot tell that a request was
-there before. Its method, host name, target, credentials and body can: they are what a
-backend server works on. Left out are the caller's address, which changes with networks
-and is shared behind proxies, and headers that change with each try.
+Each try of a caller carries a new request id, so ids do not show that a request was
+seen before. Its method, host name, target, credentials and body do: they are what a
+backend server works on. The caller's address is left out, since it changes with
+networks and is shared behind proxies, and so are headers that change with each try.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from hashlib import blake2b
 
-# Bytes of a body that count. Uploads that differ have differed long before, and hashing
-# so much takes a fraction of a millisecond.
+# Maximum number of body bytes that are hashed. Uploads that differ do so long before
+# this point, and hashing this much takes a fraction of a millisecond.
 BODY_MOST = 256 * 1024
-# Ten thousand requests may be remembered at a time; with 64 bits, the chance that any
-# two of them are taken for one is 3 in 10^12.
+# Ten thousand requests may be remembered at a time. With 64 bits, the probability that
+# any two of them have the same fingerprint is 3 in 10^12.
 DIGEST_BYTES = 8
 
 
 @dataclass(slots=True, frozen=True)
 class RequestIdentity:
-    """The head of a request, as far as two requests may be the same by it.
+    """The parts of a request's head that its repeats have in common.
 
-    `length` is the length of the body in bytes as far as it is known, else 0.
+    `length` is the length of the body in bytes, 0 if it is not known.
     """
 
     method: str
@@ -33,14 +33,14 @@
 
 
 def fingerprint(identity: RequestIdentity, body: Iterable[bytes]) -> str:
-    """Return a short name that a request shares with its repeats, in hexadecimal.
+    """Return a hash that a request shares with its repeats, in hexadecimal.
 
     Parameters
     ----------
     identity : RequestIdentity
-        Its head.
+        The head of the request.
     body : iterable of bytes
-        Its body, in any parts; `BODY_MOST` bytes are read.
+        The body in chunks of any size; only the first `BODY_MOST` bytes are hashed.
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
     fields = (
@@ -52,7 +52,8 @@
     )
     for text in fields:
         data = text.encode("utf-8", "surrogateescape")
-        # Lengths keep fields apart: what ends one may not begin the next.
+        # The length keeps fields apart: text must not move from one field to the next
+        # without a change of the hash.
         digest.update(len(data).to_bytes(4, "big"))
         digest.update(data)
     left = BODY_MOST
--- a/lacewingcross/core/quarantine.py
+++ b/lacewingcross/core/quarantine.py
@@ -1,32 +1,34 @@
-"""Requests that are refused since backend servers end under them.
+"""Requests that are refused because backend servers crash while they run them.
 
-What ends servers cannot always be told from what is only always there: a popular
-request goes to the same servers as a bad one for the same object, and is cut off each
-time before it is answered. So a quarantine can be wrong, and ends by a trial: one host
-of all sends the request once, and what it is answered clears it everywhere.
+The request that causes crashes cannot always be told from one that is only present each
+time: a popular request goes to the same servers as a bad one for the same object, and
+each crash interrupts it before it is answered. So a quarantine can be wrong, and a
+trial can end it: a single host of the fleet sends the request once, and a response
+clears the request on all hosts.
 """
 
 from dataclasses import dataclass
 
-# Quarantined requests that are kept at most; the oldest goes first.
+# Maximum number of quarantined requests; the oldest is dropped first.
 KEPT = 1000
-# How long a request is refused after the last server has ended under it, in seconds,
-# when no trial shows it to be harmless: its caller no longer sends it, or it is bad.
+# How long a request is refused after the last crash that counts against it, in seconds,
+# if no trial shows that it is harmless: its caller has stopped sending it, or it really
+# causes crashes.
 HELD_S = 3600.0
-# Time to the next trial, in seconds. A server that ends is missing for some ten seconds
-# with its start, so a bad request costs less than 2 in 100 of one server.
+# Time to the next trial, in seconds. A server that crashes is missing for some ten
+# seconds, restart included, so a bad request costs less than 2 in 100 of one server.
 TRIAL_EVERY_S = 600.0
-# Time to the first trial when several requests were at the same servers, in seconds:
-# most of them are harmless, and a server is back by then.
+# Time to the first trial if several requests were running at the same servers, in
+# seconds. Most of them are harmless, and a server has restarted by then.
 TRIAL_IN_DOUBT_S = 5.0
 
 
 @dataclass(slots=True)
 class Quarantine:
-    """A request that is refused until `until`, but for trials.
+    """A request that is refused until `until`, except for trials.
 
-    `own` tells that this host saw a server end under it. Times are monotonic, in
-    seconds.
+    `servers` are the servers that crashed while they ran it. `own` says that this host
+    itself observed one of the crashes. Times are monotonic, in seconds.
     """
 
     servers: tuple[str, ...]
@@ -36,7 +38,7 @@
     next_trial_at: float
 
     def refused_for(self, now: float) -> float:
-        """Return when the caller should come back, in seconds."""
+        """Return after how many seconds the caller should retry."""
         due_s = self.next_trial_at - now
         return due_s if due_s > 0 else TRIAL_IN_DOUBT_S
 
@@ -66,17 +68,19 @@
     def add(
         self, request: str, servers: tuple[str, ...], now: float, *, own: bool = False
     ) -> None:
-        """Quarantine a request under which these servers have ended."""
+        """Quarantine a request that these servers were running when they crashed."""
         while len(self._held) >= KEPT:
             del self._held[next(iter(self._held))]
         until = now + HELD_S
         self._held[request] = Quarantine(servers, own, now, until, now + TRIAL_EVERY_S)
 
     def doubt(self, request: str, now: float) -> None:
-        """Have a request tried soon, and others that were at the same servers.
+        """Schedule an early trial if other quarantined requests have the same servers.
 
-        Not for one that was read from the store: it may have failed its trial before
-        this host started, and would end one more server at each start.
+        The trials of all these requests are moved forward. This must not be called for
+        a quarantine that was read from the store: its request may have failed its trial
+        before this host started, and would crash one more server at each start of a
+        host.
         """
         held = self._held[request]
         alike = [o for o in self._held.values() if set(o.servers) == set(held.servers)]
@@ -86,30 +90,30 @@
                 other.next_trial_at = min(other.next_trial_at, soon)
 
     def ended_again(self, request: str, server_id: str, now: float) -> None:
-        """Note that one more server has ended under a quarantined request."""
+        """Note that one more server has crashed while it ran a quarantined request."""
         held = self._held[request]
         held.servers = (*held.servers, server_id)
         held.until = now + HELD_S
         held.next_trial_at = now + TRIAL_EVERY_S
 
     def trial_due(self, request: str, now: float) -> bool:
-        """Tell whether a request may be tried."""
+        """Return whether a request is quarantined and its next trial is due."""
         held = self._held.get(request)
         return held is not None and now >= held.next_trial_at
 
     def begin_trial(self, request: str, now: float) -> None:
-        """Note that a request is tried; nothing else of it is sent meanwhile."""
+        """Note the start of a trial; until the next one the request is refused."""
         self._held[request].next_trial_at = now + TRIAL_EVERY_S
 
     def trial_void(self, request: str, now: float) -> None:
-        """Note that no server has begun to run a request that was tried."""
+        """Note that no server began to run the request; its trial is repeated soon."""
         if request in self._held:
             self._held[request].next_trial_at = now + TRIAL_IN_DOUBT_S
 
     def release(self, request: str) -> None:
-        """Refuse a request no longer."""
+        """End the quarantine of a request."""
         self._held.pop(request, None)
 
     def over(self, now: float) -> list[str]:
-        """Return the requests that were refused for long enough."""
+        """Return the requests whose quarantine has expired."""
         return [name for name, held in self._held.items() if now >= held.until]
