--- a/lacewingcross/core/crash_gossip.py
+++ b/lacewingcross/core/crash_gossip.py
@@ -15,18 +15,18 @@
 
 # Maximum number of reports that are kept; the oldest are dropped first. Each crash is
 # reported once by each host that had requests at the server, usually one or two hosts.
-KEPT = 2 * MAX_CRASHES_KEPT
+MAX_ITEMS_KEPT = 2 * MAX_CRASHES_KEPT
 
 
 @dataclass(slots=True, frozen=True)
 class GossipItem:
     """One report: a server that crashed, or else a request that was answered.
 
-    `number` is its sequence number. `source` is the host that sent it, empty if this
+    `sequence` is its sequence number. `source` is the host that sent it, empty if this
     host observed it itself.
     """
 
-    number: int
+    sequence: int
     source: str
     crashed: Incarnation | None = None
     answered: str = ""
@@ -46,44 +46,48 @@
         Sequence number of the newest report, 0 if there is none.
     """
 
-    __slots__ = ("_ledger", "_pieces", "newest")
+    __slots__ = ("_items", "_ledger", "newest")
 
     def __init__(self, ledger: CrashLedger) -> None:
         self._ledger = ledger
-        self._pieces: deque[GossipItem] = deque(maxlen=KEPT)
+        self._items: deque[GossipItem] = deque(maxlen=MAX_ITEMS_KEPT)
         self.newest = 0
 
     def crashed(self, server: Incarnation, source: str = "") -> None:
         """Add a report of a crashed server, or of more requests that it was running."""
         self.newest += 1
-        self._pieces.append(GossipItem(self.newest, source, crashed=server))
+        self._items.append(GossipItem(self.newest, source, crashed=server))
 
     def answered(self, request: str, source: str = "") -> None:
         """Add a report that a request with crashes against it was answered."""
         self.newest += 1
-        self._pieces.append(GossipItem(self.newest, source, answered=request))
+        self._items.append(GossipItem(self.newest, source, answered=request))
 
-    def since(self, number: int | None) -> Iterator[GossipItem]:
+    def since(self, sequence: int | None) -> Iterator[GossipItem]:
         """Return the reports after a sequence number that are still valid.
 
         None stands for a new stream and returns all crashes that count against a
         request. Other crashes only made hosts skip a server for some seconds.
         """
-        if number is None:
-            return (piece for piece in self._pieces if self._counts(piece))
+        if sequence is None:
+            return (item for item in self._items if self._counts_against_request(item))
         # Sequence numbers have no gaps, so the newer reports are the last ones.
-        newest_first = islice(reversed(self._pieces), self.newest - number)
+        newest_first = islice(reversed(self._items), self.newest - sequence)
         newer = reversed(list(newest_first))
-        return (p for p in newer if p.answered or self._ledger.has_crashed(p.crashed))
+        return (
+            item
+            for item in newer
+            if item.answered or self._ledger.has_crashed(item.crashed)
+        )
 
-    def _counts(self, piece: GossipItem) -> bool:
-        return piece.crashed is not None and bool(
-            self._ledger.crash_requests(piece.crashed)
+    def _counts_against_request(self, item: GossipItem) -> bool:
+        return item.crashed is not None and bool(
+            self._ledger.crash_requests(item.crashed)
         )
 
 
 def should_pass_on(
-    piece: GossipItem, receiver: str, active: Container[str], *, fresh: bool
+    item: GossipItem, receiver: str, active: Container[str], *, fresh: bool
 ) -> bool:
     """Return whether a report should be sent to another host.
 
@@ -92,6 +96,6 @@
     costs ``n * n`` messages instead of ``n * n * n``. A new stream (`fresh`) receives
     everything except the receiver's own reports.
     """
-    if piece.source == receiver:
+    if item.source == receiver:
         return False
-    return fresh or not (piece.source in active and receiver in active)
+    return fresh or not (item.source in active and receiver in active)
--- a/lacewingcross/core/crashes.py
+++ b/lacewingcross/core/crashes.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class _Ended:
+class _CrashRecord:
     at: float
     own: bool = False
     requests: set[str] = field(default_factory=set)
@@ -53,39 +53,39 @@
 class CrashLedger:
     """Crashes of servers, the requests that they count against, and quarantines."""
 
-    __slots__ = ("_against", "_ends", "quarantine")
+    __slots__ = ("_crashes", "_crashes_by_request", "quarantine")
 
     def __init__(self) -> None:
-        self._ends: dict[Incarnation, _Ended] = {}
-        self._against: dict[str, set[Incarnation]] = {}
+        self._crashes: dict[Incarnation, _CrashRecord] = {}
+        self._crashes_by_request: dict[str, set[Incarnation]] = {}
         self.quarantine = QuarantineList()
 
     @property
-    def watches(self) -> bool:
+    def has_suspects(self) -> bool:
         """Return whether any crash counts against a request or one is quarantined."""
-        return bool(self._against or self.quarantine)
+        return bool(self._crashes_by_request or self.quarantine)
 
     def has_crashed(self, server: Incarnation) -> bool:
         """Return whether a run of a server is known to have crashed."""
-        return server in self._ends
+        return server in self._crashes
 
     def crash_count(self, request: str) -> int:
         """Return the number of crashes that count against a request."""
-        return len(self._against.get(request, ()))
+        return len(self._crashes_by_request.get(request, ()))
 
     def crash_requests(self, server: Incarnation) -> frozenset[str]:
         """Return the requests that the crash of a server counts against."""
-        ended = self._ends.get(server)
-        return frozenset(ended.requests) if ended else frozenset()
+        record = self._crashes.get(server)
+        return frozenset(record.requests) if record else frozenset()
 
     def record_crash(
-        self, end: ServerCrash, now: float, *, own: bool = False
+        self, crash: ServerCrash, now: float, *, own: bool = False
     ) -> tuple[bool, list[str]]:
         """Record a report of a crash.
 
         Parameters
         ----------
-        end : ServerCrash
+        crash : ServerCrash
             The server that crashed, and the requests that were running there.
         now : float
             Monotonic time in seconds.
@@ -99,43 +99,43 @@
         quarantined : list of str
             Requests that are quarantined from now on.
         """
-        known = self._ends.get(end.server)
-        first = known is None
+        known = self._crashes.get(crash.server)
+        is_new = known is None
         if known is None:
-            known = self._remember(end.server, now)
+            known = self._remember(crash.server, now)
         known.own = known.own or own
-        new = end.requests - known.requests - known.cleared
-        known.requests |= new
-        guilty = []
-        for request in sorted(new):
-            self._against.setdefault(request, set()).add(end.server)
+        new_requests = crash.requests - known.requests - known.cleared
+        known.requests |= new_requests
+        quarantined = []
+        for request in sorted(new_requests):
+            self._crashes_by_request.setdefault(request, set()).add(crash.server)
             if request in self.quarantine:
-                self.quarantine.ended_again(request, end.server[0], now)
+                self.quarantine.crashed_again(request, crash.server[0], now)
             elif self.crash_count(request) >= MAX_CRASHES_PER_REQUEST:
-                self._convict(request, now)
-                guilty.append(request)
-        return first or bool(new), guilty
+                self._quarantine_request(request, now)
+                quarantined.append(request)
+        return is_new or bool(new_requests), quarantined
 
-    def _remember(self, server: Incarnation, now: float) -> _Ended:
-        while len(self._ends) >= MAX_CRASHES_KEPT:
-            self._forget(next(iter(self._ends)))
-        ended = _Ended(now)
-        self._ends[server] = ended
-        return ended
+    def _remember(self, server: Incarnation, now: float) -> _CrashRecord:
+        while len(self._crashes) >= MAX_CRASHES_KEPT:
+            self._forget(next(iter(self._crashes)))
+        record = _CrashRecord(now)
+        self._crashes[server] = record
+        return record
 
     def _forget(self, server: Incarnation) -> None:
-        for request in self._ends.pop(server).requests:
-            against = self._against[request]
-            against.discard(server)
-            if not against:
-                del self._against[request]
-
-    def _convict(self, request: str, now: float) -> None:
-        against = sorted(self._against[request])
-        own = any(self._ends[server].own for server in against)
-        servers = tuple(server_id for server_id, _ in against)
+        for request in self._crashes.pop(server).requests:
+            crashes = self._crashes_by_request[request]
+            crashes.discard(server)
+            if not crashes:
+                del self._crashes_by_request[request]
+
+    def _quarantine_request(self, request: str, now: float) -> None:
+        crashes = sorted(self._crashes_by_request[request])
+        own = any(self._crashes[server].own for server in crashes)
+        servers = tuple(server_id for server_id, _ in crashes)
         self.quarantine.add(request, servers, now, own=own)
-        self.quarantine.doubt(request, now)
+        self.quarantine.schedule_early_trials(request, now)
 
     def answered(self, request: str) -> bool:
         """Clear a request that a server has answered; return whether that was needed.
@@ -144,7 +144,7 @@
         request is running there each time. All callers that send the same request would
         be refused for minutes.
         """
-        if request not in self._against and request not in self.quarantine:
+        if request not in self._crashes_by_request and request not in self.quarantine:
             return False
         self.release(request)
         return True
@@ -152,21 +152,27 @@
     def release(self, request: str) -> None:
         """End a request's quarantine, and clear it of all crashes."""
         self.quarantine.release(request)
-        for server in self._against.pop(request, ()):
-            self._ends[server].requests.discard(request)
-            self._ends[server].cleared.add(request)
+        for server in self._crashes_by_request.pop(request, ()):
+            self._crashes[server].requests.discard(request)
+            self._crashes[server].cleared.add(request)
 
-    def stored(self, request: str, servers: tuple[str, ...], now: float) -> None:
+    def add_stored_quarantine(
+        self, request: str, servers: tuple[str, ...], now: float
+    ) -> None:
         """Add a quarantine that some host has written to the store."""
         if request not in self.quarantine:
             self.quarantine.add(request, servers, now)
 
     def review(self, now: float) -> list[str]:
         """Drop old crashes and quarantines; return requests no longer refused."""
-        old = [s for s, ended in self._ends.items() if now - ended.at > REMEMBERED_S]
-        for server in old:
+        old_servers = [
+            server
+            for server, record in self._crashes.items()
+            if now - record.at > REMEMBERED_S
+        ]
+        for server in old_servers:
             self._forget(server)
-        over = self.quarantine.over(now)
-        for request in over:
+        expired = self.quarantine.expired(now)
+        for request in expired:
             self.release(request)
-        return over
+        return expired
--- a/lacewingcross/core/fingerprint.py
+++ b/lacewingcross/core/fingerprint.py
@@ -12,7 +12,7 @@
 
 # Maximum number of body bytes that are hashed. Uploads that differ do so long before
 # this point, and hashing this much takes a fraction of a millisecond.
-BODY_MOST = 256 * 1024
+MAX_BODY_BYTES = 256 * 1024
 # Ten thousand requests may be remembered at a time. With 64 bits, the probability that
 # any two of them have the same fingerprint is 3 in 10^12.
 DIGEST_BYTES = 8
@@ -40,7 +40,8 @@
     identity : RequestIdentity
         The head of the request.
     body : iterable of bytes
-        The body in chunks of any size; only the first `BODY_MOST` bytes are hashed.
+        The body in chunks of any size; only the first `MAX_BODY_BYTES` bytes are
+        hashed.
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
     fields = (
@@ -56,10 +57,10 @@
         # without a change of the hash.
         digest.update(len(data).to_bytes(4, "big"))
         digest.update(data)
-    left = BODY_MOST
-    for part in body:
-        digest.update(part[:left])
-        left -= len(part)
-        if left <= 0:
+    bytes_left = MAX_BODY_BYTES
+    for chunk in body:
+        digest.update(chunk[:bytes_left])
+        bytes_left -= len(chunk)
+        if bytes_left <= 0:
             break
     return digest.hexdigest()
--- a/lacewingcross/core/quarantine.py
+++ b/lacewingcross/core/quarantine.py
@@ -10,17 +10,17 @@
 from dataclasses import dataclass
 
 # Maximum number of quarantined requests; the oldest is dropped first.
-KEPT = 1000
+MAX_QUARANTINES_KEPT = 1000
 # How long a request is refused after the last crash that counts against it, in seconds,
 # if no trial shows that it is harmless: its caller has stopped sending it, or it really
 # causes crashes.
-HELD_S = 3600.0
+QUARANTINE_S = 3600.0
 # Time to the next trial, in seconds. A server that crashes is missing for some ten
 # seconds, restart included, so a bad request costs less than 2 in 100 of one server.
-TRIAL_EVERY_S = 600.0
+TRIAL_INTERVAL_S = 600.0
 # Time to the first trial if several requests were running at the same servers, in
 # seconds. Most of them are harmless, and a server has restarted by then.
-TRIAL_IN_DOUBT_S = 5.0
+EARLY_TRIAL_S = 5.0
 
 
 @dataclass(slots=True)
@@ -40,41 +40,43 @@
     def refused_for(self, now: float) -> float:
         """Return after how many seconds the caller should retry."""
         due_s = self.next_trial_at - now
-        return due_s if due_s > 0 else TRIAL_IN_DOUBT_S
+        return due_s if due_s > 0 else EARLY_TRIAL_S
 
 
 class QuarantineList:
     """All quarantined requests, by fingerprint, the oldest first."""
 
-    __slots__ = ("_held",)
+    __slots__ = ("_by_request",)
 
     def __init__(self) -> None:
-        self._held: dict[str, Quarantine] = {}
+        self._by_request: dict[str, Quarantine] = {}
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._by_request)
 
     def __contains__(self, request: str) -> bool:
-        return request in self._held
+        return request in self._by_request
 
     def get(self, request: str) -> Quarantine | None:
         """Return a request's quarantine, or None."""
-        return self._held.get(request)
+        return self._by_request.get(request)
 
     def items(self) -> list[tuple[str, Quarantine]]:
         """Return all requests and their quarantines."""
-        return list(self._held.items())
+        return list(self._by_request.items())
 
     def add(
         self, request: str, servers: tuple[str, ...], now: float, *, own: bool = False
     ) -> None:
         """Quarantine a request that these servers were running when they crashed."""
-        while len(self._held) >= KEPT:
-            del self._held[next(iter(self._held))]
-        until = now + HELD_S
-        self._held[request] = Quarantine(servers, own, now, until, now + TRIAL_EVERY_S)
-
-    def doubt(self, request: str, now: float) -> None:
+        while len(self._by_request) >= MAX_QUARANTINES_KEPT:
+            del self._by_request[next(iter(self._by_request))]
+        until = now + QUARANTINE_S
+        self._by_request[request] = Quarantine(
+            servers, own, now, until, now + TRIAL_INTERVAL_S
+        )
+
+    def schedule_early_trials(self, request: str, now: float) -> None:
         """Schedule an early trial if other quarantined requests have the same servers.
 
         The trials of all these requests are moved forward. This must not be called for
@@ -82,38 +84,46 @@
         before this host started, and would crash one more server at each start of a
         host.
         """
-        held = self._held[request]
-        alike = [o for o in self._held.values() if set(o.servers) == set(held.servers)]
-        if len(alike) > 1:
-            soon = now + TRIAL_IN_DOUBT_S
-            for other in alike:
+        quarantine = self._by_request[request]
+        same_servers = [
+            other
+            for other in self._by_request.values()
+            if set(other.servers) == set(quarantine.servers)
+        ]
+        if len(same_servers) > 1:
+            soon = now + EARLY_TRIAL_S
+            for other in same_servers:
                 other.next_trial_at = min(other.next_trial_at, soon)
 
-    def ended_again(self, request: str, server_id: str, now: float) -> None:
+    def crashed_again(self, request: str, server_id: str, now: float) -> None:
         """Note that one more server has crashed while it ran a quarantined request."""
-        held = self._held[request]
-        held.servers = (*held.servers, server_id)
-        held.until = now + HELD_S
-        held.next_trial_at = now + TRIAL_EVERY_S
+        quarantine = self._by_request[request]
+        quarantine.servers = (*quarantine.servers, server_id)
+        quarantine.until = now + QUARANTINE_S
+        quarantine.next_trial_at = now + TRIAL_INTERVAL_S
 
     def trial_due(self, request: str, now: float) -> bool:
         """Return whether a request is quarantined and its next trial is due."""
-        held = self._held.get(request)
-        return held is not None and now >= held.next_trial_at
+        quarantine = self._by_request.get(request)
+        return quarantine is not None and now >= quarantine.next_trial_at
 
     def begin_trial(self, request: str, now: float) -> None:
         """Note the start of a trial; until the next one the request is refused."""
-        self._held[request].next_trial_at = now + TRIAL_EVERY_S
+        self._by_request[request].next_trial_at = now + TRIAL_INTERVAL_S
 
-    def trial_void(self, request: str, now: float) -> None:
+    def trial_inconclusive(self, request: str, now: float) -> None:
         """Note that no server began to run the request; its trial is repeated soon."""
-        if request in self._held:
-            self._held[request].next_trial_at = now + TRIAL_IN_DOUBT_S
+        if request in self._by_request:
+            self._by_request[request].next_trial_at = now + EARLY_TRIAL_S
 
     def release(self, request: str) -> None:
         """End the quarantine of a request."""
-        self._held.pop(request, None)
+        self._by_request.pop(request, None)
 
-    def over(self, now: float) -> list[str]:
+    def expired(self, now: float) -> list[str]:
         """Return the requests whose quarantine has expired."""
-        return [name for name, held in self._held.items() if now >= held.until]
+        return [
+            name
+            for name, quarantine in self._by_request.items()
+            if now >= quarantine.until
+        ]
--- a/lacewingcross/core/steering.py
+++ b/lacewingcross/core/steering.py
@@ -177,7 +177,7 @@
             self.crashes.release(doc.name)
         else:
             servers = self._decoder.quarantine(doc.name, doc.spec)
-            self.crashes.stored(doc.name, servers, now)
+            self.crashes.add_stored_quarantine(doc.name, servers, now)
 
     def _take_configuration(self, config: Configuration) -> None:
         if self.table is not None and self.table.config.version > config.version:
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -1,7 +1,7 @@
 """News of servers that ended: told to whoever does not have it from elsewhere."""
 
 from lacewingcross.core.crash_gossip import (
-    KEPT,
+    MAX_ITEMS_KEPT,
     CrashGossip,
     GossipItem,
     should_pass_on,
@@ -53,9 +53,9 @@
 def test_the_log_is_bounded():
     ledger = CrashLedger()
     made = news_of(ledger, 1)
-    for _ in range(3 * KEPT):
+    for _ in range(3 * MAX_ITEMS_KEPT):
         made.answered("r")
-    assert len(list(made.since(1))) == KEPT
+    assert len(list(made.since(1))) == MAX_ITEMS_KEPT
 
 
 def test_among_active_hosts_nobody_passes_on_what_another_one_said():
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -74,7 +74,7 @@
     async def play(made):
         answers.go.set()
         await made.broke(ENTRY, "r1")
-        assert not made.ledger.watches
+        assert not made.ledger.has_suspects
         assert not made.ledger.has_crashed(END)
 
     check(answers, play)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -20,10 +20,10 @@
     ServerCrash,
 )
 from lacewingcross.core.quarantine import (
-    HELD_S,
-    KEPT,
-    TRIAL_EVERY_S,
-    TRIAL_IN_DOUBT_S,
+    EARLY_TRIAL_S,
+    MAX_QUARANTINES_KEPT,
+    QUARANTINE_S,
+    TRIAL_INTERVAL_S,
 )
 
 from .crash_model import BAD, PlayedCrashes
@@ -83,7 +83,7 @@
     # A late report of an end that it was cleared of is void.
     assert not made.record_crash(end(3, "popular"), 0.0)[0]
     assert made.crash_count("popular") == 0
-    assert not made.watches
+    assert not made.has_suspects
 
 
 def test_an_answer_ends_a_quarantine():
@@ -94,19 +94,19 @@
 
 def test_a_request_is_tried_after_a_while_and_then_again():
     made = quarantined()
-    assert not made.quarantine.trial_due(BAD, TRIAL_EVERY_S - 1)
-    assert made.quarantine.trial_due(BAD, TRIAL_EVERY_S)
-    made.quarantine.begin_trial(BAD, TRIAL_EVERY_S)
-    assert not made.quarantine.trial_due(BAD, TRIAL_EVERY_S)
+    assert not made.quarantine.trial_due(BAD, TRIAL_INTERVAL_S - 1)
+    assert made.quarantine.trial_due(BAD, TRIAL_INTERVAL_S)
+    made.quarantine.begin_trial(BAD, TRIAL_INTERVAL_S)
+    assert not made.quarantine.trial_due(BAD, TRIAL_INTERVAL_S)
     # A server that was full tells nothing of the request.
-    made.quarantine.trial_void(BAD, TRIAL_EVERY_S)
-    assert made.quarantine.trial_due(BAD, TRIAL_EVERY_S + TRIAL_IN_DOUBT_S)
+    made.quarantine.trial_inconclusive(BAD, TRIAL_INTERVAL_S)
+    assert made.quarantine.trial_due(BAD, TRIAL_INTERVAL_S + EARLY_TRIAL_S)
 
 
 def test_a_trial_that_ends_a_server_puts_off_the_next_one_everywhere():
     made = quarantined()
-    made.record_crash(end(9, BAD), TRIAL_EVERY_S)
-    assert not made.quarantine.trial_due(BAD, 2 * TRIAL_EVERY_S - 1)
+    made.record_crash(end(9, BAD), TRIAL_INTERVAL_S)
+    assert not made.quarantine.trial_due(BAD, 2 * TRIAL_INTERVAL_S - 1)
     assert made.quarantine.get(BAD).servers[-1] == "i-9"
 
 
@@ -118,11 +118,11 @@
         for number in range(MAX_CRASHES_PER_REQUEST):
             for requests in reports:
                 made.record_crash(end(number, *requests), 0.0)
-        assert made.quarantine.trial_due("popular", TRIAL_IN_DOUBT_S)
-        assert made.quarantine.trial_due(BAD, TRIAL_IN_DOUBT_S)
+        assert made.quarantine.trial_due("popular", EARLY_TRIAL_S)
+        assert made.quarantine.trial_due(BAD, EARLY_TRIAL_S)
         assert made.answered("popular")
-        made.record_crash(end(9, BAD), TRIAL_IN_DOUBT_S)
-        assert not made.quarantine.trial_due(BAD, TRIAL_EVERY_S)
+        made.record_crash(end(9, BAD), EARLY_TRIAL_S)
+        assert not made.quarantine.trial_due(BAD, TRIAL_INTERVAL_S)
 
 
 def test_what_was_read_from_the_store_is_not_tried_at_each_start():
@@ -130,8 +130,8 @@
     # which is bad. A host that starts reads both and knows nothing of the trial.
     made = CrashLedger()
     for request in (BAD, "popular"):
-        made.stored(request, ("i-1", "i-2", "i-3"), 0.0)
-    assert not made.quarantine.trial_due(BAD, TRIAL_IN_DOUBT_S)
+        made.add_stored_quarantine(request, ("i-1", "i-2", "i-3"), 0.0)
+    assert not made.quarantine.trial_due(BAD, EARLY_TRIAL_S)
 
 
 def test_a_host_that_saw_an_end_stores_it_also_when_it_heard_of_it_first():
@@ -145,9 +145,9 @@
 
 def test_a_quarantine_ends_by_itself():
     made = quarantined()
-    assert made.review(HELD_S - 1) == []
-    assert made.review(HELD_S) == [BAD]
-    assert made.record_crash(end(9, BAD), HELD_S) == (True, [])
+    assert made.review(QUARANTINE_S - 1) == []
+    assert made.review(QUARANTINE_S) == [BAD]
+    assert made.record_crash(end(9, BAD), QUARANTINE_S) == (True, [])
     assert made.crash_count(BAD) == 1
 
 
@@ -171,10 +171,10 @@
         sum(made.crash_count(f"r{n}") for n in range(3 * MAX_CRASHES_KEPT))
         == MAX_CRASHES_KEPT
     )
-    for number in range(KEPT + 10):
-        made.stored(f"s{number}", (), 0.0)
-    assert len(made.quarantine) == KEPT
-    assert f"s{KEPT + 9}" in made.quarantine
+    for number in range(MAX_QUARANTINES_KEPT + 10):
+        made.add_stored_quarantine(f"s{number}", (), 0.0)
+    assert len(made.quarantine) == MAX_QUARANTINES_KEPT
+    assert f"s{MAX_QUARANTINES_KEPT + 9}" in made.quarantine
 
 
 # Load that is nobody's fault
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lacewingcross.core.fingerprint import BODY_MOST, RequestIdentity, fingerprint
+from lacewingcross.core.fingerprint import MAX_BODY_BYTES, RequestIdentity, fingerprint
 
 
 def identity(method="POST", host="a.example", target="/x", credentials="", length=5):
@@ -38,7 +38,7 @@
 
 
 def test_of_a_large_body_the_beginning_counts_however_it_is_cut():
-    body = bytes(BODY_MOST)
+    body = bytes(MAX_BODY_BYTES)
     whole = fingerprint(identity(), [body])
     assert fingerprint(identity(), [body + b"x"]) == whole
     assert fingerprint(identity(), [body[:-1], b"\0x"]) == whole
