--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Servers that end, the requests they end under, and what hosts tell of it."""
+"""Servers that crash, the requests that are blamed, and the reports between hosts."""
 
 import random
 
@@ -26,166 +26,161 @@
     TRIAL_INTERVAL_S,
 )
 
-from .crash_model import BAD, PlayedCrashes
+from .crash_model import BAD, CrashSimulation
 
-# The users' bound on what reaches servers late.
-LATE_MOST = 3
-NAMES = [f"host-{number}" for number in range(5)]
+# The users' limit for requests that reach servers although they should be refused.
+MAX_LATE = 3
+NAMES = [f"host-{index}" for index in range(5)]
 
 
-def end(number, *requests, born=0):
-    return ServerCrash((f"i-{number}", born), frozenset(requests))
+def crash(index, *requests, born=0):
+    return ServerCrash((f"i-{index}", born), frozenset(requests))
 
 
 def quarantined(now=0.0):
-    made = CrashLedger()
-    for number in range(MAX_CRASHES_PER_REQUEST):
-        made.record_crash(end(number, BAD), now)
-    return made
+    ledger = CrashLedger()
+    for index in range(MAX_CRASHES_PER_REQUEST):
+        ledger.record_crash(crash(index, BAD), now)
+    return ledger
 
 
-# One host
+def test_a_request_is_quarantined_with_the_third_crash():
+    ledger = CrashLedger()
+    assert ledger.record_crash(crash(1, BAD, "x"), 0.0) == (True, [])
+    assert ledger.record_crash(crash(2, BAD), 1.0) == (True, [])
+    assert BAD not in ledger.quarantine
+    assert ledger.record_crash(crash(3, BAD, "y"), 2.0) == (True, [BAD])
+    assert ledger.quarantine.get(BAD).servers == ("i-1", "i-2", "i-3")
+    assert len(ledger.quarantine) == 1
 
 
-def test_a_request_is_quarantined_with_the_third_server_that_ends_under_it():
-    made = CrashLedger()
-    assert made.record_crash(end(1, BAD, "x"), 0.0) == (True, [])
-    assert made.record_crash(end(2, BAD), 1.0) == (True, [])
-    assert BAD not in made.quarantine
-    assert made.record_crash(end(3, BAD, "y"), 2.0) == (True, [BAD])
-    assert made.quarantine.get(BAD).servers == ("i-1", "i-2", "i-3")
-    assert len(made.quarantine) == 1
-
-
-def test_one_end_counts_once_however_often_it_is_told():
-    made = CrashLedger()
+def test_a_crash_counts_once_however_often_it_is_reported():
+    ledger = CrashLedger()
     for _ in range(5):
-        made.record_crash(end(1, BAD), 0.0)
-    assert made.crash_count(BAD) == 1
-    assert made.record_crash(end(1, BAD, "x"), 0.0)[0]
-    assert made.crash_count("x") == 1
+        ledger.record_crash(crash(1, BAD), 0.0)
+    assert ledger.crash_count(BAD) == 1
+    assert ledger.record_crash(crash(1, BAD, "x"), 0.0)[0]
+    assert ledger.crash_count("x") == 1
 
 
-def test_two_runs_under_one_id_are_two_ends():
-    made = CrashLedger()
+def test_crashes_of_two_runs_of_a_server_count_twice():
+    ledger = CrashLedger()
     for born in range(MAX_CRASHES_PER_REQUEST):
-        made.record_crash(end(1, BAD, born=born), 0.0)
-    assert BAD in made.quarantine
+        ledger.record_crash(crash(1, BAD, born=born), 0.0)
+    assert BAD in ledger.quarantine
 
 
-def test_an_answer_clears_a_request_of_all_ends_before_it():
-    # A popular request is at its server whenever that ends, for whatever reason. It is
-    # answered by the next one each time, and who asks for it must not be refused.
-    made = CrashLedger()
-    for number in range(10):
-        assert made.record_crash(end(number, "popular"), 0.0) == (True, [])
-        assert made.answered("popular")
-    # A late report of an end that it was cleared of is void.
-    assert not made.record_crash(end(3, "popular"), 0.0)[0]
-    assert made.crash_count("popular") == 0
-    assert not made.has_suspects
+def test_an_answer_clears_a_request_of_all_earlier_crashes():
+    # A popular request is running whenever its server crashes, for whatever reason. The
+    # next server answers it each time, so its callers must not be refused.
+    ledger = CrashLedger()
+    for index in range(10):
+        assert ledger.record_crash(crash(index, "popular"), 0.0) == (True, [])
+        assert ledger.answered("popular")
+    # A late report of a crash that it was cleared of is ignored.
+    assert not ledger.record_crash(crash(3, "popular"), 0.0)[0]
+    assert ledger.crash_count("popular") == 0
+    assert not ledger.has_suspects
 
 
 def test_an_answer_ends_a_quarantine():
-    made = quarantined()
-    assert made.answered(BAD)
-    assert BAD not in made.quarantine
+    ledger = quarantined()
+    assert ledger.answered(BAD)
+    assert BAD not in ledger.quarantine
 
 
 def test_a_request_is_tried_after_a_while_and_then_again():
-    made = quarantined()
-    assert not made.quarantine.trial_due(BAD, TRIAL_INTERVAL_S - 1)
-    assert made.quarantine.trial_due(BAD, TRIAL_INTERVAL_S)
-    made.quarantine.begin_trial(BAD, TRIAL_INTERVAL_S)
-    assert not made.quarantine.trial_due(BAD, TRIAL_INTERVAL_S)
-    # A server that was full tells nothing of the request.
-    made.quarantine.trial_inconclusive(BAD, TRIAL_INTERVAL_S)
-    assert made.quarantine.trial_due(BAD, TRIAL_INTERVAL_S + EARLY_TRIAL_S)
-
-
-def test_a_trial_that_ends_a_server_puts_off_the_next_one_everywhere():
-    made = quarantined()
-    made.record_crash(end(9, BAD), TRIAL_INTERVAL_S)
-    assert not made.quarantine.trial_due(BAD, 2 * TRIAL_INTERVAL_S - 1)
-    assert made.quarantine.get(BAD).servers[-1] == "i-9"
-
-
-def test_requests_that_were_at_the_same_servers_are_tried_soon():
-    # A popular request goes to the same servers as a bad one for the same object and is
-    # cut off each time. Nothing tells which of the two ends them but to try.
+    ledger = quarantined()
+    assert not ledger.quarantine.trial_due(BAD, TRIAL_INTERVAL_S - 1)
+    assert ledger.quarantine.trial_due(BAD, TRIAL_INTERVAL_S)
+    ledger.quarantine.begin_trial(BAD, TRIAL_INTERVAL_S)
+    assert not ledger.quarantine.trial_due(BAD, TRIAL_INTERVAL_S)
+    # A response of a full server does not show whether the request is harmless.
+    ledger.quarantine.trial_inconclusive(BAD, TRIAL_INTERVAL_S)
+    assert ledger.quarantine.trial_due(BAD, TRIAL_INTERVAL_S + EARLY_TRIAL_S)
+
+
+def test_a_trial_that_crashes_a_server_delays_the_next_one():
+    ledger = quarantined()
+    ledger.record_crash(crash(9, BAD), TRIAL_INTERVAL_S)
+    assert not ledger.quarantine.trial_due(BAD, 2 * TRIAL_INTERVAL_S - 1)
+    assert ledger.quarantine.get(BAD).servers[-1] == "i-9"
+
+
+def test_requests_at_the_same_servers_are_tried_soon():
+    # A popular request goes to the same servers as a bad one for the same object, and
+    # each crash interrupts it. Only a trial shows which of the two causes the crashes.
     for reports in ([("popular", BAD)], [("popular",), (BAD,)]):
-        made = CrashLedger()
-        for number in range(MAX_CRASHES_PER_REQUEST):
+        ledger = CrashLedger()
+        for index in range(MAX_CRASHES_PER_REQUEST):
             for requests in reports:
-                made.record_crash(end(number, *requests), 0.0)
-        assert made.quarantine.trial_due("popular", EARLY_TRIAL_S)
-        assert made.quarantine.trial_due(BAD, EARLY_TRIAL_S)
-        assert made.answered("popular")
-        made.record_crash(end(9, BAD), EARLY_TRIAL_S)
-        assert not made.quarantine.trial_due(BAD, TRIAL_INTERVAL_S)
+                ledger.record_crash(crash(index, *requests), 0.0)
+        assert ledger.quarantine.trial_due("popular", EARLY_TRIAL_S)
+        assert ledger.quarantine.trial_due(BAD, EARLY_TRIAL_S)
+        assert ledger.answered("popular")
+        ledger.record_crash(crash(9, BAD), EARLY_TRIAL_S)
+        assert not ledger.quarantine.trial_due(BAD, TRIAL_INTERVAL_S)
 
 
 def test_what_was_read_from_the_store_is_not_tried_at_each_start():
-    # A bad request and a popular one were at the same servers, and a trial has shown
-    # which is bad. A host that starts reads both and knows nothing of the trial.
-    made = CrashLedger()
+    # A bad request and a popular one were running at the same servers, and a trial has
+    # shown which one is bad. A host that starts reads both and does not know of the
+    # trial.
+    ledger = CrashLedger()
     for request in (BAD, "popular"):
-        made.add_stored_quarantine(request, ("i-1", "i-2", "i-3"), 0.0)
-    assert not made.quarantine.trial_due(BAD, EARLY_TRIAL_S)
+        ledger.add_stored_quarantine(request, ("i-1", "i-2", "i-3"), 0.0)
+    assert not ledger.quarantine.trial_due(BAD, EARLY_TRIAL_S)
 
 
-def test_a_host_that_saw_an_end_stores_it_also_when_it_heard_of_it_first():
-    made = CrashLedger()
-    for number in range(MAX_CRASHES_PER_REQUEST - 1):
-        made.record_crash(end(number, "x"), 0.0)
-        made.record_crash(end(number, BAD), 0.0, own=True)
-    made.record_crash(end(9, BAD), 0.0)
-    assert made.quarantine.get(BAD).own
+def test_a_host_that_saw_a_crash_stores_it_also_after_an_earlier_report():
+    ledger = CrashLedger()
+    for index in range(MAX_CRASHES_PER_REQUEST - 1):
+        ledger.record_crash(crash(index, "x"), 0.0)
+        ledger.record_crash(crash(index, BAD), 0.0, own=True)
+    ledger.record_crash(crash(9, BAD), 0.0)
+    assert ledger.quarantine.get(BAD).own
 
 
-def test_a_quarantine_ends_by_itself():
-    made = quarantined()
-    assert made.review(QUARANTINE_S - 1) == []
-    assert made.review(QUARANTINE_S) == [BAD]
-    assert made.record_crash(end(9, BAD), QUARANTINE_S) == (True, [])
-    assert made.crash_count(BAD) == 1
+def test_a_quarantine_expires():
+    ledger = quarantined()
+    assert ledger.review(QUARANTINE_S - 1) == []
+    assert ledger.review(QUARANTINE_S) == [BAD]
+    assert ledger.record_crash(crash(9, BAD), QUARANTINE_S) == (True, [])
+    assert ledger.crash_count(BAD) == 1
 
 
-def test_ends_long_ago_do_not_count():
-    made = CrashLedger()
-    for number in range(20):
-        now = number * REMEMBERED_S / (MAX_CRASHES_PER_REQUEST - 1) + number
-        made.review(now)
-        assert made.record_crash(end(number, BAD), now)[1] == []
+def test_old_crashes_do_not_count():
+    ledger = CrashLedger()
+    for index in range(20):
+        now = index * REMEMBERED_S / (MAX_CRASHES_PER_REQUEST - 1) + index
+        ledger.review(now)
+        assert ledger.record_crash(crash(index, BAD), now)[1] == []
 
 
 def test_what_is_kept_is_bounded_when_every_request_is_different():
-    made = CrashLedger()
-    for number in range(3 * MAX_CRASHES_KEPT):
-        made.record_crash(end(number, f"r{number}", f"q{number}"), 0.0)
+    ledger = CrashLedger()
+    for index in range(3 * MAX_CRASHES_KEPT):
+        ledger.record_crash(crash(index, f"r{index}", f"q{index}"), 0.0)
     assert (
-        sum(made.has_crashed((f"i-{n}", 0)) for n in range(3 * MAX_CRASHES_KEPT))
+        sum(ledger.has_crashed((f"i-{n}", 0)) for n in range(3 * MAX_CRASHES_KEPT))
         == MAX_CRASHES_KEPT
     )
     assert (
-        sum(made.crash_count(f"r{n}") for n in range(3 * MAX_CRASHES_KEPT))
+        sum(ledger.crash_count(f"r{n}") for n in range(3 * MAX_CRASHES_KEPT))
         == MAX_CRASHES_KEPT
     )
-    for number in range(MAX_QUARANTINES_KEPT + 10):
-        made.add_stored_quarantine(f"s{number}", (), 0.0)
-    assert len(made.quarantine) == MAX_QUARANTINES_KEPT
-    assert f"s{MAX_QUARANTINES_KEPT + 9}" in made.quarantine
-
-
-# Load that is nobody's fault
+    for index in range(MAX_QUARANTINES_KEPT + 10):
+        ledger.add_stored_quarantine(f"s{index}", (), 0.0)
+    assert len(ledger.quarantine) == MAX_QUARANTINES_KEPT
+    assert f"s{MAX_QUARANTINES_KEPT + 9}" in ledger.quarantine
 
 
 class FaultlessLoad:
-    """Requests at servers that are killed every half second, under none of them.
+    """Requests at servers that are killed every half second, not by a request.
 
-    A request takes a quarter of a second at its server, and is sent to another one
-    when that ends, up to four times: two tries of its caller, two servers each. Every
-    third asks for one of five popular objects, always at the same server.
+    A request takes a quarter of a second at its server. If the server is killed, it is
+    sent to another one, up to four times: two tries of its caller, two servers each.
+    Every third request asks for one of five popular objects, always at the same server.
     """
 
     def __init__(self, seed, servers=24):
@@ -202,32 +197,34 @@
         self.running[server].append((request, now + 0.25, tries))
 
     def finish(self, now):
-        for server, held in self.running.items():
-            for request, _, _ in [item for item in held if item[1] <= now]:
+        for server, entries in self.running.items():
+            for request, _, _ in [item for item in entries if item[1] <= now]:
                 self.ledger.answered(request)
-            self.running[server] = [item for item in held if item[1] > now]
+            self.running[server] = [item for item in entries if item[1] > now]
 
     def kill(self, now, servers):
-        cut = []
+        interrupted = []
         for server in servers:
-            held = self.running.pop(server)
-            cut += held
+            entries = self.running.pop(server)
+            interrupted += entries
             self.running[self.next_id] = []
             self.next_id += 1
-            requests = {request for request, _, _ in held}
-            self.quarantined += self.ledger.record_crash(end(server, *requests), now)[1]
-        for request, _, tries in cut:
+            requests = {request for request, _, _ in entries}
+            self.quarantined += self.ledger.record_crash(crash(server, *requests), now)[
+                1
+            ]
+        for request, _, tries in interrupted:
             if tries > 1:
                 self.arrive(request, now, tries - 1)
 
-    def play(self, seconds):
+    def advance(self, seconds):
         for step in range(int(seconds * 100)):
             now = step / 100
             self.finish(now)
-            for number in range(4):
+            for index in range(4):
                 popular = self.rng.random() < 1 / 3
                 name = f"popular-{self.rng.randrange(5)}" if popular else "r"
-                self.arrive(name if popular else f"r-{step}-{number}", now)
+                self.arrive(name if popular else f"r-{step}-{index}", now)
             if step % 50 == 0:
                 self.kill(now, [self.rng.choice(sorted(self.running))])
             if step % 500 == 0:
@@ -235,103 +232,104 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_servers_that_end_under_load_bring_no_request_into_quarantine(seed):
-    # Servers are killed one after the other under full load, now and then four at once.
-    # Callers who ask for what was there each time would be refused for ten minutes.
+def test_killed_servers_under_load_bring_no_request_into_quarantine(seed):
+    # Servers are killed one after the other under full load, sometimes four at once.
+    # Guards against quarantining a request that was running each time: its callers
+    # would be refused for ten minutes.
     load = FaultlessLoad(seed)
-    load.play(60.0)
+    load.advance(60.0)
     assert load.quarantined == []
 
 
-# Several hosts
-
-
 @pytest.mark.parametrize("active", [NAMES, NAMES[:2]])
-def test_a_third_end_counts_everywhere_soon(active):
-    played = PlayedCrashes(NAMES, active=active)
+def test_a_third_crash_counts_on_all_hosts_soon(active):
+    simulation = CrashSimulation(NAMES, active=active)
     for name in NAMES[-3:]:
-        played.send(name)
-    played.play(0.5)
-    for host in played.hosts.values():
+        simulation.send(name)
+    simulation.advance(0.5)
+    for host in simulation.hosts.values():
         assert BAD in host.ledger.quarantine, host.name
 
 
 def test_a_host_that_joins_knows_what_the_others_know():
-    played = PlayedCrashes(NAMES)
-    played.set_store(False)
+    simulation = CrashSimulation(NAMES)
+    simulation.set_store(False)
     for name in NAMES[:2]:
-        played.send(name)
-    played.play(0.5)
-    played.restart(NAMES[4])
-    played.play(0.5)
-    assert played.hosts[NAMES[4]].ledger.crash_count(BAD) == 2
+        simulation.send(name)
+    simulation.advance(0.5)
+    simulation.restart(NAMES[4])
+    simulation.advance(0.5)
+    assert simulation.hosts[NAMES[4]].ledger.crash_count(BAD) == 2
 
 
-def test_a_quarantine_outlives_all_hosts():
-    played = PlayedCrashes(NAMES)
+def test_a_quarantine_survives_a_restart_of_all_hosts():
+    simulation = CrashSimulation(NAMES)
     for name in NAMES[:3]:
-        played.send(name)
-    played.play(0.5)
+        simulation.send(name)
+    simulation.advance(0.5)
     for name in NAMES:
-        played.restart(name)
-    assert not any(played.send(name) for name in NAMES)
+        simulation.restart(name)
+    assert not any(simulation.send(name) for name in NAMES)
 
 
 class CrashMachine(RuleBasedStateMachine):
-    """One request comes again and again, at any host, whatever befalls the hosts.
+    """One bad request arrives repeatedly at any host, while hosts and store fail.
 
-    Its caller repeats it ten times a second at most, so a step passes after each. Two
-    ends that nobody remembers may come before the third that counts, once: what is not
-    quarantined yet is not stored, and is forgotten when all hosts start anew together.
+    Its caller repeats it at most ten times a second, so a step passes after each. Once,
+    two crashes that no host remembers may come before the third that counts: crashes
+    are stored only with a quarantine, and are forgotten if all hosts restart together.
     """
 
     guarded = True
 
     def __init__(self):
         super().__init__()
-        self.played = PlayedCrashes(NAMES, guarded=self.guarded)
+        self.simulation = CrashSimulation(NAMES, guarded=self.guarded)
 
     @rule(
         name=st.sampled_from(NAMES),
-        beside=st.sets(st.sampled_from(["x", "y"]), max_size=2),
+        also_running=st.sets(st.sampled_from(["x", "y"]), max_size=2),
     )
-    def the_request_comes(self, name, beside):
-        self.played.send(name, beside)
-        self.played.play(0.1)
+    def the_request_comes(self, name, also_running):
+        self.simulation.send(name, also_running)
+        self.simulation.advance(0.1)
 
     @rule(name=st.sampled_from(NAMES))
     def an_innocent_request_is_answered(self, name):
-        host = self.played.hosts[name]
+        host = self.simulation.hosts[name]
         host.clear("x")
         assert "x" not in host.ledger.quarantine
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 4.0, 6.0]))
     def time_passes(self, seconds):
-        self.played.play(seconds)
+        self.simulation.advance(seconds)
 
     @rule(names=st.sets(st.sampled_from(NAMES), min_size=1))
     def hosts_restart(self, names):
         for name in sorted(names):
-            self.played.restart(name)
+            self.simulation.restart(name)
 
     @rule(name=st.sampled_from(NAMES))
     def a_host_is_cut_off(self, name):
-        self.played.cut_off(name)
+        self.simulation.cut_off(name)
 
     @rule()
     def cuts_heal(self):
-        self.played.heal()
+        self.simulation.heal()
 
     @rule(up=st.booleans())
     def the_store_goes_or_comes(self, up):
-        self.played.set_store(up)
+        self.simulation.set_store(up)
 
     @invariant()
     def few_arrivals_are_late(self):
-        if self.played.losses <= 1:
-            assert self.played.late <= LATE_MOST, self.played.late
+        if self.simulation.losses <= 1:
+            assert self.simulation.late <= MAX_LATE, self.simulation.late
 
 
+# Hypothesis derives its seed from the source of this class, and the order of its draws
+# from the names of the parameters above. With another seed or order, the last test may
+# not find the fault within its 40 examples.
 class UnguardedMachine(CrashMachine):
     """The same without the refusal."""
 
