--- a/lacewingcross/core/catch_up.py
+++ b/lacewingcross/core/catch_up.py
@@ -1,22 +1,25 @@
-"""When a host asks another one for what it is missing of the store's contents."""
+"""When a host asks another host for contents of the store that it is missing."""
 
 from .replica import Kind
 
-# A copy that stays behind another host's for so long has missed a push, in seconds. The
-# same push reaches hosts within a few ways of one another (70 ms between regions).
+# A copy that is behind another host's for this time has missed a push, in seconds. The
+# arrival times of one push at different hosts differ by a few network round trips (70
+# ms between regions).
 BEHIND_S = 0.5
-# Pause between two questions for one kind, in seconds: an answer is here within it. A
-# host that starts hears of everything from each of its peers at once.
+# Minimum time between two requests for one kind, in seconds; the response arrives
+# within it. A host that starts receives the revisions of all its peers at once, and
+# must not ask each of them.
 ASK_EVERY_S = 0.3
 
 
 class CatchUp:
-    """Compares the revisions that peers tell with this host's own.
+    """Compares the revisions that peers announce with this host's own.
 
-    Failure: a push is lost with the stream that carried it, or the store is away and
-    nobody pushes. A host that starts, or comes back from behind a partition, would
-    keep what it has. Each sign of life tells the sender's revisions, so whoever is
-    behind notices from any peer, and asks one of them for everything it lacks.
+    Guards against a push that is lost with its stream, and against an outage of the
+    store, during which no host pushes. A host that starts, or that was partitioned,
+    would keep its old copy. Each `Alive` message carries the sender's
+    revisions, so a host that is behind notices it from any peer, and asks one peer for
+    everything that it is missing.
     """
 
     __slots__ = ("_asked_at", "_behind_since")
@@ -26,14 +29,14 @@
         self._behind_since: dict[Kind, float] = {}
 
     def should_ask(self, kind: Kind, own: int, theirs: int, now: float) -> bool:
-        """Tell whether to ask a peer that is complete up to revision `theirs`.
+        """Return whether to ask a peer that is complete up to revision `theirs`.
 
         Parameters
         ----------
         kind : Kind
             What is compared.
         own, theirs : int
-            Revisions up to which nothing is missing here and there.
+            Revisions up to which this host's and the peer's copies are complete.
         now : float
             Monotonic time in seconds.
         """
@@ -46,7 +49,7 @@
         return self.may_ask(kind, now)
 
     def may_ask(self, kind: Kind, now: float) -> bool:
-        """Tell whether no question for a kind is on its way; note a new one."""
+        """Return whether no request for a kind is pending, and note a new one if so."""
         if now - self._asked_at.get(kind, float("-inf")) < ASK_EVERY_S:
             return False
         self._asked_at[kind] = now
--- a/lacewingcross/core/config.py
+++ b/lacewingcross/core/config.py
@@ -1,4 +1,4 @@
-"""The configuration in force: versioned entries that only ever move up."""
+"""The configuration in force: entries whose versions never decrease."""
 
 import json
 from bisect import bisect_right
@@ -24,10 +24,10 @@
 
 @dataclass(slots=True)
 class Config:
-    """All entries and the typed resources read from them.
+    """All entries, and the typed resources decoded from them.
 
-    Merging takes the higher version for each key, so it does not matter in which
-    order, how often or from whom entries arrive: the platform or a peer.
+    A merge keeps the higher version of each key. So entries may arrive in any order,
+    repeatedly, and from the platform or any peer.
     """
 
     entries: dict[str, Entry] = field(default_factory=dict)
@@ -47,7 +47,7 @@
     def merge(
         self, entries: Iterator[Entry], revision: int, complete: bool
     ) -> list[str]:
-        """Take in entries; return the keys that changed.
+        """Merge entries; return the keys that changed.
 
         Parameters
         ----------
@@ -56,7 +56,7 @@
         revision : int
             Version up to which the sender's entries are complete.
         complete : bool
-            Whether they hold everything above our own revision.
+            Whether `entries` include every change above this host's own revision.
         """
         changed = []
         for entry in entries:
@@ -77,7 +77,7 @@
         return sorted(newer, key=lambda item: item.version)
 
     def cap(self, service: str) -> res.ShiftCap:
-        """Return the shift cap of a service, a cautious one if none is declared."""
+        """Return the shift cap of a service, or a cautious default."""
         return self.caps.get(service) or res.ShiftCap(service)
 
     def _interpret(self, entry: Entry) -> None:
@@ -90,8 +90,8 @@
             self._store(kind, name, spec, entry.version)
             self.rejected.pop(entry.key, None)
         except (ResourceError, ValueError, KeyError, TypeError) as exc:
-            # An object that some other program wrote must not stop the host: the
-            # last good resource stays in force and the reason is reported.
+            # An invalid object that another program wrote must not stop the host. The
+            # last valid resource stays in force, and the reason is reported.
             self.rejected[entry.key] = str(exc)
 
     def _store(self, kind: str, name: str, spec: object, version: int) -> None:
@@ -124,7 +124,8 @@
             self.plan_versions.pop(name, None)
             return
         if kind not in CONFIG_KINDS:
-            # A newer host may pass on kinds that this one does not know.
+            # A host with a newer release may forward kinds that this host does not
+            # know.
             return
         known = self._table(kind).pop(name, None)
         if kind == res.POLICY:
@@ -145,7 +146,10 @@
         return tables[kind]
 
     def group_of(self, service: str, address: int | None) -> str | None:
-        """Return the client group of an address; the first one if none matches."""
+        """Return the client group of an address, or the first group if none matches.
+
+        The result is None if the service has no policy.
+        """
         policy = self.policies.get(service)
         if policy is None:
             return None
@@ -166,7 +170,7 @@
         return shards[place].group(address) if place >= 0 else ""
 
     def drained_regions(self, service: str) -> frozenset[str]:
-        """Return the regions that a planned drain empties for `service`."""
+        """Return the regions that planned drains empty for `service`."""
         return frozenset(
             drain.value
             for drain in self.drains.values()
@@ -174,7 +178,7 @@
         )
 
     def leaving_servers(self, service: str) -> set[str]:
-        """Return the backend servers that a planned drain stops."""
+        """Return the ids of the service's servers that planned drains stop."""
         pool = self.pools.get(service)
         if pool is None:
             return set()
@@ -188,7 +192,7 @@
         return leaving
 
     def drained_hosts(self) -> set[str]:
-        """Return the entry hosts that a planned drain stops."""
+        """Return the ids of the entry hosts that planned drains stop."""
         drains = self.drains.values()
         return {drain.value for drain in drains if drain.target == "host"}
 
--- a/lacewingcross/core/fleet_shares.py
+++ b/lacewingcross/core/fleet_shares.py
@@ -1,37 +1,45 @@
-"""A host's part of what all hosts share, and its turn to follow the store."""
+"""A host's share of limits that apply to all hosts, and its rank as a store watcher."""
 
 from .rendezvous import ranked
 from .roster import FORGET_AFTER_S, Entry, Roster
 
-# A host that becomes active reckons with all known hosts for so long, in seconds: until
-# the other active ones know of it, their parts add up without it.
+# A host that becomes active counts all known hosts for this time, in seconds, which
+# makes its own share small. Until the other active hosts know of it, their shares add
+# up to one without it.
 SETTLE_S = 2.0
-# Hosts of a region that are reckoned with before the list of hosts was read: the most
-# that either user has in a region of few hosts, and half as many again.
+# Number of hosts of a region that is assumed until the list of hosts has been read. It
+# is half as many again as the most that either user has in a region of few hosts.
 HOSTS_UNLISTED = 8
 
 
 def region_share(roster: Roster, now: float) -> float:
-    """Return a host's part of its region's processor time, see `_part`."""
+    """Return a host's share of its region's processor time, 0 to 1.
+
+    `_part` describes how it is computed.
+    """
     return _part(roster, now, roster.own.region)
 
 
 def fleet_share(roster: Roster, now: float) -> float:
-    """Return a host's part of all hosts' processor time, see `_part`."""
+    """Return a host's share of all hosts' processor time, 0 to 1.
+
+    `_part` describes how it is computed.
+    """
     return _part(roster, now, "")
 
 
 def _part(roster: Roster, now: float, region: str) -> float:
-    """Return a host's part among the active hosts, living or not.
+    """Return a host's share among the active hosts of a region, alive or not.
 
-    Only those serve callers, so a standby host has none: by all 195 hosts, none would
-    have a single whole request of the 13 that a cold server bears in a second. Hosts
-    that were active within the last minute keep their parts: they may be cut off and
-    serve on.
+    The shares are in proportion to processor cores. An empty `region` stands for all
+    regions. Only active hosts serve callers, so a standby host has no share. Divided
+    among all 195 hosts, the 13 requests per second that a cold server tolerates would
+    give no host a whole request. Hosts that were active within the last minute keep
+    their shares, since they may be partitioned and continue to serve.
 
-    Failure: all hosts are killed together and start again. Each knows only itself at
-    first and would take the whole region's share of the requests that a cold server
-    bears. Until the list of hosts was read there may be many.
+    Guards against a restart of all hosts together: each knows only itself at first, and
+    would take the whole region's share of the requests that a cold server tolerates. So
+    a number of hosts is assumed until the list of hosts has been read.
     """
     if not roster.is_active:
         return 0.0
@@ -47,9 +55,10 @@
 
 
 def serving_hosts(roster: Roster, now: float) -> frozenset[str]:
-    """Return the hosts that may send requests to servers, living or not.
+    """Return the hosts that may send requests to servers, alive or not.
 
-    They are reckoned as in `_part`, and none before the list of hosts was read.
+    The hosts are chosen as in `_part`. The result is empty on a standby host, and until
+    the list of hosts has been read.
     """
     if not roster.is_active or not roster.listed:
         return frozenset()
@@ -66,12 +75,13 @@
 
 
 def rank(roster: Roster, now: float) -> int | None:
-    """Return a host's place among those that may follow the store, 0 first.
+    """Return a host's rank among those that may watch the store, 0 first.
 
-    None for a host that hears a relay: it is told all that there is. Hosts that start
-    or leave, that the store turns away, or that were not heard yet, come last: they are
-    able to follow it only if nobody else is. Of the others the largest come first,
-    since the one that follows tells every change to all.
+    The rank is None for a host with a live relay, since the relay sends it everything.
+    Hosts that are starting or shutting down, for which the store is unreachable, or
+    that are not alive rank last; they watch the store only if no other host can. Of the
+    others, hosts with more cores come first, because the watching host sends every
+    change to all others.
     """
     if roster.has_live_relay(now):
         return None
--- a/lacewingcross/core/key_claims.py
+++ b/lacewingcross/core/key_claims.py
@@ -1,4 +1,4 @@
-"""A host's side of idempotency keys: asking for claims and giving keys back."""
+"""A host's side of idempotency keys: claiming keys and releasing them."""
 
 from collections.abc import Iterator
 
@@ -10,14 +10,14 @@
 
 
 class KeyClaims:
-    """Asks the owner of a key's shard, whoever that is at the moment.
+    """Sends claims to the host that currently owns the shard of a key.
 
     Parameters
     ----------
     view : View
         Shared state.
     keepers : ClaimKeeper
-        Knows who owns which shard.
+        Source of the current owner of each shard.
     """
 
     __slots__ = ("_keepers", "_view")
@@ -27,10 +27,11 @@
         self._keepers = keepers
 
     def ask(self, state: RequestState, now: float) -> SendPeer:
-        """Ask for the claim of a request's key, before anything is sent.
+        """Request the claim of a request's key before the request is sent to a server.
 
-        Failure: a caller that got no answer sends the same booking to a second host.
-        Only the platform is seen by both; the claim succeeds for one of them.
+        Guards against a caller that received no response and sends the same booking to
+        a second host. Both hosts share only the platform, where the claim succeeds for
+        one of them.
         """
         req = state.req
         own = self._view.own.host_id
@@ -43,14 +44,14 @@
         return SendPeer(state.keeper, message)
 
     def owner_moved(self, state: RequestState, now: float) -> bool:
-        """Tell whether another host owns the key's shard by now."""
+        """Return whether another host owns the key's shard now."""
         return self._owner(state, now) != state.keeper
 
     def free(self, state: RequestState, now: float) -> Iterator[Action]:
-        """Give back the key of a request that did not run.
+        """Release the key of a request that did not run.
 
-        Otherwise the caller's retry would be told that its booking is a duplicate of
-        one that never ran.
+        Otherwise the caller's retry would be refused as a duplicate of a booking that
+        never ran.
         """
         if state.key_hash and not state.may_have_run:
             message = msg.Unclaim(state.req.service, state.key_hash, state.claim)
--- a/lacewingcross/core/replica.py
+++ b/lacewingcross/core/replica.py
@@ -1,8 +1,8 @@
-"""Each host's copy of what the platform's store holds; it only moves forward.
+"""Each host's copy of the platform's store.
 
-Changes come from this host's own watch or from peers, in any order and more than
-once. An object moves up in revision only, so nothing that was in force reverts,
-whoever tells it and however late.
+Changes come from this host's own watch of the store or from peers, in any order and
+more than once. The revision of an object never decreases, so an old version does not
+come back into force, whichever host sends it and however late it arrives.
 """
 
 from collections.abc import Iterable
@@ -11,12 +11,12 @@
 
 
 class Kind(IntEnum):
-    """What is followed in the store."""
+    """Kinds of objects that hosts watch in the store."""
 
     CONFIG = 1
     EVACUATION = 2
     SERVER = 3
-    # Requests that end backend servers; written by the hosts themselves.
+    # Requests that crash backend servers; written by the hosts themselves.
     QUARANTINE = 4
 
 
@@ -32,10 +32,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Update:
-    """What brings a copy from revision `since` up to `as_of`.
+    """The changes that bring a copy from revision `since` to `as_of`.
 
-    `whole` tells that the documents are all that exist at `as_of`, so that whatever
-    is missing from them was deleted.
+    If `whole` is true, `documents` are all that exist at `as_of`, so any other document
+    was deleted.
     """
 
     kind: Kind
@@ -47,14 +47,14 @@
 
 @dataclass(slots=True)
 class _Copy:
-    # Revision of the last listing: deletions up to it may be unknown here.
+    # Revision of the last listing. Deletions up to this revision may be unknown here.
     listed_at: int = 0
     as_of: int = 0
     documents: dict[str, Document] = field(default_factory=dict)
 
 
 class Replica:
-    """Documents of every kind, each at its newest known revision."""
+    """Documents of all kinds, each at its newest known revision."""
 
     __slots__ = ("_copies",)
 
@@ -71,7 +71,7 @@
         return [doc for doc in documents if doc.spec is not None]
 
     def has(self, kind: Kind, name: str, revision: int) -> bool:
-        """Tell whether an object is known at a revision or a later one."""
+        """Return whether an object is known at `revision` or a later one."""
         known = self._copies[kind].documents.get(name)
         return known is not None and known.revision >= revision
 
@@ -80,11 +80,13 @@
         return self._copies[kind].documents[name]
 
     def update_since(self, kind: Kind, revision: int) -> Update:
-        """Return what brings a host that is complete up to `revision` up to date.
+        """Return the update for a host that is complete up to `revision`.
 
-        Failure: a listing shows a deletion by absence only, and of an object that this
-        host never knew it shows nothing. A host that did know it would keep it for
-        good if it were sent changes only; it is sent everything instead.
+        Guards against a deletion that this host does not know. A listing shows a
+        deletion only by the absence of the object, so this host learns nothing of an
+        object that it never knew. Another host that did know the object would keep it
+        forever if it received only changes. So a host whose revision is older than the
+        last listing receives all documents.
         """
         copy = self._copies[kind]
         if revision < copy.listed_at:
@@ -93,16 +95,17 @@
         return Update(kind, revision, copy.as_of, newer)
 
     def apply(self, update: Update) -> list[Document]:
-        """Take in an update; return the documents that were new."""
+        """Apply an update; return the documents that were new."""
         if update.whole:
             return self._apply_whole(update.kind, update.as_of, update.documents)
         return self._apply_changes(update)
 
     def _apply_changes(self, update: Update) -> list[Document]:
-        """Take in all changes between two revisions.
+        """Apply the changes between two revisions.
 
-        The mark of completeness moves only when nothing between it and `since` can
-        be missing: a host that lost one push must not count itself as up to date.
+        The revision `as_of` of the copy increases only if no change between it and the
+        update's `since` can be missing: a host that lost a push must not consider
+        itself up to date.
         """
         copy = self._copies[update.kind]
         fresh = [doc for doc in update.documents if self._put(copy, doc)]
@@ -113,10 +116,10 @@
     def _apply_whole(
         self, kind: Kind, as_of: int, documents: Iterable[Document]
     ) -> list[Document]:
-        """Take in all documents that exist at a revision.
+        """Apply a listing of all documents that exist at a revision.
 
-        What is missing from the listing was deleted at some revision up to `as_of`,
-        unless it was written later than that.
+        A document that is missing from the listing was deleted at some revision up to
+        `as_of`, unless it was written later than that.
         """
         copy = self._copies[kind]
         listed = list(documents)
@@ -133,16 +136,17 @@
 
     def _put(self, copy: _Copy, doc: Document) -> bool:
         if doc.spec is not None and doc.revision <= copy.as_of:
-            # Failure: an object was deleted before this host listed the store, and an
-            # older push of its creation arrives afterwards. Nothing up to `as_of` is
-            # missing here, so what is told of that time and lives is no news.
+            # Guards against an object that was deleted before this host listed the
+            # store, while an older push of its creation arrives after the listing. No
+            # change up to `as_of` is missing here, so an existing document of that time
+            # is either known already or outdated.
             return False
         known = copy.documents.get(doc.name)
         if known is not None and known.revision > doc.revision:
             return False
         same = known is not None and known.revision == doc.revision
-        # A deletion inferred from a listing may carry the revision of the object's
-        # last change; the deletion is what came after.
+        # A deletion inferred from a listing may have the same revision as the last
+        # change of the object; the deletion is the later of the two.
         if same and (known.spec is None or doc.spec is not None):
             return False
         copy.documents[doc.name] = doc
--- a/lacewingcross/core/resources.py
+++ b/lacewingcross/core/resources.py
@@ -1,4 +1,4 @@
-"""Declared resources as checked values, and their form in the platform's store."""
+"""Validated types of declared resources, and their format in the platform's store."""
 
 import ipaddress
 import json
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientGroup:
-    """Client blocks that share their weights over the regions."""
+    """Client address blocks with common weights over the regions."""
 
     name: str
     blocks: tuple[str, ...]
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SteeringPolicy:
-    """Where each client group of a service should go, and how to treat requests."""
+    """The regions for each client group of a service, and the handling of requests."""
 
     service: str
     groups: tuple[ClientGroup, ...]
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ShiftCap:
-    """Most traffic of a service, as a fraction, that may move in any window."""
+    """Maximum fraction of a service's traffic that may move in any window."""
 
     service: str
     fraction: float = DEFAULT_CAP_FRACTION
@@ -74,13 +74,13 @@
 
     @property
     def places(self) -> int:
-        """Return the requests it takes at once: in its slots and in its own queue."""
+        """Return how many requests the server accepts at once, in slots and queue."""
         return self.slots + self.queue
 
 
 @dataclass(slots=True, frozen=True)
 class BackendPool:
-    """The backend servers of a service and each region's declared limit."""
+    """The backend servers of a service, and the declared limits of regions."""
 
     service: str
     servers: tuple[BackendServer, ...]
@@ -104,7 +104,7 @@
         return list(self.by_region)
 
     def limit(self, region: str) -> float:
-        """Return the most requests in flight that `region` may be given."""
+        """Return the maximum number of requests in flight in `region`."""
         slots = float(sum(srv.places for srv in self.by_region.get(region, ())))
         return min(slots, self.region_limits.get(region, slots))
 
@@ -121,11 +121,11 @@
 
 @dataclass(slots=True, frozen=True)
 class BlockTable:
-    """One shard of a table of client blocks: the part from `first` on.
+    """One shard of a table of client blocks: the addresses from `first` on.
 
-    A policy names the table; its shards are all those whose name is the table's, a
-    dash and something. So a large table fits the platform's limit for one object, and
-    a change rebuilds one shard only.
+    A policy names the table. Its shards are the objects whose names are the table's
+    name, a dash and a suffix. Shards keep a large table within the platform's limit for
+    one object, and a change rebuilds only one shard.
     """
 
     name: str
@@ -135,7 +135,7 @@
 
     @property
     def table(self) -> str:
-        """Return the name of the table that this is a shard of."""
+        """Return the name of the table that this shard belongs to."""
         return self.name.rpartition("-")[0]
 
     def group(self, address: int) -> str:
@@ -148,14 +148,14 @@
 
 
 def parse(kind: str, name: str, spec: object, where: str = "resource") -> Resource:
-    """Check the spec of a resource.
+    """Validate and decode the spec of a resource.
 
     Parameters
     ----------
     kind : str
         One of ``OPERATOR_KINDS``.
     name : str
-        Name of the resource; the service's name for all kinds but Drain.
+        Name of the resource; the service's name for all kinds but Drain and BlockTable.
     spec : object
         Decoded JSON.
     where : str
@@ -163,7 +163,7 @@
 
     Returns
     -------
-    resource : SteeringPolicy, ShiftCap, BackendPool or Drain
+    resource : SteeringPolicy, ShiftCap, BackendPool, Drain or BlockTable
 
     Raises
     ------
@@ -174,7 +174,7 @@
     if parser is None:
         known = ", ".join(OPERATOR_KINDS)
         raise ResourceError(
-            "bad-kind", f"{where}: expected a kind of {known}, got {kind!r}"
+            "bad-kind", f"{where}: expected one of the kinds {known}, got {kind!r}"
         )
     if name in RESERVED_NAMES:
         raise ResourceError("bad-field", f"{where}: the name {name!r} is reserved")
@@ -185,7 +185,7 @@
 
 
 def is_network(value: object) -> bool:
-    """Tell whether `value` is an IPv4 network such as ``10.1.0.0/16``."""
+    """Return whether `value` is an IPv4 network such as ``10.1.0.0/16``."""
     if not isinstance(value, str) or "/" not in value:
         return False
     try:
@@ -284,9 +284,11 @@
             "members", f"{len(starts)} members, one a start", len(members)
         )
     if starts[0] != first or any(map(ge, starts, islice(starts, 1, None))):
-        raise reader.fail("starts", "rising starts from first on", "others")
+        raise reader.fail("starts", "rising starts from first on", "different starts")
     if any(member >= len(groups) and member != NO_GROUP for member in set(members)):
-        raise reader.fail("members", "members below the number of groups", "others")
+        raise reader.fail(
+            "members", "members below the number of groups", "larger members"
+        )
     return BlockTable(name, first, groups, BlockIndex.from_arrays(starts, members))
 
 
@@ -313,7 +315,7 @@
 
 
 def split_key(key: str) -> tuple[str, str]:
-    """Return kind and name of a platform key."""
+    """Return the kind and the name in a platform key."""
     kind, _, name = key.partition("/")
     return kind, name
 
--- a/lacewingcross/core/watch_election.py
+++ b/lacewingcross/core/watch_election.py
@@ -1,49 +1,53 @@
-"""Whether this host follows the store itself or hears of it from another one.
+"""Whether this host watches the store itself or receives updates from another host.
 
-Every call of the store is paid for, a waiting watch as one, so a single host follows
-it and tells all others, also that nothing has changed. The others step in by
-themselves when nobody has told them anything for longer than they can afford: what
-operators write must be in force everywhere within 2.5 s, also at a host that the
-others cannot reach.
+Every call to the store costs money, and a waiting watch counts as one call. So a single
+host watches the store and sends all other hosts the changes, or a message that nothing
+has changed. If another host receives no such message within its silence timeout, it
+watches the store itself: changes by operators must be in force on all hosts within 2.5
+s, also on a host that the others cannot reach.
 """
 
 from .replica import Kind
 
-# Quarantines reach all hosts without the store, and hosts that start read them. Whoever
-# watches them waits longer than for other kinds, in seconds: no call a second for what
-# hardly ever changes. An operator's deletion counts at once, as any change does.
+# How long a watch of quarantines waits for a change, in seconds. It is longer than for
+# other kinds, because one call per second would be too much for objects that hardly
+# ever change. New quarantines reach all running hosts without the store, which serves
+# hosts that start. An operator's deletion takes effect at once, since any change ends
+# the watch.
 QUARANTINE_WATCH_S = 10.0
-# How long a watch waits for a change, in seconds; every return is told to all hosts as
-# a sign of life. Longer ones would be cheaper, but the silence of a follower that died
-# has to be noticed well within the time that a change may take.
+# How long a watch of other kinds waits for a change, in seconds. Whenever it returns,
+# all hosts receive a message, which shows that the watching host is alive. A longer
+# wait would be cheaper, but the failure of the watching host has to be noticed well
+# within the time in which a change must be in force.
 WATCH_WAIT_S = 1.0
-# The first watch of a host that steps in waits no longer than this, in seconds: the
-# others wait for its word, too, and must not all step in.
+# Maximum wait of the first watch after a host has begun to watch, in seconds. The other
+# hosts also wait for its message, and must not begin to watch as well.
 FIRST_WAIT_S = 0.05
-# Silence after which the second-ranked host steps in, in seconds: one watch, and half a
-# second for a slow store (sixty times its usual 4 ms) and a packet that was lost.
+# Silence timeout of the host of rank 1, in seconds: one watch, and half a second for a
+# slow store (sixty times its usual 4 ms) and a lost packet.
 PATIENCE_S = 1.5
-# The hosts after it wait this much longer each, in seconds, so that one steps in and
-# not all: its word reaches the others within a way between regions (35 ms).
+# Each further rank waits this much longer, in seconds, so that one host begins to watch
+# and not all: its message reaches the others within the delay between regions (35 ms).
 PATIENCE_EACH_S = 0.1
-# Longest silence that any host bears, in seconds. A change made right after the last
-# word is then in force 2.1 s later.
+# Maximum silence timeout of any host, in seconds. A change made right after the last
+# message is then in force 2.1 s later.
 PATIENCE_MAX_S = 2.0
-# The same for a host that has nothing yet and that callers are sent to, in seconds: a
-# peer that has everything tells it within that time of its start. A fleet that has lost
-# power, and whose first host comes back last, would serve that much later.
+# Silence timeout of a host that has no objects of a kind yet although it is active, so
+# that callers use it, in seconds. Within this time of its start, a peer that has the
+# objects sends them. If a fleet loses power and the host of rank 0 restarts last, the
+# others start to serve this much later.
 EMPTY_S = 0.06
-# The same when the whole system starts for the first time, in seconds, later for each
-# rank: nobody has anything, and callers come later.
+# The same timeout at the first start of the whole system, in seconds. It is longer for
+# each further rank, up to the maximum: no host has any objects, and callers come later.
 FIRST_EMPTY_S = 0.4
 FIRST_EMPTY_MAX_S = 0.8
-# A host that the store turned away counts as unable to follow it for this long, in
-# seconds; then it may try again when its rank says so.
+# After a failed call, the store counts as unreachable for this host for this time, in
+# seconds. Then the host may try again when its rank allows it.
 TURNED_AWAY_S = 5.0
 
 
 class WatchElection:
-    """Decides for each kind of object whether this host follows it now.
+    """Decides for each kind of object whether this host watches it now.
 
     Parameters
     ----------
@@ -64,42 +68,46 @@
         self._told_at: dict[Kind, float] = {}
 
     def note_peer_update(self, kind: Kind, now: float) -> None:
-        """Note that another host told all there is of a kind at this moment."""
+        """Note that another host has just sent a complete update of a kind."""
         self._told_at[kind] = now
 
     def failed(self, now: float) -> None:
-        """Note that the store turned this host away, or did not answer."""
+        """Note that the store refused a call of this host, or did not respond."""
         self._failed_at = now
 
     def succeeded(self) -> None:
-        """Note that the store answered this host."""
+        """Note that the store responded to this host."""
         self._failed_at = float("-inf")
 
     def store_unreachable(self, now: float) -> bool:
-        """Tell whether other hosts should follow the store rather than this one."""
+        """Return whether the store is unreachable for this host.
+
+        Other hosts should then watch it instead.
+        """
         return now - self._failed_at < TURNED_AWAY_S
 
     def should_watch(
         self, kind: Kind, rank: int | None, now: float, *, empty: bool = False
     ) -> bool:
-        """Tell whether this host has to follow a kind itself.
+        """Return whether this host has to watch a kind itself.
 
-        Failure: the host that follows the store dies, is cut off or finds the store
-        deaf. The others hear nothing more and would keep an old configuration. Each
-        of them goes by what it was *told*, not by what it read itself, so one that
-        has stepped in goes on until somebody tells it something again.
+        Guards against a failure of the watching host: it crashes, is partitioned, or
+        the store does not respond to it. The other hosts receive no updates and would
+        keep an old configuration. The silence counts from the last update of another
+        host, and not from this host's own reading. So a host that has begun to watch
+        continues until another host sends an update again.
 
         Parameters
         ----------
         kind : Kind
-            What is followed.
+            What is watched.
         rank : int or None
-            This host's place among those that may follow the store, 0 first; None
-            when another host tells it everything.
+            This host's rank among those that may watch the store, 0 first; None if a
+            relay sends it everything.
         now : float
             Monotonic time in seconds.
         empty : bool
-            Whether callers are sent to this host, and it has nothing of the kind yet.
+            Whether this host is in use by callers and has no objects of the kind yet.
         """
         if rank is None:
             return False
@@ -109,10 +117,10 @@
         return self._silence(kind, now) > bears_s
 
     def _empty_patience(self, rank: int) -> float:
-        """Return for how long a host that cannot serve yet bears silence, in seconds.
+        """Return the silence timeout of a host that cannot serve yet, in seconds.
 
-        Failure: all hosts lose power, and the one whose turn it is to read the store
-        comes back last. The others would refuse callers until then.
+        Guards against a power loss of all hosts after which the host of rank 0 restarts
+        last: with the usual timeout, the others would refuse callers for longer.
         """
         if not self._first_start:
             return EMPTY_S
@@ -120,6 +128,7 @@
         return min(FIRST_EMPTY_MAX_S, FIRST_EMPTY_S + later_s)
 
     def _silence(self, kind: Kind, now: float) -> float:
+        """Return the time since the last peer update, or else since the start."""
         return now - self._told_at.get(kind, self._started_at)
 
 
@@ -129,6 +138,6 @@
 
 
 def silence_timeout(rank: int, kind: Kind = Kind.CONFIG) -> float:
-    """Return how long a host of this rank bears silence on a kind, in seconds."""
+    """Return after what silence a host of this rank watches a kind, in seconds."""
     usual = min(PATIENCE_MAX_S, PATIENCE_S + (rank - 1) * PATIENCE_EACH_S)
     return usual + QUARANTINE_WATCH_S if kind is Kind.QUARANTINE else usual
