--- a/bench/slots.py
+++ b/bench/slots.py
@@ -237,7 +237,7 @@
             for index, srv in enumerate(trial.servers)
         ]
         self._keeper.servers.declare(iter(declared), set(), 0.0)
-        self._keeper.limit = float(sum(srv.places for srv in declared))
+        self._keeper.limit = float(sum(srv.max_concurrent for srv in declared))
         self._jobs = {str(job.number): job for job in trial.jobs}
         self._permits: dict[int, tuple[msg.Grant, int]] = {}
         self._waiting: list[deque[Job]] = [deque() for _ in range(HOSTS)]
--- a/lacewingcross/core/catch_up.py
+++ b/lacewingcross/core/catch_up.py
@@ -5,11 +5,11 @@
 # A copy that is behind another host's for this time has missed a push, in seconds. The
 # arrival times of one push at different hosts differ by a few network round trips (70
 # ms between regions).
-BEHIND_S = 0.5
+MISSED_PUSH_AFTER_S = 0.5
 # Minimum time between two requests for one kind, in seconds; the response arrives
 # within it. A host that starts receives the revisions of all its peers at once, and
 # must not ask each of them.
-ASK_EVERY_S = 0.3
+MIN_ASK_INTERVAL_S = 0.3
 
 
 class CatchUp:
@@ -44,13 +44,13 @@
             self._behind_since.pop(kind, None)
             return False
         since = self._behind_since.setdefault(kind, now)
-        if own and now - since < BEHIND_S:
+        if own and now - since < MISSED_PUSH_AFTER_S:
             return False
         return self.may_ask(kind, now)
 
     def may_ask(self, kind: Kind, now: float) -> bool:
         """Return whether no request for a kind is pending, and note a new one if so."""
-        if now - self._asked_at.get(kind, float("-inf")) < ASK_EVERY_S:
+        if now - self._asked_at.get(kind, float("-inf")) < MIN_ASK_INTERVAL_S:
             return False
         self._asked_at[kind] = now
         return True
--- a/lacewingcross/core/config.py
+++ b/lacewingcross/core/config.py
@@ -64,7 +64,7 @@
             if known is not None and known.version >= entry.version:
                 continue
             self.entries[entry.key] = entry
-            self._interpret(entry)
+            self._decode(entry)
             changed.append(entry.key)
         if complete:
             self.revision = max(self.revision, revision)
@@ -80,10 +80,10 @@
         """Return the shift cap of a service, or a cautious default."""
         return self.caps.get(service) or res.ShiftCap(service)
 
-    def _interpret(self, entry: Entry) -> None:
+    def _decode(self, entry: Entry) -> None:
         kind, name = res.split_key(entry.key)
         if not entry.text:
-            self._forget(kind, name)
+            self._remove(kind, name)
             return
         try:
             spec = json.loads(entry.text)["spec"]
@@ -117,7 +117,7 @@
         shards = [shard for shard in self.shards.values() if shard.table == table]
         self.tables[table] = sorted(shards, key=lambda shard: shard.first)
 
-    def _forget(self, kind: str, name: str) -> None:
+    def _remove(self, kind: str, name: str) -> None:
         self.rejected.pop(res.object_key(kind, name), None)
         if kind == res.PLAN:
             self.plans.pop(name, None)
@@ -166,8 +166,8 @@
 
     def _table_group(self, table: str, address: int) -> str:
         shards = self.tables.get(table, [])
-        place = bisect_right(shards, address, key=lambda shard: shard.first) - 1
-        return shards[place].group(address) if place >= 0 else ""
+        position = bisect_right(shards, address, key=lambda shard: shard.first) - 1
+        return shards[position].group(address) if position >= 0 else ""
 
     def drained_regions(self, service: str) -> frozenset[str]:
         """Return the regions that planned drains empty for `service`."""
--- a/lacewingcross/core/eligibility.py
+++ b/lacewingcross/core/eligibility.py
@@ -4,7 +4,7 @@
 
 from .backend_state import Server
 from .cold_limit import share_of
-from .fleet_shares import HOSTS_UNLISTED
+from .fleet_shares import ASSUMED_HOSTS
 from .passive_health import FailureShare
 from .placement_types import PlacementRequest
 from .routes import Service
@@ -46,7 +46,7 @@
         self._services: dict[str, Service] = {}
         self.gate = gate
         # This host's part of what its region's hosts may send to a cold server.
-        self.region_part = 1.0 / HOSTS_UNLISTED
+        self.region_part = 1.0 / ASSUMED_HOSTS
 
     def set_services(self, services: dict[str, Service]) -> None:
         """Take over what operators declare of the services."""
--- a/lacewingcross/core/fleet_shares.py
+++ b/lacewingcross/core/fleet_shares.py
@@ -9,26 +9,26 @@
 SETTLE_S = 2.0
 # Number of hosts of a region that is assumed until the list of hosts has been read. It
 # is half as many again as the most that either user has in a region of few hosts.
-HOSTS_UNLISTED = 8
+ASSUMED_HOSTS = 8
 
 
 def region_share(roster: Roster, now: float) -> float:
     """Return a host's share of its region's processor time, 0 to 1.
 
-    `_part` describes how it is computed.
+    `_share` describes how it is computed.
     """
-    return _part(roster, now, roster.own.region)
+    return _share(roster, now, roster.own.region)
 
 
 def fleet_share(roster: Roster, now: float) -> float:
     """Return a host's share of all hosts' processor time, 0 to 1.
 
-    `_part` describes how it is computed.
+    `_share` describes how it is computed.
     """
-    return _part(roster, now, "")
+    return _share(roster, now, "")
 
 
-def _part(roster: Roster, now: float, region: str) -> float:
+def _share(roster: Roster, now: float, region: str) -> float:
     """Return a host's share among the active hosts of a region, alive or not.
 
     The shares are in proportion to processor cores. An empty `region` stands for all
@@ -44,21 +44,21 @@
     if not roster.is_active:
         return 0.0
     settled = now - roster.active_since >= SETTLE_S
-    others = sum(
+    other_cores = sum(
         entry.info.cores
         for host_id, entry in roster.entries.items()
         if region in ("", entry.info.region)
         and (not settled or _shares(roster, host_id, entry, now))
     )
-    part = roster.own.cores / (roster.own.cores + others)
-    return part if roster.listed else min(part, 1.0 / HOSTS_UNLISTED)
+    share = roster.own.cores / (roster.own.cores + other_cores)
+    return share if roster.listed else min(share, 1.0 / ASSUMED_HOSTS)
 
 
 def serving_hosts(roster: Roster, now: float) -> frozenset[str]:
     """Return the hosts that may send requests to servers, alive or not.
 
-    The hosts are chosen as in `_part`. The result is empty on a standby host, and until
-    the list of hosts has been read.
+    The hosts are chosen as in `_share`. The result is empty on a standby host, and
+    until the list of hosts has been read.
     """
     if not roster.is_active or not roster.listed:
         return frozenset()
@@ -90,18 +90,18 @@
         for host_id, entry in roster.entries.items()
         if host_id in roster.active or (entry.leaving and entry.live(now))
     }
-    poor = {host_id: _poor(entry, now) for host_id, entry in rivals.items()}
+    ranks_last = {host_id: _ranks_last(entry, now) for host_id, entry in rivals.items()}
     cores = {host_id: entry.info.cores for host_id, entry in rivals.items()}
     own = roster.own
-    poor[own.host_id] = roster.out_of_service or roster.store_unreachable
+    ranks_last[own.host_id] = roster.out_of_service or roster.store_unreachable
     cores[own.host_id] = own.cores
-    order = sorted(
-        ranked("store-follower", poor),
-        key=lambda host_id: (poor[host_id], -cores[host_id]),
+    ranking = sorted(
+        ranked("store-follower", ranks_last),
+        key=lambda host_id: (ranks_last[host_id], -cores[host_id]),
     )
-    return order.index(own.host_id)
+    return ranking.index(own.host_id)
 
 
-def _poor(entry: Entry, now: float) -> bool:
-    out = entry.leaving or entry.starting or entry.store_unreachable
-    return out or not entry.live(now)
+def _ranks_last(entry: Entry, now: float) -> bool:
+    unavailable = entry.leaving or entry.starting or entry.store_unreachable
+    return unavailable or not entry.live(now)
--- a/lacewingcross/core/quota_keeper.py
+++ b/lacewingcross/core/quota_keeper.py
@@ -215,9 +215,7 @@
     def _expire_leases(self, now: float) -> None:
         """End expired leases, crediting each bucket up to the moment of expiry."""
         while self._leases:
-            host_id, lease = min(
-                self._leases.items(), key=lambda totals: totals[1].until
-            )
+            host_id, lease = min(self._leases.items(), key=lambda item: item[1].until)
             if lease.until > now:
                 return
             del self._leases[host_id]
--- a/lacewingcross/core/replica.py
+++ b/lacewingcross/core/replica.py
@@ -48,7 +48,7 @@
 @dataclass(slots=True)
 class _Copy:
     # Revision of the last listing. Deletions up to this revision may be unknown here.
-    listed_at: int = 0
+    listed_revision: int = 0
     as_of: int = 0
     documents: dict[str, Document] = field(default_factory=dict)
 
@@ -89,7 +89,7 @@
         last listing receives all documents.
         """
         copy = self._copies[kind]
-        if revision < copy.listed_at:
+        if revision < copy.listed_revision:
             return Update(kind, 0, copy.as_of, self.known(kind), whole=True)
         newer = [doc for doc in copy.documents.values() if doc.revision > revision]
         return Update(kind, revision, copy.as_of, newer)
@@ -108,10 +108,12 @@
         itself up to date.
         """
         copy = self._copies[update.kind]
-        fresh = [doc for doc in update.documents if self._put(copy, doc)]
+        new_documents = [
+            doc for doc in update.documents if self._store_if_newer(copy, doc)
+        ]
         if copy.as_of >= update.since:
             copy.as_of = max(copy.as_of, update.as_of)
-        return fresh
+        return new_documents
 
     def _apply_whole(
         self, kind: Kind, as_of: int, documents: Iterable[Document]
@@ -124,17 +126,19 @@
         copy = self._copies[kind]
         listed = list(documents)
         names = {doc.name for doc in listed}
-        gone = [
+        deleted = [
             Document(kind, doc.name, as_of, None)
             for doc in copy.documents.values()
             if doc.name not in names and doc.spec is not None and doc.revision <= as_of
         ]
-        fresh = [doc for doc in [*listed, *gone] if self._put(copy, doc)]
-        copy.listed_at = max(copy.listed_at, as_of)
+        new_documents = [
+            doc for doc in [*listed, *deleted] if self._store_if_newer(copy, doc)
+        ]
+        copy.listed_revision = max(copy.listed_revision, as_of)
         copy.as_of = max(copy.as_of, as_of)
-        return fresh
+        return new_documents
 
-    def _put(self, copy: _Copy, doc: Document) -> bool:
+    def _store_if_newer(self, copy: _Copy, doc: Document) -> bool:
         if doc.spec is not None and doc.revision <= copy.as_of:
             # Guards against an object that was deleted before this host listed the
             # store, while an older push of its creation arrives after the listing. No
@@ -144,10 +148,10 @@
         known = copy.documents.get(doc.name)
         if known is not None and known.revision > doc.revision:
             return False
-        same = known is not None and known.revision == doc.revision
+        same_revision = known is not None and known.revision == doc.revision
         # A deletion inferred from a listing may have the same revision as the last
         # change of the object; the deletion is the later of the two.
-        if same and (known.spec is None or doc.spec is not None):
+        if same_revision and (known.spec is None or doc.spec is not None):
             return False
         copy.documents[doc.name] = doc
         return True
--- a/lacewingcross/core/resources.py
+++ b/lacewingcross/core/resources.py
@@ -73,7 +73,7 @@
     queue: int = 0
 
     @property
-    def places(self) -> int:
+    def max_concurrent(self) -> int:
         """Return how many requests the server accepts at once, in slots and queue."""
         return self.slots + self.queue
 
@@ -105,7 +105,7 @@
 
     def limit(self, region: str) -> float:
         """Return the maximum number of requests in flight in `region`."""
-        slots = float(sum(srv.places for srv in self.by_region.get(region, ())))
+        slots = float(sum(srv.max_concurrent for srv in self.by_region.get(region, ())))
         return min(slots, self.region_limits.get(region, slots))
 
 
@@ -140,8 +140,8 @@
 
     def group(self, address: int) -> str:
         """Return the group of an address, or an empty string."""
-        number = self.index.find(address)
-        return self.groups[number] if number < len(self.groups) else ""
+        group_index = self.index.find(address)
+        return self.groups[group_index] if group_index < len(self.groups) else ""
 
 
 Resource = SteeringPolicy | ShiftCap | BackendPool | Drain | BlockTable
--- a/lacewingcross/core/steering.py
+++ b/lacewingcross/core/steering.py
@@ -21,7 +21,7 @@
 LAPSE_GRACE_S = 2.2
 # No word from the store for this long, in seconds, counts as an outage in which entries
 # may have lapsed: half of the time after which the store drops a silent server, and
-# longer than any host waits before it asks the store itself (`PATIENCE_MAX_S`).
+# longer than any host waits before it asks the store itself (`MAX_SILENCE_TIMEOUT_S`).
 OUTAGE_S = 2.3
 # Share of the common retry allowance that is used. The rest covers hosts that start
 # again with a full allowance of their own.
--- a/lacewingcross/core/watch_election.py
+++ b/lacewingcross/core/watch_election.py
@@ -25,25 +25,25 @@
 FIRST_WAIT_S = 0.05
 # Silence timeout of the host of rank 1, in seconds: one watch, and half a second for a
 # slow store (sixty times its usual 4 ms) and a lost packet.
-PATIENCE_S = 1.5
+SILENCE_TIMEOUT_S = 1.5
 # Each further rank waits this much longer, in seconds, so that one host begins to watch
 # and not all: its message reaches the others within the delay between regions (35 ms).
-PATIENCE_EACH_S = 0.1
+SILENCE_TIMEOUT_STEP_S = 0.1
 # Maximum silence timeout of any host, in seconds. A change made right after the last
 # message is then in force 2.1 s later.
-PATIENCE_MAX_S = 2.0
+MAX_SILENCE_TIMEOUT_S = 2.0
 # Silence timeout of a host that has no objects of a kind yet although it is active, so
 # that callers use it, in seconds. Within this time of its start, a peer that has the
 # objects sends them. If a fleet loses power and the host of rank 0 restarts last, the
 # others start to serve this much later.
-EMPTY_S = 0.06
+EMPTY_TIMEOUT_S = 0.06
 # The same timeout at the first start of the whole system, in seconds. It is longer for
 # each further rank, up to the maximum: no host has any objects, and callers come later.
-FIRST_EMPTY_S = 0.4
-FIRST_EMPTY_MAX_S = 0.8
+FIRST_START_EMPTY_TIMEOUT_S = 0.4
+MAX_FIRST_START_EMPTY_TIMEOUT_S = 0.8
 # After a failed call, the store counts as unreachable for this host for this time, in
 # seconds. Then the host may try again when its rank allows it.
-TURNED_AWAY_S = 5.0
+STORE_UNREACHABLE_S = 5.0
 
 
 class WatchElection:
@@ -57,7 +57,7 @@
         Whether the whole system starts for the first time.
     """
 
-    __slots__ = ("_failed_at", "_first_start", "_started_at", "_told_at")
+    __slots__ = ("_failed_at", "_first_start", "_peer_update_at", "_started_at")
 
     def __init__(
         self, started_at: float = float("-inf"), *, first_start: bool = False
@@ -65,11 +65,11 @@
         self._failed_at = float("-inf")
         self._first_start = first_start
         self._started_at = started_at
-        self._told_at: dict[Kind, float] = {}
+        self._peer_update_at: dict[Kind, float] = {}
 
     def note_peer_update(self, kind: Kind, now: float) -> None:
         """Note that another host has just sent a complete update of a kind."""
-        self._told_at[kind] = now
+        self._peer_update_at[kind] = now
 
     def failed(self, now: float) -> None:
         """Note that the store refused a call of this host, or did not respond."""
@@ -84,7 +84,7 @@
 
         Other hosts should then watch it instead.
         """
-        return now - self._failed_at < TURNED_AWAY_S
+        return now - self._failed_at < STORE_UNREACHABLE_S
 
     def should_watch(
         self, kind: Kind, rank: int | None, now: float, *, empty: bool = False
@@ -113,23 +113,25 @@
             return False
         if rank == 0:
             return True
-        bears_s = self._empty_patience(rank) if empty else silence_timeout(rank, kind)
-        return self._silence(kind, now) > bears_s
+        timeout_s = self._empty_timeout(rank) if empty else silence_timeout(rank, kind)
+        return self._silence(kind, now) > timeout_s
 
-    def _empty_patience(self, rank: int) -> float:
+    def _empty_timeout(self, rank: int) -> float:
         """Return the silence timeout of a host that cannot serve yet, in seconds.
 
         Guards against a power loss of all hosts after which the host of rank 0 restarts
         last: with the usual timeout, the others would refuse callers for longer.
         """
         if not self._first_start:
-            return EMPTY_S
-        later_s = (rank - 1) * PATIENCE_EACH_S
-        return min(FIRST_EMPTY_MAX_S, FIRST_EMPTY_S + later_s)
+            return EMPTY_TIMEOUT_S
+        extra_s = (rank - 1) * SILENCE_TIMEOUT_STEP_S
+        return min(
+            MAX_FIRST_START_EMPTY_TIMEOUT_S, FIRST_START_EMPTY_TIMEOUT_S + extra_s
+        )
 
     def _silence(self, kind: Kind, now: float) -> float:
         """Return the time since the last peer update, or else since the start."""
-        return now - self._told_at.get(kind, self._started_at)
+        return now - self._peer_update_at.get(kind, self._started_at)
 
 
 def watch_wait_s(kind: Kind) -> float:
@@ -139,5 +141,7 @@
 
 def silence_timeout(rank: int, kind: Kind = Kind.CONFIG) -> float:
     """Return after what silence a host of this rank watches a kind, in seconds."""
-    usual = min(PATIENCE_MAX_S, PATIENCE_S + (rank - 1) * PATIENCE_EACH_S)
-    return usual + QUARANTINE_WATCH_S if kind is Kind.QUARANTINE else usual
+    timeout = min(
+        MAX_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_S + (rank - 1) * SILENCE_TIMEOUT_STEP_S
+    )
+    return timeout + QUARANTINE_WATCH_S if kind is Kind.QUARANTINE else timeout
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -1,6 +1,6 @@
 """When a host asks another one for what it misses."""
 
-from lacewingcross.core.catch_up import ASK_EVERY_S, BEHIND_S, CatchUp
+from lacewingcross.core.catch_up import MIN_ASK_INTERVAL_S, MISSED_PUSH_AFTER_S, CatchUp
 from lacewingcross.core.replica import Kind
 
 
@@ -11,14 +11,14 @@
     asked = [catch_up.should_ask(Kind.SERVER, 0, 7, 1.0) for _ in range(10)]
     assert asked == [True] + [False] * 9
     assert catch_up.should_ask(Kind.CONFIG, 0, 7, 1.0)
-    assert catch_up.should_ask(Kind.SERVER, 0, 7, 1.0 + ASK_EVERY_S)
+    assert catch_up.should_ask(Kind.SERVER, 0, 7, 1.0 + MIN_ASK_INTERVAL_S)
 
 
 def test_a_push_that_is_on_its_way_is_waited_for():
     catch_up = CatchUp()
     assert not catch_up.should_ask(Kind.SERVER, 5, 7, 1.0)
     assert not catch_up.should_ask(Kind.SERVER, 7, 7, 1.1)
-    assert not catch_up.should_ask(Kind.SERVER, 7, 9, 1.0 + BEHIND_S)
+    assert not catch_up.should_ask(Kind.SERVER, 7, 9, 1.0 + MISSED_PUSH_AFTER_S)
 
 
 def test_a_push_that_was_lost_is_asked_for():
@@ -27,4 +27,4 @@
     catch_up = CatchUp()
     assert not catch_up.should_ask(Kind.CONFIG, 5, 7, 1.0)
     assert not catch_up.should_ask(Kind.CONFIG, 5, 7, 1.2)
-    assert catch_up.should_ask(Kind.CONFIG, 5, 7, 1.0 + BEHIND_S)
+    assert catch_up.should_ask(Kind.CONFIG, 5, 7, 1.0 + MISSED_PUSH_AFTER_S)
--- a/tests/test_watch_election.py
+++ b/tests/test_watch_election.py
@@ -2,10 +2,10 @@
 
 from lacewingcross.core.replica import Kind
 from lacewingcross.core.watch_election import (
-    PATIENCE_MAX_S,
-    PATIENCE_S,
+    MAX_SILENCE_TIMEOUT_S,
     QUARANTINE_WATCH_S,
-    TURNED_AWAY_S,
+    SILENCE_TIMEOUT_S,
+    STORE_UNREACHABLE_S,
     WatchElection,
     silence_timeout,
     watch_wait_s,
@@ -19,7 +19,7 @@
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     assert election.should_watch(Kind.CONFIG, 0, 10.5)
-    assert not election.should_watch(Kind.CONFIG, 1, 10.0 + PATIENCE_S)
+    assert not election.should_watch(Kind.CONFIG, 1, 10.0 + SILENCE_TIMEOUT_S)
 
 
 def test_a_host_that_hears_nothing_of_one_kind_follows_that_kind():
@@ -44,8 +44,10 @@
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     for rank in (1, 5, 4500):
-        assert election.should_watch(Kind.CONFIG, rank, 10.0 + PATIENCE_MAX_S + 0.01)
-    assert PATIENCE_MAX_S + 0.3 < IN_FORCE_S
+        assert election.should_watch(
+            Kind.CONFIG, rank, 10.0 + MAX_SILENCE_TIMEOUT_S + 0.01
+        )
+    assert MAX_SILENCE_TIMEOUT_S + 0.3 < IN_FORCE_S
 
 
 def test_a_host_that_has_stepped_in_goes_on_until_somebody_tells_it_something():
@@ -85,8 +87,8 @@
     election = WatchElection()
     assert not election.store_unreachable(10.0)
     election.failed(10.0)
-    assert election.store_unreachable(10.0 + TURNED_AWAY_S / 2)
-    assert not election.store_unreachable(10.0 + TURNED_AWAY_S)
+    assert election.store_unreachable(10.0 + STORE_UNREACHABLE_S / 2)
+    assert not election.store_unreachable(10.0 + STORE_UNREACHABLE_S)
     election.failed(20.0)
     election.succeeded()
     assert not election.store_unreachable(20.0)
@@ -101,5 +103,5 @@
     election.note_peer_update(Kind.QUARANTINE, 10.0)
     assert not election.should_watch(Kind.QUARANTINE, 1, 10.0 + QUARANTINE_WATCH_S)
     assert election.should_watch(
-        Kind.QUARANTINE, 1, 10.0 + QUARANTINE_WATCH_S + PATIENCE_MAX_S
+        Kind.QUARANTINE, 1, 10.0 + QUARANTINE_WATCH_S + MAX_SILENCE_TIMEOUT_S
     )
