--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts: keys, ranks, homes, and what a stored configuration may say."""
+"""Client accounts: keys, ranks, home regions, and validation of stored accounts."""
 
 import pytest
 
@@ -123,7 +123,7 @@
 
 
 def test_credentials_sent_twice_are_refused():
-    # One of them may be counted here and the other one obeyed by a backend server.
+    # This host might use one of the headers, and a backend server the other one.
     with pytest.raises(CredentialsError):
         read_key([(b"authorization", b"Bearer a"), (b"authorization", b"Bearer a")])
 
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -1,12 +1,12 @@
-"""When a host asks another one for what it misses."""
+"""When a host asks another host for contents of the store that it is missing."""
 
 from lacewingcross.core.catch_up import MIN_ASK_INTERVAL_S, MISSED_PUSH_AFTER_S, CatchUp
 from lacewingcross.core.replica import Kind
 
 
 def test_a_host_that_starts_asks_one_of_its_peers():
-    # A host starts in a fleet of 195. Asking each peer for everything brought it as
-    # many copies of all servers as there are hosts.
+    # A host starts in a fleet of 195. If it asked each peer for everything, it would
+    # receive as many copies of all servers as there are hosts.
     catch_up = CatchUp()
     asked = [catch_up.should_ask(Kind.SERVER, 0, 7, 1.0) for _ in range(10)]
     assert asked == [True] + [False] * 9
@@ -22,8 +22,8 @@
 
 
 def test_a_push_that_was_lost_is_asked_for():
-    # The store is away, and the stream that carried the last push broke. Nobody pushes
-    # again; without a question the host would keep the old configuration.
+    # The store is unavailable, and the stream that carried the last push broke. No host
+    # pushes again; without a request the host would keep the old configuration.
     catch_up = CatchUp()
     assert not catch_up.should_ask(Kind.CONFIG, 5, 7, 1.0)
     assert not catch_up.should_ask(Kind.CONFIG, 5, 7, 1.2)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of client accounts over all hosts: the promise under faults, and calm days."""
+"""Quotas of client accounts over all hosts: the bound under faults, and normal load."""
 
 import math
 from collections import Counter
@@ -19,7 +19,7 @@
 
 
 def load_of(rates, hosts=None):
-    """Return callers that send at rates to all hosts alike, or to some."""
+    """Return a load of `rates` requests per second, for all hosts or some."""
 
     def load(fleet):
         send_step(fleet, rates, sorted(hosts if hosts is not None else fleet.nodes))
@@ -37,13 +37,11 @@
     return fleet
 
 
-# Calm days
-
-
 @pytest.mark.parametrize("count", [1, 3, 12])
 def test_on_a_calm_day_next_to_nothing_is_refused(count):
-    # Callers send five eighths of their quotas, as the users' do. Even shares of the
-    # smallest accounts would be less than a request for each host.
+    # Callers send five eighths of their quotas, as the users' callers do. If the quotas
+    # of the smallest accounts were divided evenly, each host would have less than one
+    # request.
     fleet = settled(count)
     fleet.play(60.0, load_of(times_quota(0.625)))
     sent = sum(map(len, fleet.runs.values())) + sum(fleet.refused.values())
@@ -52,7 +50,7 @@
 
 
 def test_hosts_that_hold_no_share_serve_accounts_too():
-    # Fifty equal hosts: twelve hold shares, the others ask them for each request.
+    # Of fifty equal hosts, twelve hold shares; the others charge each request to them.
     fleet = settled(50)
     fleet.play(30.0, load_of(times_quota(0.625)))
     sent = sum(map(len, fleet.runs.values()))
@@ -77,7 +75,7 @@
 
 
 def test_refused_callers_are_told_times_of_their_own():
-    # Those who are told the same time come back together and are refused together.
+    # Callers with the same retry time would retry together and be refused together.
     fleet = settled(1)
     node = next(iter(fleet.nodes.values()))
     told = []
@@ -90,15 +88,12 @@
                 told.append(round(at.now + found.retry_after_s, 4))
 
     fleet.play(2.0, flood)
-    # More callers than there are turns in a window have to share some of them.
+    # If there are more callers than retry times in a window, some times are shared.
     turns = LARGE.rate * fleet.bound.window_s
     assert len(told) > turns
     assert max(Counter(told).values()) <= math.ceil(len(told) / turns)
 
 
-# What the promise has to bear
-
-
 def flood_through(fleet, seconds):
     fleet.play(seconds, load_of(times_quota(8.0)))
 
@@ -113,8 +108,8 @@
 
 
 def test_both_sides_of_a_cut_keep_to_the_quota_together():
-    # A fleet is cut in two for half a minute while an account floods both sides. Each
-    # side finds a keeper; with the whole quota at each, twice as much would run.
+    # A fleet is partitioned for half a minute while an account floods both sides. Each
+    # side has a keeper; with the whole quota on each side, twice as much would run.
     fleet = settled()
     cut_in_two(fleet)
     assert fleet.excess() <= 0
@@ -133,15 +128,15 @@
 
 
 def test_a_fleet_that_starts_again_twice_in_a_window_gives_no_credit_twice():
-    # All hosts are killed and start again, twice within five seconds, in a flood. None
-    # knows what was spent; credit from nothing, three times, would break the bound.
+    # All hosts are killed and restart, twice within five seconds, in a flood. No host
+    # knows how much credit was spent; granting it three times would exceed the bound.
     fleet = settled()
     restart_all_twice(fleet)
     assert fleet.excess() <= 0
 
 
 def join_behind_a_cut(fleet):
-    """Add hosts that one part of the fleet cannot see."""
+    """Add hosts that one side of a partition cannot reach."""
     names = sorted(fleet.nodes)
     fleet.split(names[:3], names[3:])
     for _ in range(3):
@@ -157,7 +152,7 @@
 
 
 def keepers_change(fleet):
-    """Cut the keepers off and let them back, again and again."""
+    """Partition the keepers from all others and reconnect them, repeatedly."""
     for account in ("large", "small", "large"):
         node = next(iter(fleet.nodes.values()))
         keeper = node.quotas.ledger.keeper(account)
@@ -175,8 +170,9 @@
 
 
 def test_a_suspended_keeper_does_not_spend_what_others_keep_now():
-    # A keeper is suspended for four seconds; its ordinary clock does not notice. What
-    # was lent to it is lent to others now, and must not count at it once more.
+    # A keeper is suspended for four seconds, during which its monotonic clock stops.
+    # The shares that it was lent are now lent to others and must not count for it as
+    # well.
     fleet = settled()
     flood_through(fleet, 3.0)
     keeper = next(iter(fleet.nodes.values())).quotas.ledger.keeper("large")
@@ -187,7 +183,7 @@
 
 
 def test_a_lowered_quota_binds_and_a_raised_one_serves_more():
-    # Operators lower a quota far below what is sent, and raise it again.
+    # Operators lower a quota far below the load, and raise it again.
     fleet = settled()
     flood_through(fleet, 5.0)
     fleet.configure({**BOTH, "large": Quota(6.0, 6.0)})
@@ -202,7 +198,8 @@
 
 
 def test_rolling_restarts_refuse_little_of_a_calm_load():
-    # Every host leaves and comes back in turn; each takes its accounts along.
+    # All hosts restart one after the other. While a host restarts, its accounts need
+    # another keeper.
     fleet = settled(12)
     rates = times_quota(0.625)
     fleet.play(5.0, load_of(rates))
@@ -217,8 +214,8 @@
 
 
 def test_a_keeper_that_dies_is_missed_by_few_callers():
-    # Its port refuses connections, so the next keeper steps in at once; what hosts may
-    # owe carries the account until leases have come.
+    # Its port refuses connections, so the next keeper takes over at once. Until leases
+    # arrive there, hosts run requests of the account as debt.
     fleet = settled(12)
     rates = times_quota(0.625)
     fleet.play(5.0, load_of(rates))
@@ -229,9 +226,9 @@
 
 
 def test_an_account_that_loses_its_quota_and_gets_it_back_is_served():
-    # Operators take an account's quota away and set it again. A keeper that heard only
-    # of the last version has the host's old sums, and sums that began at nought again
-    # would look like old news: nothing would be paid for a minute.
+    # Operators remove an account's quota and set it again. A keeper that has seen only
+    # the last version still has the host's old totals. It would ignore totals that
+    # restart at 0 as outdated, and pay nothing for a minute.
     fleet = settled()
     fleet.play(10.0, load_of(times_quota(0.625)))
     keeper = next(iter(fleet.nodes.values())).quotas.ledger.keeper("large")
@@ -244,9 +241,6 @@
     assert fleet.refused["large"] - before["large"] <= 2
 
 
-# Guards taken out
-
-
 def broken_by(play, fleet=None):
     fleet = fleet or settled()
     play(fleet)
@@ -305,11 +299,8 @@
     assert broken_by(keepers_change)
 
 
-# All together
-
-
 class QuotaMachine(RuleBasedStateMachine):
-    """Five hosts, two accounts, and whatever befalls them."""
+    """Five hosts, two accounts, and all kinds of faults in any order."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""The copy of the store: forward only, and honest about what it may lack."""
+"""The copy of the store: revisions never decrease, and gaps are not taken as seen."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -20,8 +20,8 @@
 
 
 def test_an_older_version_told_late_does_not_come_back():
-    # A host hears of version 9 from one peer, then version 7 from a slower one.
-    # Taking it would put an old configuration back in force.
+    # A host receives version 9 from one peer, then version 7 from a slower one.
+    # Applying version 7 would put an old configuration back in force.
     replica = Replica()
     replica.apply(changes(0, 9, server("a", 9, "new")))
     assert replica.apply(changes(0, 7, server("a", 7, "old"))) == []
@@ -29,8 +29,9 @@
 
 
 def test_a_lost_push_is_not_counted_as_seen():
-    # The push of revisions 5 to 8 is lost with a stream; the one of 8 to 10 arrives.
-    # A host that took itself for complete at 10 would send to a server that left at 6.
+    # The push of revisions 5 to 8 is lost with its stream; the one of 8 to 10 arrives.
+    # A host that considered itself complete at 10 would send requests to a server that
+    # shut down at 6.
     replica = Replica()
     replica.apply(listing(5, server("a", 3)))
     replica.apply(changes(8, 10, server("b", 10)))
@@ -41,7 +42,7 @@
 
 
 def test_a_listing_shows_deletions_by_absence_only():
-    # The store drops its history while a server leaves; no event says so.
+    # The store drops its history while a server shuts down, so no event reports this.
     replica = Replica()
     replica.apply(listing(5, server("a", 3), server("b", 4)))
     fresh = replica.apply(listing(9, server("b", 4)))
@@ -60,9 +61,9 @@
 
 
 def test_a_host_that_never_knew_an_object_cannot_leave_it_with_another():
-    # Host A knows server "a". It leaves; host B starts and lists the store, where there
-    # is nothing to see of "a". B brings A up to date: with changes alone A would send
-    # requests to "a" for good. (Found by the state machine below.)
+    # Host A knows server "a". The server shuts down, then host B starts and lists the
+    # store, which no longer contains "a". B sends A an update. With changes only, A
+    # would send requests to "a" forever.
     told, teller = Replica(), Replica()
     told.apply(listing(1, server("a", 1)))
     teller.apply(listing(2))
@@ -72,10 +73,9 @@
 
 
 def test_a_late_push_does_not_bring_back_an_object_that_a_listing_did_not_show():
-    # Server "a" registers at revision 2 and leaves at 3. A host that has just started
-    # lists the store at 3, where there is nothing of "a"; then a peer's push of
-    # revision 2, sent before, arrives. The host would send requests to "a" for good.
-    # (Found by the state machine below.)
+    # Server "a" registers at revision 2 and shuts down at 3. A host that has just
+    # started lists the store at 3, which does not contain "a"; then an older push of
+    # revision 2 arrives from a peer. The host would send requests to "a" forever.
     replica = Replica()
     replica.apply(listing(3))
     assert replica.apply(changes(0, 2, server("a", 2))) == []
@@ -83,8 +83,8 @@
 
 
 def test_a_late_push_does_not_bring_back_what_was_deleted_before_a_listing():
-    # The same for a name that was used and deleted before: the host knows an older
-    # deletion of "a", missed its second life, and lists the store after that.
+    # The same for a name that is used twice: the host knows the first deletion of "a",
+    # missed its second registration and deletion, and then lists the store.
     replica = Replica()
     replica.apply(changes(0, 1, server("a", 1, None)))
     replica.apply(listing(7))
@@ -93,7 +93,7 @@
 
 
 class TwoHosts(RuleBasedStateMachine):
-    """A store's history, told to two replicas in pieces, some of them lost."""
+    """A store's history that reaches two replicas in pieces, some of which are lost."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_watch_election.py
+++ b/tests/test_watch_election.py
@@ -1,4 +1,4 @@
-"""Which host follows the store, and when the others step in."""
+"""Which host watches the store, and when another host takes over."""
 
 from lacewingcross.core.replica import Kind
 from lacewingcross.core.watch_election import (
@@ -11,7 +11,7 @@
     watch_wait_s,
 )
 
-# What operators write has to be in force everywhere within this, in seconds.
+# Time within which an operator's change has to be in force on all hosts, in seconds.
 IN_FORCE_S = 2.5
 
 
@@ -23,8 +23,8 @@
 
 
 def test_a_host_that_hears_nothing_of_one_kind_follows_that_kind():
-    # The host that follows the store finds one watch deaf: servers' changes still come,
-    # configuration does not.
+    # One watch of the watching host stops responding: updates of servers still arrive,
+    # updates of the configuration do not.
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     election.note_peer_update(Kind.SERVER, 12.0)
@@ -33,14 +33,14 @@
 
 
 def test_hosts_step_in_one_after_the_other():
-    # The host that follows the store loses power. If all others asked the store at
-    # once, each outage of one host would cost a call a host.
+    # The watching host loses power. If all others asked the store at the same time,
+    # each outage of one host would cost one call per host.
     assert [silence_timeout(rank) for rank in (1, 2, 3)] == [1.5, 1.6, 1.7]
 
 
 def test_a_host_that_is_cut_off_from_all_others_is_in_time():
-    # The last word came just before an operator's change, then the host was cut off.
-    # It has to see the change while it is still allowed to be unaware of it.
+    # The last update came just before an operator's change, then the host was
+    # partitioned. It has to read the change before the time limit for changes is over.
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     for rank in (1, 5, 4500):
@@ -51,8 +51,9 @@
 
 
 def test_a_host_that_has_stepped_in_goes_on_until_somebody_tells_it_something():
-    # Whoever is first is deaf for the whole outage. Going by the age of its own
-    # reading, the host would pause after each watch and see changes two seconds late.
+    # The host of rank 0 sends nothing during the whole outage. If the silence counted
+    # from its own reading, the host that took over would pause after each watch and see
+    # changes two seconds late.
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     election.succeeded()
@@ -63,8 +64,8 @@
 
 
 def test_a_host_that_cannot_serve_yet_reads_the_store_soon():
-    # All hosts lose power, and the one whose turn it is to read the store comes back
-    # last. Waiting for it as usual, the others refused callers for another 1.5 s.
+    # All hosts lose power, and the host of rank 0 restarts last. With the usual
+    # timeout, the others refused callers for another 1.5 s.
     again = WatchElection(10.0)
     assert not again.should_watch(Kind.CONFIG, 5, 10.0, empty=True)
     assert again.should_watch(Kind.CONFIG, 5, 10.1, empty=True)
@@ -74,7 +75,7 @@
 
 def test_a_first_start_reads_the_store_once():
     # Hundreds of hosts start for the first time, and callers come seconds later. Each
-    # call of the store is paid for; the first host tells the others.
+    # call to the store costs money, so the host of rank 0 reads it for all others.
     first = WatchElection(10.0, first_start=True)
     assert first.should_watch(Kind.CONFIG, 0, 10.0, empty=True)
     assert not any(
@@ -95,8 +96,8 @@
 
 
 def test_quarantines_are_watched_with_few_calls_and_not_given_up():
-    # They change hardly ever; a call a second for them would be a third of all calls.
-    # Whoever steps in must wait longer than the watch of a host that lives.
+    # Quarantines hardly ever change; one call per second for them would be a third of
+    # all calls. A host that takes over must wait longer than one watch of a live host.
     assert watch_wait_s(Kind.QUARANTINE) == QUARANTINE_WATCH_S
     assert silence_timeout(1, Kind.QUARANTINE) > QUARANTINE_WATCH_S
     election = WatchElection()
