--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -16,17 +16,19 @@
 
 
 def test_a_key_names_its_account():
-    made = Accounts([(ClientAccount("a"), ["k1", "k2"]), (ClientAccount("b"), ["k3"])])
-    assert made.holder("k2").name == "a"
-    assert made.holder("k3").name == "b"
-    assert made.holder("k4") is None
+    accounts = Accounts(
+        [(ClientAccount("a"), ["k1", "k2"]), (ClientAccount("b"), ["k3"])]
+    )
+    assert accounts.holder("k2").name == "a"
+    assert accounts.holder("k3").name == "b"
+    assert accounts.holder("k4") is None
 
 
-def test_a_key_of_two_accounts_is_refused_and_not_told():
-    with pytest.raises(AccountError) as caught:
+def test_a_key_of_two_accounts_is_refused_and_not_shown():
+    with pytest.raises(AccountError) as raised:
         Accounts([(ClientAccount("a"), ["secret"]), (ClientAccount("b"), ["secret"])])
-    assert caught.value.code == "shared-key"
-    assert "secret" not in str(caught.value)
+    assert raised.value.code == "shared-key"
+    assert "secret" not in str(raised.value)
 
 
 def test_an_account_may_name_a_key_twice():
@@ -39,15 +41,15 @@
     assert terms_for(route("r"), None).rank == 1
 
 
-def test_homes_of_route_and_account_both_bind():
-    bound = route("r", homes=("norte", "centro"))
+def test_home_regions_of_route_and_account_both_apply():
+    regional_route = route("r", homes=("norte", "centro"))
     south = ClientAccount("a", home_regions=frozenset(("sureste", "norte")))
-    assert terms_for(bound, south).regions == {"norte"}
+    assert terms_for(regional_route, south).regions == {"norte"}
     assert terms_for(route("r"), south).regions == {"sureste", "norte"}
-    assert terms_for(bound, ClientAccount("a")).regions == {"norte", "centro"}
+    assert terms_for(regional_route, ClientAccount("a")).regions == {"norte", "centro"}
 
 
-def test_homes_without_a_common_region_leave_nothing_and_not_everything():
+def test_home_regions_without_a_common_one_allow_no_region():
     # An empty set of regions means all of them; here it must not.
     far = ClientAccount("a", home_regions=frozenset(("sureste",)))
     assert terms_for(route("r", homes=("norte",)), far).no_common_region
@@ -99,9 +101,9 @@
     ],
 )
 def test_an_account_that_cannot_be_read_is_refused_without_its_key(account):
-    with pytest.raises(UserError) as caught:
+    with pytest.raises(UserError) as raised:
         decode_configuration(stored(a=account))
-    assert "secret" not in str(caught.value)
+    assert "secret" not in str(raised.value)
 
 
 @pytest.mark.parametrize(
@@ -117,9 +119,9 @@
     ],
 )
 def test_credentials_that_are_no_key_are_refused(value):
-    with pytest.raises(CredentialsError) as caught:
+    with pytest.raises(CredentialsError) as raised:
         read_key([(b"authorization", value)])
-    assert "abc" not in str(caught.value)
+    assert "abc" not in str(raised.value)
 
 
 def test_credentials_sent_twice_are_refused():
@@ -133,7 +135,7 @@
     assert read_key([(b"host", b"a")]) == ""
 
 
-def test_the_parts_of_the_bound_stay_within_it():
+def test_debts_and_credit_stay_within_the_bound():
     bound = QuotaBound(5.0, 0.1, 20.0)
     for quota in (Quota(1.6, 1.6), Quota(198.0, 198.0), Quota(5.0, 0.0)):
         for holders in (1, 2, 7, 12):
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -14,7 +14,7 @@
     assert catch_up.should_ask(Kind.SERVER, 0, 7, 1.0 + MIN_ASK_INTERVAL_S)
 
 
-def test_a_push_that_is_on_its_way_is_waited_for():
+def test_a_push_that_has_not_arrived_yet_is_waited_for():
     catch_up = CatchUp()
     assert not catch_up.should_ask(Kind.SERVER, 5, 7, 1.0)
     assert not catch_up.should_ask(Kind.SERVER, 7, 7, 1.1)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -31,18 +31,18 @@
     return {name: quota.rate * times for name, quota in quotas.items()}
 
 
-def settled(count=5, quotas=BOTH, **kwargs):
+def settled_fleet(count=5, quotas=BOTH, **kwargs):
     fleet = QuotaFleet(count, quotas, **kwargs)
     fleet.play(8.0)
     return fleet
 
 
 @pytest.mark.parametrize("count", [1, 3, 12])
-def test_on_a_calm_day_next_to_nothing_is_refused(count):
+def test_almost_nothing_is_refused_under_normal_load(count):
     # Callers send five eighths of their quotas, as the users' callers do. If the quotas
     # of the smallest accounts were divided evenly, each host would have less than one
     # request.
-    fleet = settled(count)
+    fleet = settled_fleet(count)
     fleet.play(60.0, load_of(times_quota(0.625)))
     sent = sum(map(len, fleet.runs.values())) + sum(fleet.refused.values())
     assert sum(fleet.refused.values()) <= sent / 1000
@@ -51,21 +51,21 @@
 
 def test_hosts_that_hold_no_share_serve_accounts_too():
     # Of fifty equal hosts, twelve hold shares; the others charge each request to them.
-    fleet = settled(50)
+    fleet = settled_fleet(50)
     fleet.play(30.0, load_of(times_quota(0.625)))
     sent = sum(map(len, fleet.runs.values()))
     assert sum(fleet.refused.values()) <= sent / 1000
 
 
 def test_all_requests_of_an_account_may_come_to_one_host():
-    fleet = settled()
+    fleet = settled_fleet()
     fleet.play(30.0, load_of(times_quota(0.625), hosts=[next(iter(fleet.nodes))]))
     assert sum(fleet.refused.values()) <= sum(map(len, fleet.runs.values())) / 1000
 
 
 def test_a_flood_of_one_account_gets_its_quota_and_costs_the_others_nothing():
     # One account sends eight times its usual rate, five times its quota.
-    fleet = settled()
+    fleet = settled_fleet()
     rates = {**times_quota(0.625), "large": LARGE.rate * 5}
     fleet.play(20.0, load_of(rates))
     assert len(fleet.runs["large"]) >= LARGE.rate * 20.0
@@ -74,31 +74,33 @@
     assert fleet.excess() <= 0
 
 
-def test_refused_callers_are_told_times_of_their_own():
+def test_refused_callers_get_different_retry_times():
     # Callers with the same retry time would retry together and be refused together.
-    fleet = settled(1)
+    fleet = settled_fleet(1)
     node = next(iter(fleet.nodes.values()))
-    told = []
+    retry_times = []
 
     def flood(fleet):
         for _ in range(5):
             at = fleet._times(node)
-            found = node.quotas.ask("large", at)
-            if found.retry_after_s:
-                told.append(round(at.now + found.retry_after_s, 4))
+            admission = node.quotas.ask("large", at)
+            if admission.retry_after_s:
+                retry_times.append(round(at.now + admission.retry_after_s, 4))
 
     fleet.play(2.0, flood)
     # If there are more callers than retry times in a window, some times are shared.
-    turns = LARGE.rate * fleet.bound.window_s
-    assert len(told) > turns
-    assert max(Counter(told).values()) <= math.ceil(len(told) / turns)
+    retry_slots = LARGE.rate * fleet.bound.window_s
+    assert len(retry_times) > retry_slots
+    assert max(Counter(retry_times).values()) <= math.ceil(
+        len(retry_times) / retry_slots
+    )
 
 
 def flood_through(fleet, seconds):
     fleet.play(seconds, load_of(times_quota(8.0)))
 
 
-def cut_in_two(fleet):
+def partition_in_two(fleet):
     names = sorted(fleet.nodes)
     flood_through(fleet, 6.0)
     fleet.split(names[:2], names[2:])
@@ -107,11 +109,11 @@
     flood_through(fleet, 6.0)
 
 
-def test_both_sides_of_a_cut_keep_to_the_quota_together():
+def test_both_sides_of_a_partition_together_stay_within_the_quota():
     # A fleet is partitioned for half a minute while an account floods both sides. Each
     # side has a keeper; with the whole quota on each side, twice as much would run.
-    fleet = settled()
-    cut_in_two(fleet)
+    fleet = settled_fleet()
+    partition_in_two(fleet)
     assert fleet.excess() <= 0
     assert len(fleet.runs["large"]) >= 0.9 * LARGE.rate * 42.0
 
@@ -127,15 +129,15 @@
     flood_through(fleet, 6.0)
 
 
-def test_a_fleet_that_starts_again_twice_in_a_window_gives_no_credit_twice():
+def test_a_fleet_that_restarts_twice_in_a_window_grants_no_credit_twice():
     # All hosts are killed and restart, twice within five seconds, in a flood. No host
     # knows how much credit was spent; granting it three times would exceed the bound.
-    fleet = settled()
+    fleet = settled_fleet()
     restart_all_twice(fleet)
     assert fleet.excess() <= 0
 
 
-def join_behind_a_cut(fleet):
+def join_behind_a_partition(fleet):
     """Add hosts that one side of a partition cannot reach."""
     names = sorted(fleet.nodes)
     fleet.split(names[:3], names[3:])
@@ -145,9 +147,9 @@
     flood_through(fleet, 12.0)
 
 
-def test_hosts_that_join_behind_a_cut_add_nothing_to_the_whole():
-    fleet = settled()
-    join_behind_a_cut(fleet)
+def test_hosts_that_join_behind_a_partition_do_not_exceed_the_bound():
+    fleet = settled_fleet()
+    join_behind_a_partition(fleet)
     assert fleet.excess() <= 0
 
 
@@ -163,17 +165,17 @@
         flood_through(fleet, 3.0)
 
 
-def test_keepers_that_are_cut_off_and_come_back_add_nothing_to_the_whole():
-    fleet = settled()
+def test_keepers_that_are_partitioned_and_reconnect_do_not_exceed_the_bound():
+    fleet = settled_fleet()
     keepers_change(fleet)
     assert fleet.excess() <= 0
 
 
-def test_a_suspended_keeper_does_not_spend_what_others_keep_now():
+def test_a_suspended_keeper_does_not_use_shares_lent_to_others_since():
     # A keeper is suspended for four seconds, during which its monotonic clock stops.
     # The shares that it was lent are now lent to others and must not count for it as
     # well.
-    fleet = settled()
+    fleet = settled_fleet()
     flood_through(fleet, 3.0)
     keeper = next(iter(fleet.nodes.values())).quotas.ledger.keeper("large")
     fleet.freeze(keeper, 4.0)
@@ -182,9 +184,9 @@
     assert fleet.excess() <= 0
 
 
-def test_a_lowered_quota_binds_and_a_raised_one_serves_more():
+def test_a_lowered_quota_applies_and_a_raised_one_serves_more():
     # Operators lower a quota far below the load, and raise it again.
-    fleet = settled()
+    fleet = settled_fleet()
     flood_through(fleet, 5.0)
     fleet.configure({**BOTH, "large": Quota(6.0, 6.0)})
     flood_through(fleet, 15.0)
@@ -197,10 +199,10 @@
     assert fleet.excess() <= 0
 
 
-def test_rolling_restarts_refuse_little_of_a_calm_load():
+def test_rolling_restarts_refuse_little_of_a_normal_load():
     # All hosts restart one after the other. While a host restarts, its accounts need
     # another keeper.
-    fleet = settled(12)
+    fleet = settled_fleet(12)
     rates = times_quota(0.625)
     fleet.play(5.0, load_of(rates))
     for name in sorted(fleet.nodes):
@@ -213,10 +215,10 @@
     assert fleet.excess() <= 0
 
 
-def test_a_keeper_that_dies_is_missed_by_few_callers():
+def test_a_keeper_that_crashes_affects_few_callers():
     # Its port refuses connections, so the next keeper takes over at once. Until leases
     # arrive there, hosts run requests of the account as debt.
-    fleet = settled(12)
+    fleet = settled_fleet(12)
     rates = times_quota(0.625)
     fleet.play(5.0, load_of(rates))
     fleet.kill(next(iter(fleet.nodes.values())).quotas.ledger.keeper("large"))
@@ -229,7 +231,7 @@
     # Operators remove an account's quota and set it again. A keeper that has seen only
     # the last version still has the host's old totals. It would ignore totals that
     # restart at 0 as outdated, and pay nothing for a minute.
-    fleet = settled()
+    fleet = settled_fleet()
     fleet.play(10.0, load_of(times_quota(0.625)))
     keeper = next(iter(fleet.nodes.values())).quotas.ledger.keeper("large")
     for name, node in fleet.nodes.items():
@@ -241,62 +243,66 @@
     assert fleet.refused["large"] - before["large"] <= 2
 
 
-def broken_by(play, fleet=None):
-    fleet = fleet or settled()
-    play(fleet)
+def bound_broken_by(scenario, fleet=None):
+    fleet = fleet or settled_fleet()
+    scenario(fleet)
     return fleet.excess() > 0
 
 
-def test_holders_by_who_lives_would_break_the_promise_in_a_cut(monkeypatch):
-    def living(self, others):
+def test_holders_chosen_from_live_hosts_would_break_the_bound_in_a_partition(
+    monkeypatch,
+):
+    def live_hosts_only(self, others):
         live = [e.info for e in self._roster.entries.values() if e.last_heard_at > 0]
         now = max((e.last_heard_at for e in self._roster.entries.values()), default=0)
         entries = self._roster.entries
-        near = [i for i in live if now - entries[i.host_id].last_heard_at < 2.0]
-        chosen = active_hosts([self._roster.own, *near], 0.0)
+        recently_heard = [
+            i for i in live if now - entries[i.host_id].last_heard_at < 2.0
+        ]
+        chosen = active_hosts([self._roster.own, *recently_heard], 0.0)
         self.holders = quota_holders.Holders(info.host_id for info in chosen)
         self._confirming_hosts = frozenset()
 
-    monkeypatch.setattr(quota_holders.HolderWatch, "_choose", living)
+    monkeypatch.setattr(quota_holders.HolderWatch, "_choose", live_hosts_only)
     review = quota_holders.HolderWatch.review
 
-    def anew(self, now):
+    def review_each_time(self, now):
         self._known_hosts = None
         review(self, now)
 
-    monkeypatch.setattr(quota_holders.HolderWatch, "review", anew)
-    assert broken_by(cut_in_two)
+    monkeypatch.setattr(quota_holders.HolderWatch, "review", review_each_time)
+    assert bound_broken_by(partition_in_two)
 
 
-def test_debts_at_once_after_a_start_would_break_the_promise(monkeypatch):
+def test_debts_right_after_a_start_would_break_the_bound(monkeypatch):
     monkeypatch.setattr(
         quotas.Quotas, "_may_run_unpaid", lambda self, now: self.watch.good
     )
     monkeypatch.setattr(quota_keeper, "_Bucket", full_bucket())
-    assert broken_by(restart_all_twice)
+    assert bound_broken_by(restart_all_twice)
 
 
 def full_bucket():
-    made = quota_keeper._Bucket
+    bucket_class = quota_keeper._Bucket
 
     def bucket(quota, at):
-        found = made(quota, at)
-        found.level = 1e9
-        return found
+        filled = bucket_class(quota, at)
+        filled.level = 1e9
+        return filled
 
     return bucket
 
 
-def test_shares_of_newcomers_at_once_would_break_the_promise(monkeypatch):
+def test_immediate_shares_of_newcomers_would_break_the_bound(monkeypatch):
     monkeypatch.setattr(quota_holders.HolderWatch, "_may_hold", lambda self, now: True)
-    assert broken_by(join_behind_a_cut)
+    assert bound_broken_by(join_behind_a_partition)
 
 
-def test_leases_without_an_end_would_break_the_promise(monkeypatch):
+def test_leases_that_never_expire_would_break_the_bound(monkeypatch):
     monkeypatch.setattr(
         quota_keeper.QuotaKeeper, "_expire_leases", lambda self, now: None
     )
-    assert broken_by(keepers_change)
+    assert bound_broken_by(keepers_change)
 
 
 class QuotaMachine(RuleBasedStateMachine):
@@ -304,7 +310,7 @@
 
     def __init__(self):
         super().__init__()
-        self.fleet = settled(seed=1)
+        self.fleet = settled_fleet(seed=1)
 
     def pick(self, number):
         names = sorted(self.fleet.nodes)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -19,7 +19,7 @@
     return Update(Kind.SERVER, 0, as_of, list(documents), whole=True)
 
 
-def test_an_older_version_told_late_does_not_come_back():
+def test_an_older_version_that_arrives_late_is_ignored():
     # A host receives version 9 from one peer, then version 7 from a slower one.
     # Applying version 7 would put an old configuration back in force.
     replica = Replica()
@@ -45,8 +45,8 @@
     # The store drops its history while a server shuts down, so no event reports this.
     replica = Replica()
     replica.apply(listing(5, server("a", 3), server("b", 4)))
-    fresh = replica.apply(listing(9, server("b", 4)))
-    assert [(doc.name, doc.spec) for doc in fresh] == [("a", None)]
+    new_documents = replica.apply(listing(9, server("b", 4)))
+    assert [(doc.name, doc.spec) for doc in new_documents] == [("a", None)]
 
 
 def test_a_listing_does_not_delete_what_was_written_after_it():
@@ -60,16 +60,16 @@
     assert [doc.name for doc in replica.known(Kind.SERVER)] == ["late"]
 
 
-def test_a_host_that_never_knew_an_object_cannot_leave_it_with_another():
+def test_a_host_that_never_knew_an_object_deletes_it_at_another_host():
     # Host A knows server "a". The server shuts down, then host B starts and lists the
     # store, which no longer contains "a". B sends A an update. With changes only, A
     # would send requests to "a" forever.
-    told, teller = Replica(), Replica()
-    told.apply(listing(1, server("a", 1)))
-    teller.apply(listing(2))
-    told.apply(teller.update_since(Kind.SERVER, told.as_of(Kind.SERVER)))
-    assert told.as_of(Kind.SERVER) == 2
-    assert told.known(Kind.SERVER) == []
+    receiver, sender = Replica(), Replica()
+    receiver.apply(listing(1, server("a", 1)))
+    sender.apply(listing(2))
+    receiver.apply(sender.update_since(Kind.SERVER, receiver.as_of(Kind.SERVER)))
+    assert receiver.as_of(Kind.SERVER) == 2
+    assert receiver.known(Kind.SERVER) == []
 
 
 def test_a_late_push_does_not_bring_back_an_object_that_a_listing_did_not_show():
@@ -119,28 +119,30 @@
         ]
 
     @precondition(lambda self: self.revision > 0)
-    @rule(who=st.integers(0, 1), data=st.data())
-    def push(self, who, data):
+    @rule(target_index=st.integers(0, 1), data=st.data())
+    def push(self, target_index, data):
         since = data.draw(st.integers(0, self.revision))
         as_of = data.draw(st.integers(since, self.revision))
-        self.replicas[who].apply(changes(since, as_of, *self._changes(since, as_of)))
+        self.replicas[target_index].apply(
+            changes(since, as_of, *self._changes(since, as_of))
+        )
 
     @precondition(lambda self: self.revision > 0)
-    @rule(who=st.integers(0, 1), data=st.data())
-    def read_all(self, who, data):
+    @rule(target_index=st.integers(0, 1), data=st.data())
+    def read_all(self, target_index, data):
         as_of = data.draw(st.integers(1, self.revision))
         listed = [doc for doc in self._changes(0, as_of) if doc.spec is not None]
-        self.replicas[who].apply(listing(as_of, *listed))
+        self.replicas[target_index].apply(listing(as_of, *listed))
 
-    @rule(teller=st.integers(0, 1))
-    def pull(self, teller):
-        source, target = self.replicas[teller], self.replicas[1 - teller]
-        above, as_of = target.as_of(Kind.SERVER), source.as_of(Kind.SERVER)
-        if as_of > above:
-            target.apply(source.update_since(Kind.SERVER, above))
+    @rule(sender=st.integers(0, 1))
+    def pull(self, sender):
+        source, target = self.replicas[sender], self.replicas[1 - sender]
+        revision_known, as_of = target.as_of(Kind.SERVER), source.as_of(Kind.SERVER)
+        if as_of > revision_known:
+            target.apply(source.update_since(Kind.SERVER, revision_known))
 
     @invariant()
-    def complete_up_to_its_mark(self):
+    def complete_up_to_its_revision(self):
         for replica in self.replicas:
             truth = self.history[replica.as_of(Kind.SERVER)]
             known = {doc.name: doc.revision for doc in replica.known(Kind.SERVER)}
--- a/tests/test_watch_election.py
+++ b/tests/test_watch_election.py
@@ -15,14 +15,14 @@
 IN_FORCE_S = 2.5
 
 
-def test_the_first_host_follows_the_store_and_the_others_listen():
+def test_the_host_of_rank_0_watches_the_store_and_the_others_wait():
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     assert election.should_watch(Kind.CONFIG, 0, 10.5)
     assert not election.should_watch(Kind.CONFIG, 1, 10.0 + SILENCE_TIMEOUT_S)
 
 
-def test_a_host_that_hears_nothing_of_one_kind_follows_that_kind():
+def test_a_host_without_updates_of_one_kind_watches_that_kind():
     # One watch of the watching host stops responding: updates of servers still arrive,
     # updates of the configuration do not.
     election = WatchElection()
@@ -32,13 +32,13 @@
     assert not election.should_watch(Kind.SERVER, 1, 12.0)
 
 
-def test_hosts_step_in_one_after_the_other():
+def test_hosts_take_over_one_after_the_other():
     # The watching host loses power. If all others asked the store at the same time,
     # each outage of one host would cost one call per host.
     assert [silence_timeout(rank) for rank in (1, 2, 3)] == [1.5, 1.6, 1.7]
 
 
-def test_a_host_that_is_cut_off_from_all_others_is_in_time():
+def test_a_partitioned_host_watches_the_store_in_time():
     # The last update came just before an operator's change, then the host was
     # partitioned. It has to read the change before the time limit for changes is over.
     election = WatchElection()
@@ -50,7 +50,7 @@
     assert MAX_SILENCE_TIMEOUT_S + 0.3 < IN_FORCE_S
 
 
-def test_a_host_that_has_stepped_in_goes_on_until_somebody_tells_it_something():
+def test_a_host_that_has_taken_over_continues_until_another_sends_an_update():
     # The host of rank 0 sends nothing during the whole outage. If the silence counted
     # from its own reading, the host that took over would pause after each watch and see
     # changes two seconds late.
@@ -66,25 +66,27 @@
 def test_a_host_that_cannot_serve_yet_reads_the_store_soon():
     # All hosts lose power, and the host of rank 0 restarts last. With the usual
     # timeout, the others refused callers for another 1.5 s.
-    again = WatchElection(10.0)
-    assert not again.should_watch(Kind.CONFIG, 5, 10.0, empty=True)
-    assert again.should_watch(Kind.CONFIG, 5, 10.1, empty=True)
-    assert not again.should_watch(Kind.CONFIG, 5, 10.1)
-    assert not again.should_watch(Kind.CONFIG, None, 20.0, empty=True)
+    election = WatchElection(10.0)
+    assert not election.should_watch(Kind.CONFIG, 5, 10.0, empty=True)
+    assert election.should_watch(Kind.CONFIG, 5, 10.1, empty=True)
+    assert not election.should_watch(Kind.CONFIG, 5, 10.1)
+    assert not election.should_watch(Kind.CONFIG, None, 20.0, empty=True)
 
 
 def test_a_first_start_reads_the_store_once():
-    # Hundreds of hosts start for the first time, and callers come seconds later. Each
-    # call to the store costs money, so the host of rank 0 reads it for all others.
-    first = WatchElection(10.0, first_start=True)
-    assert first.should_watch(Kind.CONFIG, 0, 10.0, empty=True)
+    # Hundreds of hosts start for the first time, and callers come seconds later.
+    # Each call to the store costs money, so the host of rank 0 reads it for all others.
+    election = WatchElection(10.0, first_start=True)
+    assert election.should_watch(Kind.CONFIG, 0, 10.0, empty=True)
     assert not any(
-        first.should_watch(Kind.CONFIG, n, 10.3, empty=True) for n in (1, 2, 99)
+        election.should_watch(Kind.CONFIG, n, 10.3, empty=True) for n in (1, 2, 99)
+    )
+    assert all(
+        election.should_watch(Kind.CONFIG, n, 11.0, empty=True) for n in (1, 2, 99)
     )
-    assert all(first.should_watch(Kind.CONFIG, n, 11.0, empty=True) for n in (1, 2, 99))
 
 
-def test_a_host_that_the_store_turns_away_says_so_for_a_while():
+def test_the_store_counts_as_unreachable_for_a_while_after_a_failure():
     election = WatchElection()
     assert not election.store_unreachable(10.0)
     election.failed(10.0)
@@ -95,7 +97,7 @@
     assert not election.store_unreachable(20.0)
 
 
-def test_quarantines_are_watched_with_few_calls_and_not_given_up():
+def test_quarantines_are_watched_with_few_calls():
     # Quarantines hardly ever change; one call per second for them would be a third of
     # all calls. A host that takes over must wait longer than one watch of a live host.
     assert watch_wait_s(Kind.QUARANTINE) == QUARANTINE_WATCH_S
