--- a/lacewingcross/core/catch_up.py
+++ b/lacewingcross/core/catch_up.py
@@ -2,9 +2,8 @@
 
 from .replica import Kind
 
-# A copy that is behind another host's for this time has missed a push, in seconds. The
-# arrival times of one push at different hosts differ by a few network round trips (70
-# ms between regions).
+# A copy that is behind another host's for this time has missed a push, in seconds. One
+# push reaches all hosts within a few network round trips (70 ms between regions).
 MISSED_PUSH_AFTER_S = 0.5
 # Minimum time between two requests for one kind, in seconds; the response arrives
 # within it. A host that starts receives the revisions of all its peers at once, and
@@ -17,9 +16,9 @@
 
     Guards against a push that is lost with its stream, and against an outage of the
     store, during which no host pushes. A host that starts, or that was partitioned,
-    would keep its old copy. Each `Alive` message carries the sender's
-    revisions, so a host that is behind notices it from any peer, and asks one peer for
-    everything that it is missing.
+    would keep its old copy. Each `Alive` message carries the sender's revisions, so a
+    host that is behind notices it from any peer, and asks one peer for everything that
+    it is missing.
     """
 
     __slots__ = ("_asked_at", "_behind_since")
--- a/lacewingcross/core/config.py
+++ b/lacewingcross/core/config.py
@@ -124,8 +124,7 @@
             self.plan_versions.pop(name, None)
             return
         if kind not in CONFIG_KINDS:
-            # A host with a newer release may forward kinds that this host does not
-            # know.
+            # A host with a newer release may forward kinds unknown to this one.
             return
         known = self._table(kind).pop(name, None)
         if kind == res.POLICY:
--- a/lacewingcross/core/crashes.py
+++ b/lacewingcross/core/crashes.py
@@ -2,9 +2,9 @@
 
 Designed for a request that crashes each server that begins to run it, and that its
 caller repeats. Every crash costs the other requests at that server their responses, and
-the server restarts cold. No single host sees enough of these crashes, since each repeat
-may arrive at another host. So hosts send each other a report of each server that
-crashed, with the requests that it was running then.
+the server restarts cold: it has handled no object recently. No single host sees enough
+of these crashes, since each repeat may arrive at another host. So hosts send each other
+a report of each server that crashed, with the requests that it was running then.
 
 A crash also affects harmless requests that were running at the server. They differ from
 the request to blame in that another server responds to them: a response clears a
@@ -43,6 +43,12 @@
 
 @dataclass(slots=True)
 class _CrashRecord:
+    """One crash; `at` is when its first report arrived, in seconds.
+
+    `own` says whether this host has observed the crash itself. `requests` are those
+    that the crash counts against.
+    """
+
     at: float
     own: bool = False
     requests: set[str] = field(default_factory=set)
--- a/lacewingcross/core/quarantine.py
+++ b/lacewingcross/core/quarantine.py
@@ -16,7 +16,7 @@
 # causes crashes.
 QUARANTINE_S = 3600.0
 # Time to the next trial, in seconds. A server that crashes is missing for some ten
-# seconds, restart included, so a bad request costs less than 2 in 100 of one server.
+# seconds, restart included, so a bad request costs less than 2 in 100 of its time.
 TRIAL_INTERVAL_S = 600.0
 # Time to the first trial if several requests were running at the same servers, in
 # seconds. Most of them are harmless, and a server has restarted by then.
--- a/lacewingcross/core/quota_holders.py
+++ b/lacewingcross/core/quota_holders.py
@@ -76,12 +76,17 @@
         return None
 
     def _keeper_order(self, account: str) -> tuple[int, ...]:
+        """Return the indexes of the holders by preference as the account's keeper."""
         known = self._keeper_orders.get(account)
         if known is None:
             names = self.names
             indexes = range(len(names))
             known = tuple(
-                sorted(indexes, key=lambda p: hash64(account, names[p]), reverse=True)
+                sorted(
+                    indexes,
+                    key=lambda index: hash64(account, names[index]),
+                    reverse=True,
+                )
             )
             self._keeper_orders[account] = known
         return known
--- a/lacewingcross/core/quota_keeper.py
+++ b/lacewingcross/core/quota_keeper.py
@@ -265,7 +265,7 @@
             return None
         charges.charged = totals.charged
         charges.returned = totals.returned
-        # Another keeper may have been paid in the meantime.
+        # Another keeper may have paid charges in the meantime.
         charges.paid = max(charges.paid, totals.paid)
         charges.used_at = now
         self._refund(bucket, charges)
--- a/lacewingcross/core/quotas.py
+++ b/lacewingcross/core/quotas.py
@@ -6,9 +6,9 @@
 - `quota_holders` decides which hosts own shares of the quotas, and why the shares never
   add up to more than the whole.
 - `quota_keeper` grants credit for the accounts that this host keeps.
-- `quota_ledger` admits requests on this host. Charges are the requests that it has run,
-  a receipt acknowledges charges that the keeper has paid from its credit, and debt is
-  the requests run and not yet acknowledged as paid.
+- `quota_ledger` admits requests on this host. Charges are the requests that it has run
+  or will run when they are paid. A receipt acknowledges charges that the keeper has
+  paid from its credit. Debt is the requests run and not yet acknowledged as paid.
 """
 
 from collections.abc import Iterator, Sequence
@@ -55,11 +55,11 @@
     received_ms: int = 0
     sent_at: float = float("-inf")
     sent_live: int = 0
-    # Mask of the live holders in the last lease that it sent.
+    # Mask of the live holders in the last lease that was received.
     received_live: int = 0
-    # The newest reading of this host's clock that it has echoed.
+    # The newest reading of this host's clock that the other holder has echoed.
     acked_ms: int = 0
-    # When this host began to see it alive, on the clock that counts suspends.
+    # Since when the other holder is alive, on the clock that counts suspends.
     live_since: float | None = None
 
 
--- a/lacewingcross/core/watch_election.py
+++ b/lacewingcross/core/watch_election.py
@@ -3,8 +3,8 @@
 Every call to the store costs money, and a waiting watch counts as one call. So a single
 host watches the store and sends all other hosts the changes, or a message that nothing
 has changed. If another host receives no such message within its silence timeout, it
-watches the store itself: changes by operators must be in force on all hosts within 2.5
-s, also on a host that the others cannot reach.
+watches the store itself: an operator's change must be in force on all hosts within
+2.5 s, also on a host that the others cannot reach.
 """
 
 from .replica import Kind
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -209,10 +209,8 @@
             interrupted += entries
             self.running[self.next_id] = []
             self.next_id += 1
-            requests = {request for request, _, _ in entries}
-            self.quarantined += self.ledger.record_crash(crash(server, *requests), now)[
-                1
-            ]
+            names = {request for request, _, _ in entries}
+            self.quarantined += self.ledger.record_crash(crash(server, *names), now)[1]
         for request, _, tries in interrupted:
             if tries > 1:
                 self.arrive(request, now, tries - 1)
