--- a/lacewingcross/core/quarantine.py
+++ b/lacewingcross/core/quarantine.py
@@ -1,10 +1,10 @@
 """Requests that are refused because backend servers crash while they run them.
 
-The request that causes crashes cannot always be told from one that is only present each
-time: a popular request goes to the same servers as a bad one for the same object, and
-each crash interrupts it before it is answered. So a quarantine can be wrong, and a
-trial can end it: a single host of the fleet sends the request once, and a response
-clears the request on all hosts.
+The request that causes crashes cannot always be distinguished from one that is only
+present each time: a popular request goes to the same servers as a bad one for the same
+object, and each crash interrupts it before it is answered. So a quarantine can be
+wrong, and a trial can end it: a single host of the fleet sends the request once, and a
+response clears the request on all hosts.
 """
 
 from dataclasses import dataclass
--- a/lacewingcross/core/quota.py
+++ b/lacewingcross/core/quota.py
@@ -1,4 +1,4 @@
-"""Quotas of client accounts, and the bound that all hosts together keep to.
+"""Quotas of client accounts, and the bound on the requests of all hosts together.
 
 The bound allows somewhat more than the quota itself. `QuotaBound.spare` is that margin,
 and the constants below divide it.
--- a/lacewingcross/core/quota_holders.py
+++ b/lacewingcross/core/quota_holders.py
@@ -1,4 +1,4 @@
-"""Which entry hosts hold shares of the client accounts' quotas, and who keeps which.
+"""Which entry hosts hold shares of the accounts' quotas, and keep which accounts.
 
 The bound on a quota applies to the whole fleet, even while hosts cannot reach each
 other. So each of a few hosts, the *holders*, owns an equal share of every quota,
--- a/lacewingcross/core/quota_keeper.py
+++ b/lacewingcross/core/quota_keeper.py
@@ -123,7 +123,7 @@
     own_id : str
         Id of this host.
     bound : QuotaBound
-        The bound that all hosts together keep to.
+        The bound on the requests of all hosts together.
     """
 
     __slots__ = (
@@ -163,7 +163,7 @@
                 self._cap(bucket)
 
     def set_bound(self, bound: QuotaBound, now: float) -> None:
-        """Change the bound that all hosts together keep to."""
+        """Change the bound on the requests of all hosts together."""
         for bucket in self._buckets.values():
             self._fill(bucket, now)
         self._bound = bound
--- a/lacewingcross/core/quota_ledger.py
+++ b/lacewingcross/core/quota_ledger.py
@@ -76,7 +76,7 @@
     Parameters
     ----------
     bound : QuotaBound
-        The bound that all hosts together keep to.
+        The bound on the requests of all hosts together.
     rng : RandomSource
         Source of jitter.
     """
@@ -134,7 +134,7 @@
         return AccountUsage(quota, None, charged, returned, paid=charged - returned)
 
     def set_bound(self, bound: QuotaBound) -> None:
-        """Change the bound that all hosts together keep to."""
+        """Change the bound on the requests of all hosts together."""
         self._bound = bound
 
     def set_keeper(self, account: str, keeper: str | None) -> None:
--- a/lacewingcross/core/quotas.py
+++ b/lacewingcross/core/quotas.py
@@ -71,7 +71,7 @@
     roster : Roster
         The known hosts.
     bound : QuotaBound
-        The bound that all hosts together keep to.
+        The bound on the requests of all hosts together.
     rng : RandomSource
         Source of jitter.
     first_start : bool
@@ -134,7 +134,7 @@
             self._set_keepers()
 
     def set_bound(self, bound: QuotaBound, at: ClockReading) -> None:
-        """Change the bound that all hosts together keep to."""
+        """Change the bound on the requests of all hosts together."""
         self._bound = bound
         self.keeper.set_bound(bound, at.boot)
         self.ledger.set_bound(bound)
