--- a/lacewingcross/core/quota_ledger.py
+++ b/lacewingcross/core/quota_ledger.py
@@ -281,11 +281,11 @@
         for account in sorted(self._open):
             usage = self._usage_by_account[account]
             if usage.keeper is not None and self._is_due(usage, now):
-                yield usage.keeper, self.charge_of(account, now)
+                yield usage.keeper, self.next_charge(account, now)
             if not usage.open and usage.sent_totals == (usage.charged, usage.returned):
                 self._open.discard(account)
 
-    def charge_of(self, account: str, now: float) -> Charge:
+    def next_charge(self, account: str, now: float) -> Charge:
         """Return the current charge for the account's keeper, and note it as sent."""
         usage = self._usage_by_account[account]
         usage.sent_totals = (usage.charged, usage.returned)
--- a/lacewingcross/core/quotas.py
+++ b/lacewingcross/core/quotas.py
@@ -201,7 +201,7 @@
         admission = self.ledger.ask(account, at.now)
         if self.ledger.keeper(account) != self._roster.own.host_id:
             return admission
-        self._charge_own(self.ledger.charge_of(account, at.now), at)
+        self._charge_own(self.ledger.next_charge(account, at.now), at)
         if admission.outcome is not Outcome.WAITING:
             return admission
         decided = self.ledger.decided(account, at.now)
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -67,15 +67,15 @@
 
     def _known_crashes(self):
         ledgers = [host.ledger for host in self.hosts.values()]
-        if BAD in self.store or any(BAD in made.quarantine for made in ledgers):
+        if BAD in self.store or any(BAD in ledger.quarantine for ledger in ledgers):
             return len(self.crash_times)
         servers = [(f"i-{n + 1}", 0) for n in range(len(self.crash_times))]
         return sum(
-            any(BAD in made.crash_requests(server) for made in ledgers)
+            any(BAD in ledger.crash_requests(server) for ledger in ledgers)
             for server in servers
         )
 
-    def cut_off(self, name):
+    def partition(self, name):
         self.partitioned.add(name)
 
     def heal(self):
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -309,7 +309,7 @@
 
     @rule(name=st.sampled_from(NAMES))
     def a_host_is_cut_off(self, name):
-        self.simulation.cut_off(name)
+        self.simulation.partition(name)
 
     @rule()
     def cuts_heal(self):
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -142,8 +142,8 @@
     names = sorted(fleet.nodes)
     fleet.split(names[:3], names[3:])
     for _ in range(3):
-        made = fleet.join()
-        fleet.split([made], names[:3])
+        joined = fleet.join()
+        fleet.split([joined], names[:3])
     flood_through(fleet, 12.0)
 
 
@@ -312,25 +312,25 @@
         super().__init__()
         self.fleet = settled_fleet(seed=1)
 
-    def pick(self, number):
+    def pick(self, host_index):
         names = sorted(self.fleet.nodes)
-        return names[number % len(names)] if names else None
+        return names[host_index % len(names)] if names else None
 
     @rule(times=st.sampled_from([0.6, 3.0, 10.0]), seconds=st.floats(0.1, 3.0))
     def send(self, times, seconds):
         if self.fleet.nodes:
             self.fleet.play(seconds, load_of(times_quota(times, self.fleet.quotas)))
 
-    @rule(number=st.integers(0, 9), seconds=st.floats(0.1, 2.0))
-    def flood_one(self, number, seconds):
-        name = self.pick(number)
+    @rule(host_index=st.integers(0, 9), seconds=st.floats(0.1, 2.0))
+    def flood_one(self, host_index, seconds):
+        name = self.pick(host_index)
         if name is not None:
             self.fleet.play(seconds, load_of(times_quota(10.0), hosts=[name]))
 
-    @rule(places=st.integers(1, 30))
-    def cut(self, places):
+    @rule(mask=st.integers(1, 30))
+    def cut(self, mask):
         names = sorted(self.fleet.nodes)
-        here = [n for i, n in enumerate(names) if places >> i & 1]
+        here = [n for i, n in enumerate(names) if mask >> i & 1]
         self.fleet.split(here, [n for n in names if n not in here])
 
     @rule(a=st.integers(0, 9), b=st.integers(0, 9))
@@ -341,15 +341,15 @@
     def heal(self):
         self.fleet.cut.clear()
 
-    @rule(number=st.integers(0, 9))
-    def kill(self, number):
-        name = self.pick(number)
+    @rule(host_index=st.integers(0, 9))
+    def kill(self, host_index):
+        name = self.pick(host_index)
         if name is not None:
             self.fleet.kill(name)
 
-    @rule(number=st.integers(0, 9))
-    def lose_power(self, number):
-        name = self.pick(number)
+    @rule(host_index=st.integers(0, 9))
+    def lose_power(self, host_index):
+        name = self.pick(host_index)
         if name is not None:
             self.fleet.lose_power(name)
 
@@ -364,9 +364,9 @@
             self.fleet.kill(name)
         self.start_all()
 
-    @rule(number=st.integers(0, 9))
-    def leave_and_return(self, number):
-        name = self.pick(number)
+    @rule(host_index=st.integers(0, 9))
+    def leave_and_return(self, host_index):
+        name = self.pick(host_index)
         if name is not None and len(self.fleet.nodes) > 1:
             self.fleet.leave(name)
             self.fleet.start(name)
@@ -376,9 +376,9 @@
         if len(self.fleet.infos) < 8:
             self.fleet.join()
 
-    @rule(number=st.integers(0, 9), seconds=st.floats(0.5, 6.0))
-    def freeze(self, number, seconds):
-        name = self.pick(number)
+    @rule(host_index=st.integers(0, 9), seconds=st.floats(0.5, 6.0))
+    def freeze(self, host_index, seconds):
+        name = self.pick(host_index)
         if name is not None:
             self.fleet.freeze(name, seconds)
 
