--- a/bench/slots.py
+++ b/bench/slots.py
@@ -357,14 +357,14 @@
     """The paper's rule alone: dismiss at dispatch what would probably be late."""
 
     name = "slot keeper, acceptance test only"
-    policy = KeeperPolicy(queue_deadline_part=1e9)
+    policy = KeeperPolicy(queue_wait_fraction=1e9)
 
 
 class KeeperNoRefusal(KeeperWay):
     """The keeper without any refusal on arrival."""
 
     name = "slot keeper, dismissed only when late"
-    policy = KeeperPolicy(accept_test=False, queue_deadline_part=1e9)
+    policy = KeeperPolicy(accept_test=False, queue_wait_fraction=1e9)
 
 
 WAYS = (
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -26,7 +26,7 @@
         self.asked = 0
         self.go = asyncio.Event()
 
-    async def spare(self, entry, settle_s):
+    async def open_spare(self, entry, settle_s):
         self.asked += 1
         await self.go.wait()
         if self.reason:
