--- a/lacewingcross/core/quota_holders.py
+++ b/lacewingcross/core/quota_holders.py
@@ -1,13 +1,15 @@
-"""Which entry hosts hold shares of the client accounts' quotas, and who keeps which.
-
-A quota is a promise of the whole fleet, kept by hosts in touch or not. So each of a few
-hosts, the *holders*, owns an equal share of every quota, whether it lives or not; all
-shares together are one whole. A holder lends its shares to the *keepers* of the
-accounts, one living holder each (see `quota_keeper`), by leases that it lets lapse
-before it lends them to anybody else. However a fleet is cut, no share counts twice.
-
-Holders go by the list of hosts and not by who lives: all hosts reckon the same ones,
-and none takes over the share of one that it merely cannot hear.
+"""Which entry hosts hold shares of the accounts' quotas, and keep which accounts.
+
+The bound on a quota applies to the whole fleet, even while hosts cannot reach each
+other. So each of a few hosts, the *holders*, owns an equal share of every quota,
+whether the host is alive or not; all shares add up to one. Each account has one live
+holder as its *keeper* (see `quota_keeper`). A holder lends its shares of an account to
+the keeper by leases, and lets a lease expire before it lends the same share to another
+host. So no share counts twice, however the fleet is partitioned.
+
+The holders are computed from the list of hosts and not from the hosts that are alive.
+So all hosts compute the same holders, and no host takes over the share of one that is
+only unreachable.
 """
 
 from collections.abc import Iterable
@@ -17,16 +19,16 @@
 from .rendezvous import hash64
 from .roster import FORGET_AFTER_S, Roster
 
-# Each holder may run some requests of an account on trust. The smallest accounts bear
-# one each for so many hosts.
-HOLDERS_MOST = 12
-# Holders that start for the first time, all together, find each other within so long,
-# in seconds; nothing was lent before.
-FIRST_SETTLE_S = 2.0
+# Each holder may run some requests of an account before they are paid for. The debt of
+# the smallest accounts is enough for one request at each of this many hosts.
+MAX_HOLDERS = 12
+# Time in which holders find each other when the whole system starts for the first time,
+# in seconds. No share can have been lent before that.
+FIRST_START_SETTLE_S = 2.0
 
 
 class Holders:
-    """The holders in one view of the fleet, and whom they have keep each account.
+    """The holders in one view of the fleet, and the keeper of each account.
 
     Parameters
     ----------
@@ -36,69 +38,74 @@
     Attributes
     ----------
     names : tuple of str
-        Host ids in order.
+        Host ids, sorted.
     key : str
-        The same for all hosts that have the same view.
+        Hash of the names; equal on all hosts that have the same view.
     """
 
-    __slots__ = ("_orders", "_places", "key", "names")
+    __slots__ = ("_indexes", "_keeper_orders", "key", "names")
 
     def __init__(self, names: Iterable[str]) -> None:
         self.names = tuple(sorted(names))
         self.key = f"{hash64('quota-holders', *self.names):016x}"
-        self._places = {name: place for place, name in enumerate(self.names)}
-        self._orders: dict[str, tuple[int, ...]] = {}
+        self._indexes = {name: index for index, name in enumerate(self.names)}
+        self._keeper_orders: dict[str, tuple[int, ...]] = {}
 
     def __contains__(self, host_id: str) -> bool:
-        """Tell whether a host is one of them."""
-        return host_id in self._places
+        """Return whether a host is one of the holders."""
+        return host_id in self._indexes
 
     def __len__(self) -> int:
-        """Return how many there are."""
+        """Return the number of holders."""
         return len(self.names)
 
     def mask(self, live: Iterable[str]) -> int:
-        """Return a number whose bits say which holders are among some hosts."""
-        found = 0
+        """Return a bit mask of the holders that are in `live`, by index in `names`."""
+        bits = 0
         for name in live:
-            place = self._places.get(name)
-            if place is not None:
-                found |= 1 << place
-        return found
+            index = self._indexes.get(name)
+            if index is not None:
+                bits |= 1 << index
+        return bits
 
     def keeper(self, account: str, mask: int) -> str | None:
-        """Return the holder that keeps an account if those of a mask live."""
-        for place in self._order(account):
-            if mask >> place & 1:
-                return self.names[place]
+        """Return the keeper of an account if the holders in `mask` are alive."""
+        for index in self._keeper_order(account):
+            if mask >> index & 1:
+                return self.names[index]
         return None
 
-    def _order(self, account: str) -> tuple[int, ...]:
-        known = self._orders.get(account)
+    def _keeper_order(self, account: str) -> tuple[int, ...]:
+        """Return the indexes of the holders by preference as the account's keeper."""
+        known = self._keeper_orders.get(account)
         if known is None:
             names = self.names
-            places = range(len(names))
+            indexes = range(len(names))
             known = tuple(
-                sorted(places, key=lambda p: hash64(account, names[p]), reverse=True)
+                sorted(
+                    indexes,
+                    key=lambda index: hash64(account, names[index]),
+                    reverse=True,
+                )
             )
-            self._orders[account] = known
+            self._keeper_orders[account] = known
         return known
 
 
 def choose_holders(hosts: Iterable[HostInfo]) -> list[str]:
-    """Return the holders among hosts: large ones, of as many domains as there are."""
+    """Return the ids of the holders: large hosts from all failure domains."""
     chosen = active_hosts(hosts, 0.0)
-    return [info.host_id for info in in_order(chosen)][:HOLDERS_MOST]
+    return [info.host_id for info in in_order(chosen)][:MAX_HOLDERS]
 
 
 class HolderWatch:
-    """Works out the holders, and whether this host's own share counts.
+    """Computes the holders, and whether this host's own share counts.
 
-    Failure: a host that joins takes a share while others still count without it, for
-    instance behind a cut; together they hold more than the whole. So a newcomer's share
-    counts only once every other holder, and every one that it displaces, has said that
-    it counts the newcomer. A host that was killed and is back under its name was
-    counted all along.
+    Guards against a host that joins and takes a share while other hosts, for instance
+    behind a partition, still compute the holders without it: together they would hold
+    more than the whole. So a newcomer's share counts only after every other holder, and
+    every one that the newcomer displaces, has reported a view that includes it. A host
+    that was killed and restarts under the same name has been included all the time.
 
     Parameters
     ----------
@@ -106,14 +113,21 @@
         The known hosts.
     first_start : bool
         Whether the whole system starts for the first time.
+
+    Attributes
+    ----------
+    good : bool
+        Whether this host's own share counts.
+    holders : Holders
+        The holders in this host's view.
     """
 
     __slots__ = (
-        "_counted_by",
-        "_held_at",
-        "_known",
+        "_confirming_hosts",
+        "_known_hosts",
+        "_last_holder_at",
         "_listed_at",
-        "_rivals",
+        "_reported_views",
         "_roster",
         "first_start",
         "good",
@@ -125,26 +139,26 @@
         self.first_start = first_start
         self.holders = Holders(())
         self.good = False
-        # The view that each other host has told last, by its key.
-        self._counted_by: dict[str, str] = {}
-        self._held_at = float("-inf")
-        self._known: list[HostInfo] = []
+        # Key of the view that each other host has reported last, by host id.
+        self._reported_views: dict[str, str] = {}
+        self._last_holder_at = float("-inf")
+        self._known_hosts: list[HostInfo] = []
         self._listed_at: float | None = None
-        self._rivals: frozenset[str] = frozenset()
+        self._confirming_hosts: frozenset[str] = frozenset()
 
     def review(self, now: float) -> None:
-        """Take over what the roster knows now."""
+        """Update the holders, and whether the own share counts, from the roster."""
         own = self._roster.own
         others = [entry.info for entry in self._roster.entries.values()]
-        if others != self._known or not self.holders.names:
-            self._known = others
+        if others != self._known_hosts or not self.holders.names:
+            self._known_hosts = others
             self._choose(others)
         if self._roster.listed and self._listed_at is None:
             self._listed_at = now
         if own.host_id not in self.holders:
             self.good = False
             return
-        self._held_at = now
+        self._last_holder_at = now
         self.good = self.good or self._may_hold(now)
 
     def _choose(self, others: list[HostInfo]) -> None:
@@ -153,7 +167,7 @@
         if tuple(sorted(names)) != self.holders.names:
             self.holders = Holders(names)
         displaced = choose_holders(others)
-        self._rivals = frozenset((*names, *displaced)) - {own.host_id}
+        self._confirming_hosts = frozenset((*names, *displaced)) - {own.host_id}
 
     def _may_hold(self, now: float) -> bool:
         if self._listed_at is None:
@@ -161,22 +175,22 @@
         if self._roster.was_listed:
             return True
         if self.first_start:
-            return now - self._listed_at >= FIRST_SETTLE_S
+            return now - self._listed_at >= FIRST_START_SETTLE_S
         return all(
-            self._counted_by.get(host_id) == self.holders.key
-            for host_id in self._rivals
+            self._reported_views.get(host_id) == self.holders.key
+            for host_id in self._confirming_hosts
         )
 
-    def counted(self, host_id: str, key: str) -> None:
-        """Note which view another host has."""
-        self._counted_by[host_id] = key
+    def note_reported_view(self, host_id: str, key: str) -> None:
+        """Note the key of the view that another host has reported."""
+        self._reported_views[host_id] = key
 
-    def tells(self, now: float) -> bool:
-        """Tell whether this host has to tell others its view."""
-        return now - self._held_at < FORGET_AFTER_S
+    def sends_leases(self, now: float) -> bool:
+        """Return whether this host is, or was recently, a holder and sends leases."""
+        return now - self._last_holder_at < FORGET_AFTER_S
 
-    def live(self, now: float) -> int:
-        """Return the mask of the holders that this host can speak to."""
+    def live_mask(self, now: float) -> int:
+        """Return the mask of the holders that this host can reach."""
         roster = self._roster
         if roster.is_active or roster.own.host_id in self.holders:
             live = {h for h, entry in roster.entries.items() if entry.live(now)}
@@ -189,5 +203,5 @@
 
     def _serves(self, host_id: str) -> bool:
         entry = self._roster.entries[host_id]
-        # A process that has ended holds no lease: nobody waits for it to lapse.
+        # A process that has ended holds no lease, so no host waits for one to expire.
         return not (entry.leaving or entry.starting or entry.ended())
--- a/lacewingcross/core/quota_keeper.py
+++ b/lacewingcross/core/quota_keeper.py
@@ -1,13 +1,16 @@
 """The keeper of client accounts' quotas: credit from the shares that are lent to it.
 
-A keeper has one bucket of credit for each account that it keeps. It fills at the part
-of the account's rate that holders have lent, and holds at most that part of what a
-quiet account saves up. Hosts run requests first and charge them here; a charge that the
-bucket cannot pay waits. Hosts take turns, so none waits for another one's flood.
-
-A share is lent by a lease that ends by the keeper's own clock, which started before the
-lender's did: it never counts here when its lender may have lent it to another keeper.
-Buckets start empty, so a keeper that starts again, or takes over, gives nothing twice.
+A keeper has one token bucket of credit for each account that it keeps. The bucket fills
+at the share of the account's rate that holders have lent, and its size is the same
+share of the credit that an account without requests may accumulate. Hosts run requests
+first and charge them here; a charge that the bucket cannot pay waits. Hosts are served
+round robin, so a flood of charges from one host does not delay the others.
+
+A share is lent by a lease. The lease ends by the keeper's own clock, and is counted
+from the newest reading of that clock that the lender had received, which is before the
+lender sent the lease. So a share never counts here at a time when its lender may have
+lent it to another keeper. Buckets start empty, so a keeper that restarts or takes over
+an account grants no credit twice.
 """
 
 from collections import deque
@@ -18,35 +21,37 @@
 from .quota import Quota, QuotaBound
 from .quota_holders import Holders
 
-# How long a share is lent for, in seconds: shorter than the silence after which a host
-# is taken for dead (2 s), so its shares are free again when the next keeper steps in.
+# Duration of a lease, in seconds. It is shorter than the silence after which a host is
+# considered dead (2 s), so its shares are free again when the next keeper takes over.
 LEASE_S = 1.2
-# Told to hosts while nothing is lent, as the time until there is credit, in seconds.
-UNLENT_PAUSE_S = 0.5
-# Views of the holders that are remembered; all hosts have a new one within moments.
-VIEWS_KEPT = 4
-# Books of a host that charged nothing for so long are closed, in seconds, and how often
-# they are looked through: there is one for each account and host.
-BOOK_KEPT_S = 60.0
-CLOSE_EVERY_S = 5.0
+# While no share is lent, hosts are sent this time until the next credit, in seconds.
+UNLENT_WAIT_S = 0.5
+# Number of views of the holders that are remembered. All hosts compute a new view at
+# almost the same time, so leases refer to recent views only.
+MAX_VIEWS_KEPT = 4
+# Charges of a host that has sent none for this time are forgotten, in seconds. There is
+# one record for each account and host.
+CHARGES_KEPT_S = 60.0
+# Interval of the search for such records, in seconds.
+CLEANUP_INTERVAL_S = 5.0
 
 Incarnation = tuple[str, int]
 
 
 @dataclass(slots=True, frozen=True)
 class Charge:
-    """What a host says of one account: sums since it started.
+    """Running totals of one account on one host, since that host started.
 
     Attributes
     ----------
     account : str
         Name of the account.
     charged : int
-        Requests that it has run or means to run.
+        Requests that the host has run, or will run when they are paid.
     returned : int
-        Those of them that never ran.
+        Charged requests that never ran.
     paid : int
-        Those of the others that are paid for, as far as it was told.
+        Other charged requests that are paid, according to the receipts so far.
     """
 
     account: str
@@ -57,9 +62,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Receipt:
-    """What a keeper answers: how many are paid, after how many returns.
+    """A keeper's response to a charge: the total of paid requests.
 
-    `wait_s` is the time until the host's next charge is paid, 0 if none is open.
+    `returned` repeats the total that the keeper has received. `wait_s` is the time in
+    seconds until the host's next charge is paid, 0 if no charge is open.
     """
 
     account: str
@@ -69,8 +75,8 @@
 
 
 @dataclass(slots=True)
-class _Book:
-    """Charges of one host for one account."""
+class _HostCharges:
+    """Charges of one host for one account; the totals are those of `Charge`."""
 
     charged: int = 0
     returned: int = 0
@@ -84,22 +90,23 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    """Credit of one account; `part` of its quota is lent to this keeper.
+    """Credit of one account; `lent_share` of its quota is lent to this keeper.
 
-    `turns` holds the hosts with open charges, the next one first.
+    `level` is the credit at the time `filled_at`. `pending_hosts` holds the hosts with
+    open charges in round-robin order, the next one first.
     """
 
     quota: Quota
-    at: float
-    part: float = 0.0
+    filled_at: float
+    lent_share: float = 0.0
     level: float = 0.0
-    books: dict[Incarnation, _Book] = field(default_factory=dict)
-    turns: deque[Incarnation] = field(default_factory=deque)
+    charges_by_host: dict[Incarnation, _HostCharges] = field(default_factory=dict)
+    pending_hosts: deque[Incarnation] = field(default_factory=deque)
 
 
 @dataclass(slots=True, frozen=True)
 class _Lease:
-    """Shares lent until a time by a host that sees some holders live."""
+    """Shares lent until a time; `live` is the mask of holders the lender sees alive."""
 
     holders: Holders
     live: int
@@ -107,20 +114,22 @@
 
 
 class QuotaKeeper:
-    """Keeps accounts on one host; times are of a clock that does not stop in a suspend.
+    """Keeps accounts on one host.
+
+    All times are in seconds, on a clock that goes on while the machine is suspended.
 
     Parameters
     ----------
     own_id : str
-        This host.
+        Id of this host.
     bound : QuotaBound
-        What all hosts keep to.
+        The bound on the requests of all hosts together.
     """
 
     __slots__ = (
         "_bound",
         "_buckets",
-        "_closed_at",
+        "_cleaned_up_at",
         "_leases",
         "_own_id",
         "_views",
@@ -130,22 +139,23 @@
         self._own_id = own_id
         self._bound = bound
         self._buckets: dict[str, _Bucket] = {}
-        self._closed_at = float("-inf")
+        self._cleaned_up_at = float("-inf")
         self._leases: dict[str, _Lease] = {}
         self._views: dict[str, Holders] = {}
 
-    # What operators declare
-
     def configure(self, quotas: dict[str, Quota], now: float) -> None:
-        """Take over the quotas of all accounts; credit beyond a lower one is lost."""
-        self._pass_time(now)
+        """Apply the quotas of all accounts.
+
+        If a quota is lowered, credit above the new maximum is dropped.
+        """
+        self._expire_leases(now)
         for account in self._buckets.keys() - quotas.keys():
             del self._buckets[account]
         for account, quota in quotas.items():
             bucket = self._buckets.get(account)
             if bucket is None:
                 bucket = _Bucket(quota, now)
-                bucket.part = self._part(account)
+                bucket.lent_share = self._compute_lent_share(account)
                 self._buckets[account] = bucket
             elif bucket.quota != quota:
                 self._fill(bucket, now)
@@ -153,69 +163,71 @@
                 self._cap(bucket)
 
     def set_bound(self, bound: QuotaBound, now: float) -> None:
-        """Take over what all hosts keep to."""
+        """Change the bound on the requests of all hosts together."""
         for bucket in self._buckets.values():
             self._fill(bucket, now)
         self._bound = bound
 
-    # Shares
-
-    def know(self, holders: Holders) -> None:
-        """Remember a view of the holders, so that leases that go by it can be read."""
+    def remember_view(self, holders: Holders) -> None:
+        """Remember a view of the holders, so that leases under its key are accepted."""
         self._views[holders.key] = holders
-        while len(self._views) > VIEWS_KEPT:
+        while len(self._views) > MAX_VIEWS_KEPT:
             del self._views[next(iter(self._views))]
 
-    def lend(self, host_id: str, key: str, live: int, until: float, now: float) -> None:
-        """Take over a host's shares, of the accounts that it has this host keep.
+    def set_lease(
+        self, host_id: str, key: str, live: int, until: float, now: float
+    ) -> None:
+        """Replace the lease of one lender.
+
+        It covers the lender's shares of the accounts that this host keeps.
 
         Parameters
         ----------
         host_id : str
             The lender.
         key : str
-            Its view of the holders; one that is not known here lends nothing.
+            Key of its view of the holders; a view that is unknown here lends nothing.
         live : int
-            Mask of the holders that it sees live; 0 lends nothing.
+            Mask of the holders that it sees alive; 0 lends nothing.
         until : float
             When the lease ends.
         now : float
             Time in seconds.
         """
-        self._pass_time(now)
+        self._expire_leases(now)
         old = self._leases.get(host_id)
         holders = self._views.get(key)
         if holders is None or not live or host_id not in holders or until <= now:
             if old is not None:
                 del self._leases[host_id]
-                self._update_parts(now)
+                self._update_lent_shares(now)
             return
         self._leases[host_id] = _Lease(holders, live, until)
         if old is None or old.live != live or old.holders is not holders:
-            self._update_parts(now)
+            self._update_lent_shares(now)
 
-    def give_up(self, now: float) -> None:
-        """Keep nothing any more, before the lenders are told to lend elsewhere."""
-        self._pass_time(now)
+    def end_leases(self, now: float) -> None:
+        """End all leases, before the lenders learn that they can lend elsewhere."""
+        self._expire_leases(now)
         self._leases.clear()
-        self._update_parts(now)
+        self._update_lent_shares(now)
 
-    def _pass_time(self, now: float) -> None:
-        """End leases whose time has come, each at its own moment."""
+    def _expire_leases(self, now: float) -> None:
+        """End expired leases, crediting each bucket up to the moment of expiry."""
         while self._leases:
             host_id, lease = min(self._leases.items(), key=lambda item: item[1].until)
             if lease.until > now:
                 return
             del self._leases[host_id]
-            self._update_parts(lease.until)
+            self._update_lent_shares(lease.until)
 
-    def _update_parts(self, now: float) -> None:
+    def _update_lent_shares(self, now: float) -> None:
         for account, bucket in self._buckets.items():
             self._fill(bucket, now)
-            bucket.part = self._part(account)
+            bucket.lent_share = self._compute_lent_share(account)
             self._cap(bucket)
 
-    def _part(self, account: str) -> float:
+    def _compute_lent_share(self, account: str) -> float:
         return sum(
             1.0 / len(lease.holders)
             for lease in self._leases.values()
@@ -223,112 +235,113 @@
         )
 
     def _fill(self, bucket: _Bucket, now: float) -> None:
-        if now > bucket.at:
-            bucket.level += bucket.quota.rate * bucket.part * (now - bucket.at)
-            bucket.at = now
+        if now > bucket.filled_at:
+            bucket.level += (
+                bucket.quota.rate * bucket.lent_share * (now - bucket.filled_at)
+            )
+            bucket.filled_at = now
             self._cap(bucket)
 
     def _cap(self, bucket: _Bucket) -> None:
-        most = self._bound.credit_most(bucket.quota) * bucket.part
-        bucket.level = min(bucket.level, most)
-
-    # Charges
+        max_level = self._bound.max_credit(bucket.quota) * bucket.lent_share
+        bucket.level = min(bucket.level, max_level)
 
-    def charge(self, host: Incarnation, item: Charge, now: float) -> Receipt | None:
-        """Take in what a host says; return the receipt.
+    def charge(self, host: Incarnation, totals: Charge, now: float) -> Receipt | None:
+        """Process a host's charge; return the receipt.
 
-        None for an account without a quota here, and for what is older than what the
-        host has said before.
+        Returns None for an account without a quota here, and for a charge that is older
+        than the last one from the host.
         """
-        bucket = self._buckets.get(item.account)
+        bucket = self._buckets.get(totals.account)
         if bucket is None:
             return None
-        self._pass_time(now)
+        self._expire_leases(now)
         self._fill(bucket, now)
-        book = bucket.books.get(host)
-        if book is None:
-            book = _Book()
-            bucket.books[host] = book
-        elif item.charged < book.charged or item.returned < book.returned:
+        charges = bucket.charges_by_host.get(host)
+        if charges is None:
+            charges = _HostCharges()
+            bucket.charges_by_host[host] = charges
+        elif totals.charged < charges.charged or totals.returned < charges.returned:
             return None
-        book.charged = item.charged
-        book.returned = item.returned
-        # Another keeper may have been paid in the meantime.
-        book.paid = max(book.paid, item.paid)
-        book.used_at = now
-        self._refund(bucket, book)
-        if book.open > 0 and host not in bucket.turns:
-            bucket.turns.append(host)
+        charges.charged = totals.charged
+        charges.returned = totals.returned
+        # Another keeper may have paid charges in the meantime.
+        charges.paid = max(charges.paid, totals.paid)
+        charges.used_at = now
+        self._refund(bucket, charges)
+        if charges.open > 0 and host not in bucket.pending_hosts:
+            bucket.pending_hosts.append(host)
         self._pay(bucket)
-        return self._receipt(item.account, bucket, host)
+        return self._receipt(totals.account, bucket, host)
 
-    def _refund(self, bucket: _Bucket, book: _Book) -> None:
-        """Give credit back for what was paid and never ran."""
-        if book.open < 0:
-            bucket.level -= book.open
-            book.paid += book.open
+    def _refund(self, bucket: _Bucket, charges: _HostCharges) -> None:
+        """Return the credit of requests that were paid and never ran."""
+        if charges.open < 0:
+            bucket.level -= charges.open
+            charges.paid += charges.open
             self._cap(bucket)
 
     def _pay(self, bucket: _Bucket) -> set[Incarnation]:
-        """Pay one charge of each host in turn; return those that any were paid for."""
+        """Pay charges round robin, one per host; return the hosts that were paid."""
         paid = set()
-        while bucket.turns:
-            host = bucket.turns[0]
-            book = bucket.books[host]
-            if book.open > 0:
+        while bucket.pending_hosts:
+            host = bucket.pending_hosts[0]
+            charges = bucket.charges_by_host[host]
+            if charges.open > 0:
                 if bucket.level < 1.0:
                     break
                 bucket.level -= 1.0
-                book.paid += 1
+                charges.paid += 1
                 paid.add(host)
-            bucket.turns.popleft()
-            if book.open > 0:
-                bucket.turns.append(host)
+            bucket.pending_hosts.popleft()
+            if charges.open > 0:
+                bucket.pending_hosts.append(host)
         return paid
 
     def _receipt(self, account: str, bucket: _Bucket, host: Incarnation) -> Receipt:
-        book = bucket.books[host]
-        wait_s = self._wait_s(bucket, host) if book.open > 0 else 0.0
-        return Receipt(account, book.returned, book.paid, wait_s)
+        charges = bucket.charges_by_host[host]
+        wait_s = self._wait_s(bucket, host) if charges.open > 0 else 0.0
+        return Receipt(account, charges.returned, charges.paid, wait_s)
 
     def _wait_s(self, bucket: _Bucket, host: Incarnation) -> float:
-        rate = bucket.quota.rate * bucket.part
+        rate = bucket.quota.rate * bucket.lent_share
         if rate <= 0:
-            return UNLENT_PAUSE_S
-        ahead = bucket.turns.index(host) + 1
+            return UNLENT_WAIT_S
+        ahead = bucket.pending_hosts.index(host) + 1
         return max(0.0, ahead - bucket.level) / rate
 
     def review(self, now: float) -> Iterator[tuple[str, Receipt]]:
-        """Pay what can be paid by now; yield a receipt for each host that it is for."""
-        self._pass_time(now)
+        """Pay the charges that credit covers; yield receipts with their host ids."""
+        self._expire_leases(now)
         for account, bucket in self._buckets.items():
-            if bucket.turns:
+            if bucket.pending_hosts:
                 self._fill(bucket, now)
                 for host in sorted(self._pay(bucket)):
                     yield host[0], self._receipt(account, bucket, host)
-        if now - self._closed_at >= CLOSE_EVERY_S:
-            self._closed_at = now
-            self._close_books(now)
+        if now - self._cleaned_up_at >= CLEANUP_INTERVAL_S:
+            self._cleaned_up_at = now
+            self._forget_idle_hosts(now)
 
-    def _close_books(self, now: float) -> None:
+    def _forget_idle_hosts(self, now: float) -> None:
         for bucket in self._buckets.values():
-            bucket.books = {
-                host: book
-                for host, book in bucket.books.items()
-                if now - book.used_at <= BOOK_KEPT_S or host in bucket.turns
+            bucket.charges_by_host = {
+                host: charges
+                for host, charges in bucket.charges_by_host.items()
+                if now - charges.used_at <= CHARGES_KEPT_S
+                or host in bucket.pending_hosts
             }
 
-    # Questions
-
-    def part(self, account: str) -> float:
-        """Return which part of an account's quota is lent to this host."""
+    def lent_share(self, account: str) -> float:
+        """Return the share of an account's quota that is lent to this host, 0 to 1."""
         bucket = self._buckets.get(account)
-        return bucket.part if bucket else 0.0
+        return bucket.lent_share if bucket else 0.0
 
     def credit(self, account: str, now: float) -> float:
-        """Return the credit of an account, less what waits to be paid."""
+        """Return the credit of an account minus its open charges."""
         bucket = self._buckets.get(account)
         if bucket is None:
             return inf
         self._fill(bucket, now)
-        return bucket.level - sum(bucket.books[host].open for host in bucket.turns)
+        return bucket.level - sum(
+            bucket.charges_by_host[host].open for host in bucket.pending_hosts
+        )
--- a/lacewingcross/core/quotas.py
+++ b/lacewingcross/core/quotas.py
@@ -1,8 +1,14 @@
-"""Quotas of client accounts on one host: its ledger, what it keeps, what it lends.
+"""Quotas of client accounts on one host: its ledger, its keeper and its leases.
 
-No I/O: what others are to be told is returned as messages, and what they tell is handed
-in. `quota_holders` says how the promise holds, `quota_keeper` and `quota_ledger` how it
-is kept on each side.
+No I/O happens here: messages to other hosts are returned, and messages from them are
+passed in.
+
+- `quota_holders` decides which hosts own shares of the quotas, and why the shares never
+  add up to more than the whole.
+- `quota_keeper` grants credit for the accounts that this host keeps.
+- `quota_ledger` admits requests on this host. Charges are the requests that it has run
+  or will run when they are paid. A receipt acknowledges charges that the keeper has
+  paid from its credit. Debt is the requests run and not yet acknowledged as paid.
 """
 
 from collections.abc import Iterator, Sequence
@@ -21,13 +27,17 @@
 
 T = TypeVar("T")
 
-# How often shares are lent again, in seconds: four times within a lease.
-LEND_EVERY_S = 0.3
+# Interval at which leases are renewed, in seconds: four times within a lease.
+LEASE_RENEWAL_S = 0.3
 
 
 @dataclass(slots=True, frozen=True)
 class ClockReading:
-    """One moment: `now` on the ordinary clock, `boot` on one that counts suspends."""
+    """One moment on two clocks, in seconds.
+
+    `now` is the monotonic clock, which stops while the machine is suspended. `boot` is
+    a clock that also counts suspends.
+    """
 
     now: float
     boot: float
@@ -35,31 +45,35 @@
 
 @dataclass(slots=True)
 class _Peer:
-    """What another holder has said, and what it was told."""
+    """Leases exchanged with another holder.
+
+    `received_ms` is the sender's clock in the newest lease that was received. `sent_at`
+    and `sent_live` are the time and the mask of the last lease that was sent.
+    """
 
     incarnation: int = 0
-    heard_ms: int = 0
-    told_at: float = float("-inf")
-    told_live: int = 0
-    # The holders that it goes by, as it told last.
-    said_live: int = 0
-    # This host's clock as it had heard it when it spoke last.
+    received_ms: int = 0
+    sent_at: float = float("-inf")
+    sent_live: int = 0
+    # Mask of the live holders in the last lease that was received.
+    received_live: int = 0
+    # The newest reading of this host's clock that the other holder has echoed.
     acked_ms: int = 0
-    # Since when this host sees it live, on the clock that counts suspends.
+    # Since when the other holder is alive, on the clock that counts suspends.
     live_since: float | None = None
 
 
 class Quotas:
-    """All that one host does about quotas.
+    """Combines ledger, keeper and leases of one host.
 
     Parameters
     ----------
     roster : Roster
         The known hosts.
     bound : QuotaBound
-        What all hosts keep to.
+        The bound on the requests of all hosts together.
     rng : RandomSource
-        Source of spreads.
+        Source of jitter.
     first_start : bool
         Whether the whole system starts for the first time.
     """
@@ -98,17 +112,17 @@
 
     @property
     def in_force(self) -> bool:
-        """Tell whether any account has a quota."""
+        """Return whether any account has a quota."""
         return bool(self._quotas)
 
     def busy(self, now: float) -> bool:
-        """Tell whether anything may be due within moments."""
-        return self.in_force and (self.watch.tells(now) or self.ledger.has_open)
-
-    # What is known
+        """Return whether messages may soon be due, so that polling has to go on."""
+        return self.in_force and (
+            self.watch.sends_leases(now) or self.ledger.has_open_charges
+        )
 
     def configure(self, accounts: Accounts, at: ClockReading) -> None:
-        """Take over the accounts of the configuration in force."""
+        """Apply the accounts of the configuration in force."""
         if accounts is self._accounts:
             return
         self._accounts = accounts
@@ -120,32 +134,36 @@
             self._set_keepers()
 
     def set_bound(self, bound: QuotaBound, at: ClockReading) -> None:
-        """Take over what all hosts keep to."""
+        """Change the bound on the requests of all hosts together."""
         self._bound = bound
         self.keeper.set_bound(bound, at.boot)
         self.ledger.set_bound(bound)
 
     def review(self, at: ClockReading) -> None:
-        """Take over who holds shares, who lives, and what this host may run unpaid."""
+        """Update the holders, the live hosts, and how much this host may run unpaid."""
         if self._started_at is None:
             self._started_at = at.now
         holders = self.watch.holders
         self.watch.review(at.now)
-        live = self.watch.live(at.now)
+        live = self.watch.live_mask(at.now)
         if live != self._live or self.watch.holders is not holders:
             self._live = live
             self._set_keepers()
-        self._note_live(at.boot)
-        self.keeper.know(self.watch.holders)
-        self._lend_own(at)
-        self.ledger.holders = len(self.watch.holders) if self._may_owe(at.now) else 0
-        self.ledger.callers_parts = max(1, len(self._roster.active))
+        self._update_live_since(at.boot)
+        self.keeper.remember_view(self.watch.holders)
+        self._lend_to_self(at)
+        self.ledger.holders = (
+            len(self.watch.holders) if self._may_run_unpaid(at.now) else 0
+        )
+        self.ledger.caller_hosts = max(1, len(self._roster.active))
 
-    def _may_owe(self, now: float) -> bool:
-        """Tell whether this host may run requests that are not paid for.
+    def _may_run_unpaid(self, now: float) -> bool:
+        """Return whether this host may run requests that are not paid for.
 
-        Failure: all hosts are killed and start again, twice within a window. Each time
-        they would owe as much anew, and nobody knows what the earlier runs owed.
+        Guards against a restart of all hosts, twice within a window. The debts of the
+        earlier runs are forgotten, so each restart would allow the full debt again.
+        A host that holds a share therefore waits for one window after its start, except
+        on the first start of the whole system.
         """
         first = self.watch.first_start
         settled = now - self._started_at >= self._bound.window_s
@@ -156,153 +174,154 @@
         for account in self.ledger.accounts():
             self.ledger.set_keeper(account, holders.keeper(account, self._live))
 
-    def _note_live(self, boot: float) -> None:
-        for place, host_id in enumerate(self.watch.holders.names):
+    def _update_live_since(self, boot: float) -> None:
+        for index, host_id in enumerate(self.watch.holders.names):
             peer = self._peers.setdefault(host_id, _Peer())
-            if not self._live >> place & 1:
+            if not self._live >> index & 1:
                 peer.live_since = None
             elif peer.live_since is None:
                 peer.live_since = boot
 
-    def _lend_own(self, at: ClockReading) -> None:
+    def _lend_to_self(self, at: ClockReading) -> None:
         own = self._roster.own.host_id
         live = self._live if self.watch.good and not self._roster.out_of_service else 0
         key = self.watch.holders.key
-        self.keeper.lend(own, key, live, at.boot + LEASE_S, at.boot)
+        self.keeper.set_lease(own, key, live, at.boot + LEASE_S, at.boot)
 
     def leave(self, at: ClockReading) -> None:
-        """Keep nothing any more: this host is about to say that it leaves."""
-        self.keeper.give_up(at.boot)
-
-    # Requests
+        """Stop keeping accounts; call before announcing that this host shuts down."""
+        self.keeper.end_leases(at.boot)
 
     def ask(self, account: str, at: ClockReading) -> Admission:
-        """Decide on a request of an account, see `QuotaLedger.ask`."""
-        found = self.ledger.ask(account, at.now)
+        """Decide on a request of an account, see `QuotaLedger.ask`.
+
+        If this host keeps the account itself, a request that would wait is decided
+        at once when possible.
+        """
+        admission = self.ledger.ask(account, at.now)
         if self.ledger.keeper(account) != self._roster.own.host_id:
-            return found
-        self._charge_own(self.ledger.charge_of(account, at.now), at)
-        if found.outcome is not Outcome.WAITING:
-            return found
+            return admission
+        self._charge_own(self.ledger.next_charge(account, at.now), at)
+        if admission.outcome is not Outcome.WAITING:
+            return admission
         decided = self.ledger.decided(account, at.now)
         if decided.admitted:
-            return Admission(Outcome.ADMITTED, keeper=found.keeper)
+            return Admission(Outcome.ADMITTED, keeper=admission.keeper)
         if decided.refused:
             return self.ledger.refusal(account, at.now)
-        return found
+        return admission
 
     def _charge_own(self, charge: Charge, at: ClockReading) -> None:
-        """Charge what this host runs for an account that it keeps itself."""
+        """Charge this host's own requests of an account that it keeps itself."""
         own = self._roster.own.host_id
         receipt = self.keeper.charge((own, 0), charge, at.boot)
         if receipt is not None:
-            self.ledger.paid(own, receipt, at.now)
-
-    # What others are told
+            self.ledger.take_receipt(own, receipt, at.now)
 
     def outgoing(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
-        """Yield the messages that are due, and to whom."""
+        """Yield the messages that are due, each with the id of its receiver."""
         yield from self._leases(at)
         yield from self._receipts(at)
         yield from self._charges(at)
 
     def _leases(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
-        if not self.watch.tells(at.now):
+        if not self.watch.sends_leases(at.now):
             return
-        for place, peer in self._living_peers():
-            live = self._lent_to(place, peer, at.boot)
-            if live == peer.told_live and at.now - peer.told_at < LEND_EVERY_S:
+        for index, peer in self._live_peers():
+            live = self._live_mask_for(index, peer, at.boot)
+            if live == peer.sent_live and at.now - peer.sent_at < LEASE_RENEWAL_S:
                 continue
-            peer.told_live = live
-            peer.told_at = at.now
+            peer.sent_live = live
+            peer.sent_at = at.now
             sent_ms = int(at.boot * 1000)
             key = self.watch.holders.key
-            host_id = self.watch.holders.names[place]
-            yield host_id, msg.QuotaLease(key, live, sent_ms, peer.heard_ms)
+            host_id = self.watch.holders.names[index]
+            yield host_id, msg.QuotaLease(key, live, sent_ms, peer.received_ms)
 
-    def _lent_to(self, place: int, peer: _Peer, boot: float) -> int:
-        """Return the holders that another one is told to go by.
+    def _live_mask_for(self, index: int, peer: _Peer, boot: float) -> int:
+        """Return the mask of live holders to send to another holder.
 
-        Failure: a holder appears, and its accounts were lent to another one that has
-        not heard of it yet. So the newcomer is told to go by the holders without itself
-        until all others have heard, or every lease to them has ended.
+        Guards against lending one share twice. When a holder becomes alive, its
+        accounts may still be lent to another holder that does not know of it yet. So
+        the newcomer gets a mask without itself until all other holders have
+        acknowledged a lease that was sent after it became alive, or every older lease
+        has ended.
         """
         if not self.watch.good or self._roster.out_of_service:
             return 0
         ended = boot - peer.live_since >= LEASE_S
-        if ended or self._all_heard_of(peer):
+        if ended or self._all_acknowledged(peer):
             return self._live
-        return self._live & ~(1 << place)
+        return self._live & ~(1 << index)
 
-    def _all_heard_of(self, newcomer: _Peer) -> bool:
+    def _all_acknowledged(self, newcomer: _Peer) -> bool:
         since_ms = newcomer.live_since * 1000
         return all(
             peer is newcomer or peer.acked_ms >= since_ms
-            for place, peer in self._living_peers()
+            for index, peer in self._live_peers()
         )
 
-    def _living_peers(self) -> Iterator[tuple[int, _Peer]]:
-        """Yield the other holders that live, and their places."""
+    def _live_peers(self) -> Iterator[tuple[int, _Peer]]:
+        """Yield the other live holders, each with its index in `Holders.names`."""
         own = self._roster.own.host_id
-        for place, host_id in enumerate(self.watch.holders.names):
-            if host_id != own and self._live >> place & 1:
-                yield place, self._peers[host_id]
+        for index, host_id in enumerate(self.watch.holders.names):
+            if host_id != own and self._live >> index & 1:
+                yield index, self._peers[host_id]
 
     def _receipts(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
         own = self._roster.own.host_id
-        told: dict[str, list[Receipt]] = {}
+        batches: dict[str, list[Receipt]] = {}
         for host_id, receipt in self.keeper.review(at.boot):
             if host_id == own:
-                self.ledger.paid(own, receipt, at.now)
+                self.ledger.take_receipt(own, receipt, at.now)
             else:
-                told.setdefault(host_id, []).append(receipt)
-        for host_id, receipts in told.items():
-            for some in _in_parts(receipts):
-                yield host_id, receipts_message(some)
+                batches.setdefault(host_id, []).append(receipt)
+        for host_id, receipts in batches.items():
+            for batch in _in_batches(receipts):
+                yield host_id, receipts_message(batch)
 
     def _charges(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
         own = self._roster.own.host_id
-        told: dict[str, list[Charge]] = {}
-        for keeper, charge in self.ledger.to_tell(at.now):
+        batches: dict[str, list[Charge]] = {}
+        for keeper, charge in self.ledger.due_charges(at.now):
             if keeper == own:
                 self._charge_own(charge, at)
             else:
-                told.setdefault(keeper, []).append(charge)
-        for keeper, charges in told.items():
-            for some in _in_parts(charges):
-                items = [(c.account, c.charged, c.returned, c.paid) for c in some]
+                batches.setdefault(keeper, []).append(charge)
+        for keeper, charges in batches.items():
+            for batch in _in_batches(charges):
+                items = [(c.account, c.charged, c.returned, c.paid) for c in batch]
                 yield keeper, msg.QuotaCharges(items)
 
-    # What others tell
-
     def on_lease(
         self, host: Incarnation, message: msg.QuotaLease, at: ClockReading
     ) -> None:
-        """Take over the shares that a host lends."""
+        """Process a lease of shares from another host."""
         host_id, incarnation = host
-        self.watch.counted(host_id, message.key)
+        self.watch.note_reported_view(host_id, message.key)
         peer = self._peers.setdefault(host_id, _Peer())
         if peer.incarnation != incarnation:
-            # Its clock may have started again with its machine.
+            # If the sender's machine has restarted, its clock has restarted too.
             peer.incarnation = incarnation
-            peer.heard_ms = 0
+            peer.received_ms = 0
             peer.acked_ms = 0
-        peer.heard_ms = max(peer.heard_ms, message.sent_ms)
+        peer.received_ms = max(peer.received_ms, message.sent_ms)
         peer.acked_ms = max(peer.acked_ms, message.echo_ms)
-        if peer.said_live != message.live:
-            # It waits to hear that this is known here.
-            peer.said_live = message.live
-            peer.told_at = float("-inf")
+        if peer.received_live != message.live:
+            # The sender waits for the acknowledgement, so the next lease is due at
+            # once.
+            peer.received_live = message.live
+            peer.sent_at = float("-inf")
         until = message.echo_ms / 1000 + LEASE_S
-        # An echo from the future is one of an earlier start of this machine.
+        # An echo from the future stems from an earlier start of this machine.
         valid = not self._roster.out_of_service and until <= at.boot + LEASE_S
         live = message.live if valid else 0
-        self.keeper.lend(host_id, message.key, live, until, at.boot)
+        self.keeper.set_lease(host_id, message.key, live, until, at.boot)
 
     def on_charges(
         self, host: Incarnation, message: msg.QuotaCharges, at: ClockReading
     ) -> msg.QuotaReceipts | None:
-        """Take in what a host runs; return the receipts for it, if any."""
+        """Process the charges of another host; return the receipts, if any."""
         found = (
             self.keeper.charge(host, Charge(*item), at.boot) for item in message.items
         )
@@ -312,13 +331,15 @@
     def on_receipts(
         self, host_id: str, message: msg.QuotaReceipts, at: ClockReading
     ) -> list[str]:
-        """Take in what is paid; return the accounts that it concerns."""
+        """Process a keeper's receipts; return the accounts of the valid ones."""
         receipts = [Receipt(*item) for item in message.items]
-        return [r.account for r in receipts if self.ledger.paid(host_id, r, at.now)]
+        return [
+            r.account for r in receipts if self.ledger.take_receipt(host_id, r, at.now)
+        ]
 
 
-def _in_parts(items: Sequence[T]) -> Iterator[Sequence[T]]:
-    """Yield items in parts that one message carries."""
+def _in_batches(items: Sequence[T]) -> Iterator[Sequence[T]]:
+    """Yield items in batches that fit into one message."""
     for first in range(0, len(items), MAX_ACCOUNTS_PER_MESSAGE):
         yield items[first : first + MAX_ACCOUNTS_PER_MESSAGE]
 
--- a/lacewingcross/core/servers.py
+++ b/lacewingcross/core/servers.py
@@ -54,7 +54,7 @@
 
     def capacity(self, now: float) -> int:
         """Return the slots that may be used at `now`, fewer during a slow start."""
-        slots = self.declared.places
+        slots = self.declared.max_concurrent
         if self.probing or self.on_probation:
             return 1
         if self.ramp_s <= 0 or now >= self.ramp_started_at + self.ramp_s:
--- a/lacewingcross/gateway/repeats.py
+++ b/lacewingcross/gateway/repeats.py
@@ -106,7 +106,7 @@
         if self._on_trial:
             self._on_trial = False
             quarantine = self._gateway.crashes.ledger.quarantine
-            quarantine.trial_void(self.fingerprint, self._gateway.now())
+            quarantine.trial_inconclusive(self.fingerprint, self._gateway.now())
 
     def connection_broke(self, entry: ServerEntry) -> None:
         """Record that a server's connection broke during the request."""
@@ -130,5 +130,5 @@
     def record_answer(self) -> None:
         """Record that a server has answered the request."""
         crashes = self._gateway.crashes
-        if crashes.ledger.watches:
+        if crashes.ledger.has_suspects:
             crashes.answered(self.fingerprint)
--- a/tests/test_watch_election.py
+++ b/tests/test_watch_election.py
@@ -1,30 +1,30 @@
-"""Which host follows the store, and when the others step in."""
+"""Which host watches the store, and when another host takes over."""
 
 from lacewingcross.core.replica import Kind
 from lacewingcross.core.watch_election import (
-    PATIENCE_MAX_S,
-    PATIENCE_S,
+    MAX_SILENCE_TIMEOUT_S,
     QUARANTINE_WATCH_S,
-    TURNED_AWAY_S,
+    SILENCE_TIMEOUT_S,
+    STORE_UNREACHABLE_S,
     WatchElection,
     silence_timeout,
     watch_wait_s,
 )
 
-# What operators write has to be in force everywhere within this, in seconds.
+# Time within which an operator's change has to be in force on all hosts, in seconds.
 IN_FORCE_S = 2.5
 
 
-def test_the_first_host_follows_the_store_and_the_others_listen():
+def test_the_host_of_rank_0_watches_the_store_and_the_others_wait():
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     assert election.should_watch(Kind.CONFIG, 0, 10.5)
-    assert not election.should_watch(Kind.CONFIG, 1, 10.0 + PATIENCE_S)
+    assert not election.should_watch(Kind.CONFIG, 1, 10.0 + SILENCE_TIMEOUT_S)
 
 
-def test_a_host_that_hears_nothing_of_one_kind_follows_that_kind():
-    # The host that follows the store finds one watch deaf: servers' changes still come,
-    # configuration does not.
+def test_a_host_without_updates_of_one_kind_watches_that_kind():
+    # One watch of the watching host stops responding: updates of servers still arrive,
+    # updates of the configuration do not.
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     election.note_peer_update(Kind.SERVER, 12.0)
@@ -32,25 +32,28 @@
     assert not election.should_watch(Kind.SERVER, 1, 12.0)
 
 
-def test_hosts_step_in_one_after_the_other():
-    # The host that follows the store loses power. If all others asked the store at
-    # once, each outage of one host would cost a call a host.
+def test_hosts_take_over_one_after_the_other():
+    # The watching host loses power. If all others asked the store at the same time,
+    # each outage of one host would cost one call per host.
     assert [silence_timeout(rank) for rank in (1, 2, 3)] == [1.5, 1.6, 1.7]
 
 
-def test_a_host_that_is_cut_off_from_all_others_is_in_time():
-    # The last word came just before an operator's change, then the host was cut off.
-    # It has to see the change while it is still allowed to be unaware of it.
+def test_a_partitioned_host_watches_the_store_in_time():
+    # The last update came just before an operator's change, then the host was
+    # partitioned. It has to read the change before the time limit for changes is over.
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     for rank in (1, 5, 4500):
-        assert election.should_watch(Kind.CONFIG, rank, 10.0 + PATIENCE_MAX_S + 0.01)
-    assert PATIENCE_MAX_S + 0.3 < IN_FORCE_S
+        assert election.should_watch(
+            Kind.CONFIG, rank, 10.0 + MAX_SILENCE_TIMEOUT_S + 0.01
+        )
+    assert MAX_SILENCE_TIMEOUT_S + 0.3 < IN_FORCE_S
 
 
-def test_a_host_that_has_stepped_in_goes_on_until_somebody_tells_it_something():
-    # Whoever is first is deaf for the whole outage. Going by the age of its own
-    # reading, the host would pause after each watch and see changes two seconds late.
+def test_a_host_that_has_taken_over_continues_until_another_sends_an_update():
+    # The host of rank 0 sends nothing during the whole outage. If the silence counted
+    # from its own reading, the host that took over would pause after each watch and see
+    # changes two seconds late.
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     election.succeeded()
@@ -61,45 +64,47 @@
 
 
 def test_a_host_that_cannot_serve_yet_reads_the_store_soon():
-    # All hosts lose power, and the one whose turn it is to read the store comes back
-    # last. Waiting for it as usual, the others refused callers for another 1.5 s.
-    again = WatchElection(10.0)
-    assert not again.should_watch(Kind.CONFIG, 5, 10.0, empty=True)
-    assert again.should_watch(Kind.CONFIG, 5, 10.1, empty=True)
-    assert not again.should_watch(Kind.CONFIG, 5, 10.1)
-    assert not again.should_watch(Kind.CONFIG, None, 20.0, empty=True)
+    # All hosts lose power, and the host of rank 0 restarts last. With the usual
+    # timeout, the others refused callers for another 1.5 s.
+    election = WatchElection(10.0)
+    assert not election.should_watch(Kind.CONFIG, 5, 10.0, empty=True)
+    assert election.should_watch(Kind.CONFIG, 5, 10.1, empty=True)
+    assert not election.should_watch(Kind.CONFIG, 5, 10.1)
+    assert not election.should_watch(Kind.CONFIG, None, 20.0, empty=True)
 
 
 def test_a_first_start_reads_the_store_once():
-    # Hundreds of hosts start for the first time, and callers come seconds later. Each
-    # call of the store is paid for; the first host tells the others.
-    first = WatchElection(10.0, first_start=True)
-    assert first.should_watch(Kind.CONFIG, 0, 10.0, empty=True)
+    # Hundreds of hosts start for the first time, and callers come seconds later.
+    # Each call to the store costs money, so the host of rank 0 reads it for all others.
+    election = WatchElection(10.0, first_start=True)
+    assert election.should_watch(Kind.CONFIG, 0, 10.0, empty=True)
     assert not any(
-        first.should_watch(Kind.CONFIG, n, 10.3, empty=True) for n in (1, 2, 99)
+        election.should_watch(Kind.CONFIG, n, 10.3, empty=True) for n in (1, 2, 99)
+    )
+    assert all(
+        election.should_watch(Kind.CONFIG, n, 11.0, empty=True) for n in (1, 2, 99)
     )
-    assert all(first.should_watch(Kind.CONFIG, n, 11.0, empty=True) for n in (1, 2, 99))
 
 
-def test_a_host_that_the_store_turns_away_says_so_for_a_while():
+def test_the_store_counts_as_unreachable_for_a_while_after_a_failure():
     election = WatchElection()
     assert not election.store_unreachable(10.0)
     election.failed(10.0)
-    assert election.store_unreachable(10.0 + TURNED_AWAY_S / 2)
-    assert not election.store_unreachable(10.0 + TURNED_AWAY_S)
+    assert election.store_unreachable(10.0 + STORE_UNREACHABLE_S / 2)
+    assert not election.store_unreachable(10.0 + STORE_UNREACHABLE_S)
     election.failed(20.0)
     election.succeeded()
     assert not election.store_unreachable(20.0)
 
 
-def test_quarantines_are_watched_with_few_calls_and_not_given_up():
-    # They change hardly ever; a call a second for them would be a third of all calls.
-    # Whoever steps in must wait longer than the watch of a host that lives.
+def test_quarantines_are_watched_with_few_calls():
+    # Quarantines hardly ever change; one call per second for them would be a third of
+    # all calls. A host that takes over must wait longer than one watch of a live host.
     assert watch_wait_s(Kind.QUARANTINE) == QUARANTINE_WATCH_S
     assert silence_timeout(1, Kind.QUARANTINE) > QUARANTINE_WATCH_S
     election = WatchElection()
     election.note_peer_update(Kind.QUARANTINE, 10.0)
     assert not election.should_watch(Kind.QUARANTINE, 1, 10.0 + QUARANTINE_WATCH_S)
     assert election.should_watch(
-        Kind.QUARANTINE, 1, 10.0 + QUARANTINE_WATCH_S + PATIENCE_MAX_S
+        Kind.QUARANTINE, 1, 10.0 + QUARANTINE_WATCH_S + MAX_SILENCE_TIMEOUT_S
     )
