--- a/lacewingcross/core/attempts.py
+++ b/lacewingcross/core/attempts.py
@@ -1,4 +1,4 @@
-"""What is known of an attempt, and the one place that decides on a retry."""
+"""The state of an attempt, and the only place that decides on a retry."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One try at one backend server."""
+    """One attempt at one backend server."""
 
     number: int
     server_id: str
@@ -46,14 +46,15 @@
     head_forwarded: bool = False
 
     def first_byte_written(self) -> None:
-        """Move on: from now on the backend server may have run the request."""
+        """Record that from now on the backend server may have run the request."""
         if self.stage is Stage.NOT_SENT:
             self.stage = Stage.MAY_HAVE_RUN
 
     def end(self, ending: Ending) -> None:
-        """Settle the stage."""
+        """Set the final stage of the attempt."""
         if ending is Ending.SERVER_NOT_RUN:
-            # The server's own word outranks what we wrote: nothing ran.
+            # The server's statement that it did not run the request outranks the fact
+            # that bytes were sent.
             self.stage = Stage.NOT_SENT
         elif ending in (Ending.ANSWERED, Ending.SERVER_ERROR):
             self.stage = Stage.ANSWERED
@@ -90,11 +91,11 @@
     Returns
     -------
     verdict : Verdict
-        REFUSE only where the request is proved not to have run.
+        REFUSE only if it is proved that the request did not run.
     """
     if attempt.head_forwarded and ending is not Ending.ANSWERED:
-        # Part of the answer is with the caller. A second answer behind it would
-        # cross, and ending it cleanly would pass a short answer as a whole one.
+        # The caller has part of the response. A second response would be mixed into it,
+        # and ending it cleanly would make a truncated response look complete.
         return Verdict.ABORT
     if attempt.stage is Stage.ANSWERED:
         return Verdict.DONE
@@ -108,16 +109,16 @@
 
 
 class RetryBudget:
-    """Retries as a fraction of requests, so that they cannot amplify a surge.
+    """Limits retries to a fraction of requests, so that they cannot amplify a surge.
 
-    Counted in whole requests: sums of fractions would fall short of a whole retry.
+    Counts whole requests: sums of fractions would fall short of a whole retry.
 
     Parameters
     ----------
     requests_each : int, default=10
         Requests that earn one retry.
     reserve : int, default=10
-        Most retries that can be saved up.
+        Maximum number of retries that can be saved up.
     """
 
     __slots__ = ("_earned", "_most", "requests_each")
@@ -128,7 +129,7 @@
         self._earned = self._most
 
     def resize(self, reserve: int) -> None:
-        """Take over another reserve; what was saved beyond it is lost."""
+        """Set another reserve; savings beyond it are lost."""
         self._most = reserve * self.requests_each
         self._earned = min(self._earned, self._most)
 
@@ -137,9 +138,9 @@
         self._earned = min(self._most, self._earned + 1)
 
     def available(self) -> bool:
-        """Tell whether a retry could be paid for."""
+        """Return whether the budget allows a retry."""
         return self._earned >= self.requests_each
 
     def spend(self) -> None:
-        """Pay for one retry."""
+        """Deduct one retry."""
         self._earned -= self.requests_each
--- a/lacewingcross/core/backend_state.py
+++ b/lacewingcross/core/backend_state.py
@@ -1,4 +1,4 @@
-"""A backend server as it registered itself, and what one host believes of it."""
+"""A backend server as it registered itself, and its state as seen by one host."""
 
 from dataclasses import dataclass, field
 
@@ -6,10 +6,10 @@
 from .passive_health import PassiveHealth
 from .warm_keys import Warmth
 
-# What no two runs of any server share: its id, and when it started (see `born_ms`).
+# Identifies one run of a server: its id, and when it started (see `born_ms`).
 Incarnation = tuple[str, int]
 
-# A load report counts for this long, in seconds; then counts told by hosts are newer.
+# A load report is used for this long, in seconds; then counts of hosts are more recent.
 REPORT_S = 0.15
 
 
@@ -17,8 +17,8 @@
 class ServerEntry:
     """A backend server as it registered itself.
 
-    A server that starts again may keep its id; `born_ms`, the Unix milliseconds of its
-    start, tells its runs apart. It is 0 for servers that do not tell it.
+    A server that starts again may keep its id; `born_ms`, its start time in Unix
+    milliseconds, tells its runs apart. It is 0 for servers that do not report it.
     """
 
     server_id: str
@@ -32,17 +32,17 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return what no two runs of any server share."""
+        """Return the identity of this run of the server."""
         return (self.server_id, self.born_ms)
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """One run of a backend server and what is known of its load."""
+    """One run of a backend server, and its load as far as this host knows."""
 
     entry: ServerEntry
     region: str
-    # When any host last had something in flight there; at first, when it became known.
+    # When any host last had a request in flight there; at first, when it became known.
     used_at: float
     cold_until: float = 0.0
     own: int = 0
@@ -54,18 +54,21 @@
     warm: Warmth = field(default_factory=Warmth)
 
     def busy(self, now: float) -> int:
-        """Return the requests that are believed to run or wait there."""
+        """Return how many requests are believed to run or wait there."""
         counted = self.own + sum(self.of_peers.values())
         if now - self.reported_at > REPORT_S:
             return counted
         return max(counted, self.reported)
 
     def idle_s(self, now: float) -> float:
-        """Return for how long no host had anything in flight there, in seconds."""
+        """Return for how long no host has had a request in flight there, in seconds."""
         if self.own or self.of_peers:
             return 0.0
         return now - self.used_at
 
     def cold(self, now: float) -> bool:
-        """Tell whether the server bears only a few requests a second."""
+        """Return whether the server tolerates only a few requests per second for now.
+
+        That is so after its start, and after an evacuation of its failure domain.
+        """
         return now < self.cold_until
--- a/lacewingcross/core/departures.py
+++ b/lacewingcross/core/departures.py
@@ -1,8 +1,8 @@
-"""Backend servers that have said in their answers that they leave.
+"""Backend servers that announced in a response that they are shutting down.
 
-The word of a server counts from its first answer and for good: the store may hear of it
-many seconds later, and an older entry of it must not bring the server back. Another run
-of the server is another one.
+An announcement counts from the first such response on and for good: the store may
+receive it many seconds later, and an older entry of the server must not bring the
+server back. It does not apply to another run of the server.
 """
 
 from collections import OrderedDict
@@ -10,32 +10,32 @@
 
 from .backend_state import Incarnation
 
-# Words that are kept; the oldest go first. A store that is away for long brings entries
-# back when it returns.
+# Number of announcements that are kept; the oldest are dropped first. A store that was
+# unreachable for long brings old entries back when it returns.
 KEPT = 4096
 
 
 class Departures:
-    """Runs of servers that leave by their own word.
+    """Runs of servers that announced that they are shutting down.
 
     Attributes
     ----------
     version : int
-        Grows whenever this host has heard something new itself.
-    passed_over : int
-        How often a server was passed over.
+        Grows whenever this host itself has received something new.
+    skipped : int
+        How often a server was skipped.
     """
 
     __slots__ = ("_leaving", "skipped", "version")
 
     def __init__(self) -> None:
-        # Whether this host has heard it itself, by the run of the server.
+        # Whether this host received the announcement itself, by the run of the server.
         self._leaving: OrderedDict[Incarnation, bool] = OrderedDict()
         self.skipped = 0
         self.version = 0
 
     def observe(self, server: Incarnation) -> bool:
-        """Note that a server has said so to this host; return whether that is new."""
+        """Record an announcement to this host; return whether it is new."""
         known = self._leaving.get(server)
         if known:
             return False
@@ -44,7 +44,7 @@
         return known is None
 
     def learn_from_peer(self, server: Incarnation) -> bool:
-        """Note that another host has heard it; return whether that is new."""
+        """Record an announcement to another host; return whether it is new."""
         if server in self._leaving:
             return False
         self._keep(server, own=False)
@@ -56,18 +56,18 @@
             self._leaving.popitem(last=False)
 
     def own_observations(self) -> Iterator[Incarnation]:
-        """Yield the servers that have said so to this host."""
+        """Yield the servers that announced their shutdown to this host."""
         return (server for server, own in self._leaving.items() if own)
 
     def __iter__(self) -> Iterator[Incarnation]:
         return iter(self._leaving)
 
     def leaves(self, server: Incarnation) -> bool:
-        """Tell whether a server leaves."""
+        """Return whether a server has announced its shutdown."""
         return server in self._leaving
 
     def may_send(self, server: Incarnation) -> bool:
-        """Tell whether a request may go to a server."""
+        """Return whether a request may go to a server."""
         leaves = server in self._leaving
         self.skipped += leaves
         return not leaves
--- a/lacewingcross/core/eligibility.py
+++ b/lacewingcross/core/eligibility.py
@@ -1,4 +1,4 @@
-"""Which backend servers may be sent anything at all."""
+"""Decides which backend servers may be sent any request at all."""
 
 from collections.abc import Iterable
 
@@ -12,7 +12,7 @@
 
 
 class Eligibility:
-    """Evacuations, limits of servers, and servers that failed this host.
+    """Evacuations, limits of servers, and servers that failed at this host.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
     cold_over, cold_slack : float
         Bound on requests to cold servers, see `share_of`.
     gate : SendGate
-        What servers ask for in their answers.
+        Limits that servers request in their responses.
     """
 
     __slots__ = (
@@ -45,25 +45,25 @@
         self._failures: dict[str, FailureShare] = {}
         self._services: dict[str, Service] = {}
         self.gate = gate
-        # This host's part of what its region's hosts may send to a cold server.
+        # This host's share of what its region's hosts may send to a cold server.
         self.region_part = 1.0 / HOSTS_UNLISTED
 
     def set_services(self, services: dict[str, Service]) -> None:
-        """Take over what operators declare of the services."""
+        """Set what operators declare about the services."""
         self._services = services
 
     def set_cold_bound(self, over: float, slack: float) -> None:
-        """Take over the bound on requests to cold servers, see `share_of`."""
+        """Set the bound on requests to cold servers, see `share_of`."""
         self._cold_over = over
         self._cold_slack = slack
 
     def set_evacuated(
         self, domains: Iterable[str], servers: Iterable[Server], now: float
     ) -> None:
-        """Send nothing more to these failure domains.
+        """Set the failure domains that get no more requests.
 
-        Servers of a domain that is taken back have stood idle and are cold; nothing
-        in their entries says so.
+        Servers of a domain that is no longer evacuated have been idle and are cold;
+        nothing in their entries says so.
         """
         evacuated = frozenset(domains)
         for server in servers:
@@ -80,15 +80,15 @@
     def may_take(
         self, server: Server, ask: PlacementRequest, now: float, *, desperate: bool
     ) -> bool:
-        """Tell whether a server may be sent a request; see `Evidence.usable`."""
+        """Return whether a server may be sent a request, see `PassiveHealth.usable`."""
         usable = self._usable(server, ask, now, desperate=desperate)
         return usable and self.may_send(server, ask, now)
 
     def may_send(self, server: Server, ask: PlacementRequest, now: float) -> bool:
-        """Tell whether a server itself allows one more request.
+        """Return whether a server itself allows one more request.
 
-        Asked when it is chosen, and again when the first byte is about to be sent: a
-        connection or a body may have been waited for meanwhile.
+        This is checked when the server is chosen, and again just before the first byte
+        is sent: the request may have waited for a connection or a body in between.
         """
         return self.gate.may_send(server.entry.incarnation, now, urgent=ask.urgent)
 
@@ -97,7 +97,7 @@
     ) -> float:
         """Return when the first of some servers allows a request, in seconds.
 
-        Infinity if that is not known of any that could take it otherwise.
+        Infinity if that is not known of any server that could take it otherwise.
         """
         soonest_s = float("inf")
         for server in servers:
@@ -130,10 +130,10 @@
         return server.cold_share.room(limit, now)
 
     def learn_outcome(self, service: str, *, failed: bool) -> None:
-        """Take whether a server did its part into the service's share of failures."""
+        """Add an outcome of an attempt to the service's share of failures."""
         self._failures.setdefault(service, FailureShare()).note(failed)
 
     def failing_alike(self, service: str) -> bool:
-        """Tell whether servers all over a service fail."""
+        """Return whether failures are common to all servers of a service."""
         failures = self._failures.get(service)
         return failures is not None and failures.general()
--- a/lacewingcross/core/estimate.py
+++ b/lacewingcross/core/estimate.py
@@ -8,16 +8,15 @@
 
 
 class ServiceTimes:
-    """Service times of the last `WINDOW` answers.
+    """Service times of the last `WINDOW` responses.
 
-    The acceptance test compares the time left to a deadline with a quantile of
-    the service time learnt online; see docs/design/slots.md for the source and
-    for what the test is worth here.
+    The keeper's acceptance test compares the time left to a deadline with a quantile of
+    these estimates; docs/design/slots.md names its source and what it is worth here.
 
     Parameters
     ----------
     prior_s : float, default=0.05
-        Mean assumed before the first answer.
+        Mean assumed before the first response.
     """
 
     __slots__ = ("_recent", "_sorted", "mean_s")
@@ -31,7 +30,7 @@
         return len(self._recent)
 
     def add(self, seconds: float) -> None:
-        """Learn one service time."""
+        """Add one service time."""
         gain = max(MEAN_GAIN, 1.0 / (len(self._recent) + 1))
         self.mean_s += gain * (seconds - self.mean_s)
         self._recent.append(seconds)
@@ -41,7 +40,7 @@
             del self._sorted[bisect_left(self._sorted, oldest)]
 
     def quantile(self, part: float) -> float:
-        """Return the service time that `part` of recent answers stayed under."""
+        """Return the service time that `part` of the recent responses stayed under."""
         if not self._sorted:
             return self.mean_s
         index = min(len(self._sorted) - 1, int(part * len(self._sorted)))
--- a/lacewingcross/core/fixed_share.py
+++ b/lacewingcross/core/fixed_share.py
@@ -10,10 +10,10 @@
 class FixedShare:
     """Slots that this host may use without a keeper's permit.
 
-    Failure: the keeper is frozen and not yet found out. Waiting would refuse
-    everything of the region for a second or more. The shares of all hosts together
-    stay under the region's slots, and what the silent keeper had granted besides is
-    shed by the backend servers, which say "not run".
+    Guards against a keeper that is frozen but not yet detected as failed: waiting would
+    refuse all requests of the region for a second or more. The shares of all hosts
+    together stay under the region's slots. What the silent keeper had granted besides
+    is shed by the backend servers, which answer "not run".
 
     Parameters
     ----------
@@ -37,9 +37,9 @@
         state : RequestState
             A request of this host's own region.
         in_use : list of (str, int)
-            Backend server and permit of every slot this host uses there.
+            Backend server and permit of every slot that this host uses there.
         now : float
-            Seconds on a monotonic clock.
+            Monotonic time in seconds.
         """
         service = state.req.service
         if state.region != self._view.own.region:
--- a/lacewingcross/core/known_servers.py
+++ b/lacewingcross/core/known_servers.py
@@ -1,4 +1,4 @@
-"""The backend servers that one host knows, and what it is told of them."""
+"""The backend servers that one host knows, and what other hosts report of them."""
 
 from collections.abc import Iterable
 
@@ -14,7 +14,7 @@
     region_of : dict of str to str
         Region of each failure domain.
     homes : Homes
-        Told of every change of the servers.
+        Updated with every change of the servers.
     """
 
     __slots__ = ("_homes", "_news", "_region_of", "_told", "servers")
@@ -27,11 +27,12 @@
         self.servers: dict[str, Server] = {}
 
     def put(self, entry: ServerEntry, now: float) -> None:
-        """Add a server or take over its new entry.
+        """Add a server or update its entry.
 
-        Failure: a server crashes and starts again under its id. What was learnt of the
-        earlier run (evidence, warm keys, requests in flight) is false of the new one;
-        and an entry of the earlier run that arrives late must not bring it back.
+        Guards against a mix-up of runs: a server crashes and starts again under its id.
+        What was observed of the earlier run (failures, warm keys, requests in flight)
+        does not hold for the new one, and an entry of the earlier run that arrives late
+        must not bring it back.
         """
         known = self.servers.get(entry.server_id)
         if known is not None and entry.born_ms < known.entry.born_ms:
@@ -51,7 +52,7 @@
             server.cold_until = max(server.cold_until, now + entry.cold_left_s)
 
     def drop(self, server_id: str) -> None:
-        """Forget a server that is gone."""
+        """Remove a server that is gone."""
         server = self.servers.pop(server_id, None)
         if server is not None:
             self._homes.remove(server)
@@ -65,11 +66,11 @@
         }
 
     def set_peer_counts(self, peer: str, counts: dict[str, int], now: float) -> None:
-        """Take over what another host has in flight at each server.
+        """Set the requests that another host has in flight at each server.
 
-        Touches only the servers that the host names or named last: with 22 other hosts
-        in a region, each telling eleven times a second, a walk over 250 servers for
-        each message would take longer than all else in it.
+        Touches only the servers that the host lists or listed last. With 22 other hosts
+        in a region, each reporting eleven times per second, a walk over 250 servers for
+        each message would take longer than the rest of its processing.
         """
         for server_id in self._told.pop(peer, {}).keys() - counts.keys():
             if server_id in self.servers:
@@ -84,7 +85,7 @@
     def change_peer_counts(
         self, peer: str, changes: dict[str, int], now: float
     ) -> None:
-        """Take over where another host's requests in flight have changed."""
+        """Update another host's requests in flight where they have changed."""
         told = self._told.setdefault(peer, {})
         for server_id, count in changes.items():
             if count:
@@ -101,27 +102,27 @@
                 server.of_peers.pop(peer, None)
 
     def set_handled(self, pairs: Iterable[tuple[str, str]]) -> None:
-        """Take over which servers know which objects, as another host tells."""
+        """Record which servers are warm for which objects, as another host reports."""
         for server_id, thing in pairs:
             if server_id in self.servers:
                 self.servers[server_id].warm.handled(thing)
 
     def handled(self, server: Server, thing: str) -> None:
-        """Note that a server is sent a request for an object."""
+        """Record that a server is sent a request for an object."""
         if server.warm.handled(thing):
             self._news.append((server.entry.server_id, thing))
 
     def take_newly_handled(self) -> list[tuple[str, str]]:
-        """Return servers and objects that were noted since the last call."""
+        """Return the servers and objects that were recorded since the last call."""
         news, self._news = self._news, []
         return news
 
     def learn_load(self, server: Server, load: int, now: float) -> None:
-        """Take over a server's own report of what runs and waits there."""
+        """Record the load that a server reports: the requests that run or wait."""
         server.reported = load
         server.reported_at = now
 
 
 def _moves(before: ServerEntry, after: ServerEntry) -> bool:
-    """Tell whether another entry of a server changes for what it is used."""
+    """Return whether a new entry changes the service or draining state of a server."""
     return (before.service, before.draining) != (after.service, after.draining)
--- a/lacewingcross/core/neighbours.py
+++ b/lacewingcross/core/neighbours.py
@@ -1,4 +1,4 @@
-"""Which hosts exchange heartbeats, so that their number stays small at any size."""
+"""Selects which hosts exchange heartbeats, so that each has few peers at any size."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 class Place:
-    """Where a host is; all that decides on its neighbours."""
+    """The location of a host, which alone decides on its neighbours."""
 
     __slots__ = ("failure_domain", "host_id", "region")
 
@@ -24,17 +24,17 @@
 
 
 def relays(key: str, host_ids: Iterable[str]) -> list[str]:
-    """Return the hosts that speak for a failure domain or a region."""
+    """Return the hosts that represent a failure domain or a region to other hosts."""
     return ranked(f"relay/{key}", host_ids)[:RELAYS]
 
 
 def neighbours(own: Place, places: Iterable[Place]) -> dict[str, float]:
     """Return the hosts to send heartbeats to, and how often, in seconds.
 
-    In a small fleet everybody beats everybody. In a large one a host beats its own
-    failure domain; relays of failure domains beat each other within a region, and
-    relays of regions beat each other over all regions. The rule is symmetric: both
-    sides come to the same result from the same list.
+    In a small fleet, all hosts exchange heartbeats with each other. In a large fleet, a
+    host exchanges them within its own failure domain; relays of failure domains do so
+    within a region, and relays of regions over all regions. The rule is symmetric: both
+    sides derive the same result from the same list.
 
     Parameters
     ----------
--- a/lacewingcross/core/passive_health.py
+++ b/lacewingcross/core/passive_health.py
@@ -1,17 +1,17 @@
-"""What this host has seen itself of a backend server: whether to pass it over."""
+"""Outcomes of this host's attempts at a backend server, and whether to skip it."""
 
-# Pause after the first failure to connect, doubled with each further one.
+# Pause after the first failed connection attempt, doubled with each further one.
 CONNECT_PAUSE_S = 0.5
 CONNECT_PAUSE_MAX_S = 4.0
 # Weight of the newest outcome in the share of failures: about the last eight count.
 FAILURE_WEIGHT = 0.12
-# A server that fails more than this share of its requests is passed over. Healthy ones
-# lose a few in a hundred to spoilt answers.
+# A server that fails more than this share of its requests is skipped. Healthy servers
+# fail a few in a hundred because of invalid responses.
 FAILURE_MOST = 0.35
 FAILURE_PAUSE_S = 1.5
 # Failures at all servers of a service: weight of the newest outcome, and the share from
-# which on they count as common to all. Passing over servers then only makes keys cold
-# elsewhere: with every server shedding, a key wanders over all of them.
+# which on failures count as common to all servers. Skipping servers then only makes
+# keys cold elsewhere: when every server sheds, a key wanders over all of them.
 COMMON_WEIGHT = 0.05
 COMMON_FROM = 0.3
 FAILING = "failing"
@@ -40,13 +40,13 @@
         self.why = ""
 
     def sent(self, number: int, now: float, silence_timeout_s: float) -> None:
-        """Note that attempt `number` was sent; it may take `silence_timeout_s`."""
+        """Record that attempt `number` was sent, and its silence timeout."""
         self._pending[number] = (now, silence_timeout_s)
 
     def answered(self, number: int, now: float, *, good: bool) -> None:
-        """Note a whole answer; `good` is False for the server's own failures."""
+        """Record a complete response; `good` is False for the server's own failures."""
         self._pending.pop(number, None)
-        # Those still waiting are measured from now on: the server does answer.
+        # The silence timeout of other pending attempts restarts: the server responds.
         for other, (_, silence_timeout_s) in self._pending.items():
             self._pending[other] = (now, silence_timeout_s)
         self._connect_pause_s = CONNECT_PAUSE_S
@@ -54,22 +54,22 @@
         self._fade(not good, now)
 
     def failed(self, number: int, now: float) -> None:
-        """Note an attempt that broke, was spoilt or got no answer."""
+        """Record an attempt that broke off or got an invalid or no response."""
         self._pending.pop(number, None)
         self._fade(True, now)
 
     def shed(self, number: int, now: float, *, full: bool) -> None:
-        """Note that the server refused to run an attempt, `full` or not."""
+        """Record that the server shed an attempt; `full` if it had no free slot."""
         self._pending.pop(number, None)
         if not full:
             self._fade(True, now)
 
     def timed_out(self, number: int, now: float) -> None:
-        """Note an attempt that was given up because nothing came back.
+        """Record an attempt that timed out without a response.
 
-        Failure: a server loses power with its connections open. Each request sent
-        there waits in vain, so it is left alone like one that cannot be reached. A
-        server that has answered others meanwhile is only busy.
+        Guards against a server that loses power with its connections open: each request
+        sent there waits in vain, so the server is skipped like one that cannot be
+        reached. A server that has answered other attempts meanwhile is only busy.
         """
         quiet_since, silence_timeout_s = self._pending.pop(number, (now, 0.0))
         self._fade(True, now)
@@ -77,15 +77,15 @@
             self._back_off(SILENT, now)
 
     def unreachable(self, number: int, now: float) -> None:
-        """Note that no connection could be opened."""
+        """Record that no connection could be opened."""
         self._pending.pop(number, None)
         self._back_off(UNREACHABLE, now)
 
     def crashed(self, now: float) -> None:
-        """Note that the server has ended, as this host or another one has found.
+        """Record that the server has crashed, as found by this host or another one.
 
-        It is left alone for as long as its entry may still stand: it lapses after three
-        heartbeats, and a new run comes under a new incarnation.
+        The server is skipped for as long as its entry may still be stored: the entry
+        expires after three heartbeats, and a new run has a new incarnation.
         """
         self._pause(CONNECT_PAUSE_MAX_S, UNREACHABLE, now)
 
@@ -94,7 +94,7 @@
         self._connect_pause_s = min(CONNECT_PAUSE_MAX_S, self._connect_pause_s * 2)
 
     def forgotten(self, number: int) -> None:
-        """Note that nobody waits for attempt `number` any more."""
+        """Record that the result of attempt `number` is no longer awaited."""
         self._pending.pop(number, None)
 
     def _fade(self, failed: bool, now: float) -> None:
@@ -109,15 +109,15 @@
         self.why = why
 
     def silent(self, now: float) -> bool:
-        """Tell whether an answer is overdue and the server answered nobody else."""
+        """Return whether a response is overdue and no other attempt was answered."""
         return any(now - since > most for since, most in self._pending.values())
 
     def usable(self, now: float, *, desperate: bool = False) -> bool:
-        """Tell whether the server may be sent a request.
+        """Return whether the server may be sent a request.
 
         After a pause one request goes first; the others follow when it is answered.
-        When no server is left, those that fail only now and then are used after all
-        (`desperate`): most of what they get is answered.
+        When no other server is left (`desperate`), a server that fails only now and
+        then is used after all, since it answers most of its requests.
         """
         if desperate and self.why == FAILING:
             return not self.silent(now)
@@ -138,9 +138,9 @@
         self._share = 0.0
 
     def note(self, failed: bool) -> None:
-        """Take in one outcome."""
+        """Add one outcome."""
         self._share += COMMON_WEIGHT * (failed - self._share)
 
     def general(self) -> bool:
-        """Tell whether failures are common to the whole service."""
+        """Return whether failures are common to all servers of the service."""
         return self._share > COMMON_FROM
--- a/lacewingcross/core/policy.py
+++ b/lacewingcross/core/policy.py
@@ -1,36 +1,38 @@
-"""Mechanisms of placing that can be switched off, to measure what each is worth."""
+"""Switches for single mechanisms of placement, to measure the effect of each."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Policy:
-    """Switches of single mechanisms; all are on unless an experiment says otherwise.
+    """Switches of single mechanisms; all are on unless an experiment turns them off.
+
+    A server is warm for an object, and for its key, that it has handled recently.
 
     Attributes
     ----------
     fastest : bool
-        Take the server that would answer first, not the first with room.
+        Choose the server that is expected to answer first, not the first with room.
     local_home : bool
         Give each key a second home in the host's own region.
     stay_warm : bool
-        Keep keys at servers that know them when their homes change.
+        Keep keys at servers that are warm for them when their homes change.
     idle_home : bool
-        Let a home that stands idle take its keys over.
+        Let a home that is idle take over its keys.
     kinds_apart : bool
-        Tell objects of two kinds with the same key apart.
+        Distinguish objects of two kinds with the same key.
     warmth_told : bool
-        Go by what other hosts tell of keys that servers know.
+        Use reports of other hosts about the keys for which servers are warm.
     warm_waits : bool
-        Let requests wait longer at a server that knows their object.
+        Let requests wait longer at a server that is warm for their object.
     urgent_waits : bool
         Let requests of an urgent kind wait where others are refused.
     failing_alike : bool
-        Pass over no server for failing when all of its service fail.
+        Skip no server for failing when all servers of its service fail.
     reserve_regions : bool
-        Leave regions to the requests that are bound to them.
+        Reserve regions for the requests that are bound to them.
     shed_back_soon : bool
-        Ask callers back at once whose request a server with free slots has shed.
+        Let a caller retry soon if a server with free slots has shed its request.
     """
 
     fastest: bool = True
--- a/lacewingcross/core/rate_limits.py
+++ b/lacewingcross/core/rate_limits.py
@@ -1,9 +1,10 @@
-"""Keeps to the request rates that backend servers name, summed over all hosts.
+"""Keeps to the request rates that backend servers state, summed over all hosts.
 
-Answers this load: a server in need takes a few requests a second from all hosts
-together, while its keys ask for several times as many at each of them. Nothing is told
-of single requests: a bounded number of hosts each have an equal share of the rate, also
-those that hear nothing of each other, and all others pass the server over.
+Designed for an overloaded server that accepts a few requests per second from all hosts
+together, while its keys attract several times as many at each of them. Hosts exchange
+nothing about single requests: a bounded number of hosts each have an equal share of the
+rate, including hosts that receive nothing from each other, and all other hosts skip the
+server. Credit is the number of requests that a host may send now.
 """
 
 from collections.abc import Collection, Iterator
@@ -12,38 +13,39 @@
 from .backend_state import Incarnation
 from .rendezvous import ranked
 
-# Credit that a request needs beside its own, in requests, unless it is urgent.
+# Credit that a request needs beyond its own, in requests, unless it is urgent.
 LEFT_TO_URGENT = 0.2
-# Each host that shares may save up so much credit at least, in requests.
+# Lower limit of the credit that each sharing host may save up, in requests.
 CREDIT_LEAST = 1.0 + LEFT_TO_URGENT
-# Part of what the bound leaves over the rate itself that saved credit may take up. The
-# rest is for hosts that do not agree yet on who shares, and for what is under way.
+# Fraction of what the bound allows beyond the rate itself that saved credit may use.
+# The rest is for hosts that do not agree yet on which hosts share, and for requests
+# that are under way.
 SPARE_PART = 0.6
-# Server's rates below this are taken for it, in requests a second over all hosts: only
-# an answer tells that a server takes requests again.
+# Lower limit of a server's rate, in requests per second over all hosts. A lower rate
+# counts as this one: only a response shows that a server accepts requests again.
 LEAST_RATE = 0.25
-# Hosts without a share believe a named rate for so long, in seconds. Then they send one
-# request each by turns, to see whether it still holds.
+# Hosts without a share rely on a stated rate for this long, in seconds. Then they send
+# one request each in rotation, to see whether the rate still holds.
 BELIEVED_S = 30.0
-# Turn of a host that does not serve: it sends nothing to servers with a limit.
+# Position of a host that is not serving: it sends nothing to servers with a limit.
 NEVER = -1
-# What a server said is remembered for so long after it has changed its mind, or has
-# gone, in seconds: another host may tell later of what was said before.
+# A server's statement is kept for this long, in seconds, after it was withdrawn or the
+# server is gone: another host may report an earlier statement later.
 REMEMBERED_S = 60.0
 
 
 @dataclass(slots=True, frozen=True)
 class RateBound:
-    """What all hosts keep to: in any `window_s` at most `most` requests.
+    """The bound that all hosts keep: at most `most` requests in any `window_s`.
 
     Parameters
     ----------
     window_s : float
         Length of the window, in seconds.
     excess : float
-        Part of the rate that may come on top.
+        Fraction of the rate that is allowed on top.
     slack : float
-        Requests on top of that.
+        Requests allowed on top of that.
     """
 
     window_s: float = 4.0
@@ -51,15 +53,15 @@
     slack: float = 5.0
 
     def most(self, rate: float) -> float:
-        """Return how many requests a server may get in any window."""
+        """Return the maximum number of requests that a server may get in any window."""
         return rate * self.window_s * (1 + self.excess) + self.slack
 
     def sharers_most(self, rate: float) -> int:
-        """Return how many hosts may save up credit for one server."""
+        """Return the maximum number of hosts that may save up credit for one server."""
         return max(1, int(self._savings(rate) / CREDIT_LEAST))
 
     def credit_each(self, rate: float, sharers: int) -> float:
-        """Return the credit that each of some hosts may save up, in requests."""
+        """Return the credit that each sharing host may save up, in requests."""
         return max(CREDIT_LEAST, self._savings(rate) / sharers)
 
     def _savings(self, rate: float) -> float:
@@ -69,12 +71,13 @@
 
 @dataclass(slots=True)
 class RateLimit:
-    """What one run of a server said last; `rate` is None when it names no limit.
+    """The last statement of one run of a server; `rate` is None if it states no limit.
 
-    `at` is when it was known to hold, by this host's clock: when a naming answer came,
-    or when the request was sent that was answered without a name. `own` tells that this
-    host heard it itself, `tried_at` when it last sent a request without having a share;
-    `turn` is its turn to do so, of `turns`. It saves up `credit_most` requests.
+    `at` is when the statement was known to hold, by this host's clock: when a response
+    with a rate arrived, or when the request was sent whose response stated no rate.
+    `own` is true if this host received the response itself. `tried_at` is when this
+    host last sent a request without having a share; it may do so at position `turn` in
+    a rotation of `turns`. It saves up at most `credit_most` requests.
     """
 
     rate: float | None
@@ -94,27 +97,27 @@
         return min(self.credit_most, grown)
 
     def settle(self, now: float) -> None:
-        """Add the credit that has grown since it was settled last."""
+        """Add the credit that has grown since the last call."""
         self.credit = self.credit_now(now)
         self.credited_at = now
 
 
 class RateLimits:
-    """The rates that servers have named, and this host's shares of them.
+    """The rates that servers have stated, and this host's shares of them.
 
     Parameters
     ----------
     own : str
         Id of this host.
     bound : RateBound, optional
-        What all hosts keep to.
+        The bound that all hosts keep.
 
     Attributes
     ----------
     version : int
-        Grows whenever this host has heard something new itself.
-    passed_over : int
-        How often a server was passed over for its rate.
+        Grows whenever this host itself has received something new.
+    skipped : int
+        How often a server was skipped because of its rate.
     """
 
     __slots__ = ("_bound", "_by_server", "_hosts", "_own", "skipped", "version")
@@ -122,22 +125,21 @@
     def __init__(self, own: str, bound: RateBound | None = None) -> None:
         self._bound = bound or RateBound()
         self._by_server: dict[Incarnation, RateLimit] = {}
-        # Until somebody says who else serves, this host has no share.
+        # As long as the serving hosts are not known, this host has no share.
         self._hosts: frozenset[str] = frozenset()
         self._own = own
         self.skipped = 0
         self.version = 0
 
-    # What servers say
-
     def observe(
         self, server: Incarnation, rate: float | None, asked_at: float, now: float
     ) -> bool:
-        """Take in an answer of a server to a request that was sent at `asked_at`.
+        """Process a response of a server to a request that was sent at `asked_at`.
 
-        Failure: an answer from before the server named its rate comes late, over a link
-        that loses packets, and would end the limit. So one without a name counts only
-        if it was asked for after the last one that named it.
+        Guards against a late response from before the server stated its rate, which
+        comes over a link that loses packets and would end the limit. So a response
+        without a rate counts only if its request was sent after the last response that
+        stated one had arrived.
 
         Returns
         -------
@@ -146,7 +148,8 @@
         """
         at = now if rate is not None else asked_at
         known = self._by_server.get(server)
-        # Turns go by what was known last, so all hosts are told of a new beginning.
+        # The rotation starts at the last known statement, so all hosts need to learn of
+        # a renewed one.
         old = known is not None and now - known.at > BELIEVED_S
         changed = self._take(server, rate, at, now, own=True)
         if changed or old:
@@ -156,7 +159,7 @@
     def learn_from_peer(
         self, server: Incarnation, rate: float | None, at: float, now: float
     ) -> bool:
-        """Take in what another host has heard, see `RateLimit`.
+        """Process a statement that another host reports, see `RateLimit`.
 
         Returns
         -------
@@ -178,7 +181,7 @@
         if known is None:
             if rate is None:
                 return False
-            # The bound counts from some seconds after the first word on.
+            # The bound applies only some seconds after the first statement.
             known = RateLimit(None, at, own, credit=CREDIT_LEAST, credited_at=now)
             self._by_server[server] = known
         elif at <= known.at:
@@ -192,22 +195,20 @@
         return True
 
     def own_observations(self) -> Iterator[tuple[Incarnation, RateLimit]]:
-        """Yield what this host has heard itself and remembers."""
+        """Yield the statements that this host received itself and still keeps."""
         return (item for item in self._by_server.items() if item[1].own)
 
     def share_of(self, server: Incarnation) -> float:
-        """Return the requests a second that this host may send, infinity for any."""
+        """Return how many requests per second this host may send; infinity for any."""
         limit = self._by_server.get(server)
         return float("inf") if limit is None or limit.rate is None else limit.share
 
     def in_force(self) -> Iterator[tuple[Incarnation, RateLimit]]:
-        """Yield the servers that name a rate."""
+        """Yield the servers that state a rate, and their limits."""
         return (item for item in self._by_server.items() if item[1].rate is not None)
 
-    # Who shares
-
     def set_hosts(self, hosts: Collection[str], now: float) -> None:
-        """Take over which hosts may send requests to servers."""
+        """Set which hosts may send requests to servers."""
         if self._hosts == hosts:
             return
         self._hosts = frozenset(hosts)
@@ -232,7 +233,7 @@
         limit.turns = max(1, len(order) - most + 1)
 
     def forget_old(self, now: float, known: Collection[str]) -> None:
-        """Drop what no longer matters; `known` are the ids of known servers."""
+        """Drop what is no longer needed; `known` are the ids of known servers."""
         old = [
             server
             for server, limit in self._by_server.items()
@@ -242,19 +243,17 @@
         for server in old:
             del self._by_server[server]
 
-    # What this host may send
-
     def may_send(self, server: Incarnation, now: float, *, urgent: bool) -> bool:
-        """Tell whether a request may go to a server.
+        """Return whether a request may go to a server.
 
         Parameters
         ----------
         server : Incarnation
-            Which run of it.
+            Run of the server.
         now : float
             Monotonic time in seconds.
         urgent : bool
-            Whether the request goes before those that are not.
+            Whether the request has precedence over requests that are not urgent.
         """
         if not self._by_server:
             return True
@@ -269,10 +268,11 @@
         return allowed
 
     def _may_try(self, limit: RateLimit, now: float) -> bool:
-        """Tell whether this host, without a share, may see whether a rate still holds.
+        """Return whether this host, without a share, may check if a rate still holds.
 
-        Failure: nobody asks a server for long; then all hosts get a request for it at
-        once, each takes what it believes for old, and together they send too many.
+        Guards against a burst: no host sends a request to a server for long, then all
+        hosts get one for it at once, each considers the known rate outdated, and
+        together they send too many.
         """
         if now - max(limit.at, limit.tried_at) <= BELIEVED_S:
             return False
@@ -280,7 +280,7 @@
         return turn == limit.turn
 
     def sent(self, server: Incarnation, now: float) -> None:
-        """Count a request of which the first byte is sent."""
+        """Count a request whose first byte is sent."""
         limit = self._by_server.get(server)
         if limit is None or limit.rate is None:
             return
@@ -293,7 +293,7 @@
     def wait_s(self, server: Incarnation, now: float) -> float:
         """Return when this host may send to a limited server, in seconds.
 
-        0 if the server names no limit, infinity if this host has no share.
+        0 if the server states no limit, infinity if this host has no share.
         """
         limit = self._by_server.get(server)
         if limit is None or limit.rate is None:
--- a/lacewingcross/core/rendezvous.py
+++ b/lacewingcross/core/rendezvous.py
@@ -18,5 +18,5 @@
 
 
 def ranked(key: str, members: Iterable[str]) -> list[str]:
-    """Return `members`, the owner of `key` first."""
+    """Return `members` sorted by their hash with `key`, its owner first."""
     return sorted(members, key=lambda member: hash64(key, member), reverse=True)
--- a/lacewingcross/core/routes.py
+++ b/lacewingcross/core/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the configuration in force, and which of them a request takes."""
+"""Routes of the configuration in force, and the choice of a request's route."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -29,15 +29,16 @@
     priority: int
     affinity: bool
     home_regions: frozenset[str]
-    # Whether callers need no key.
+    # Whether callers need no API key.
     public: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """What operators declared of a service.
+    """What operators declare about a service.
 
-    `cold_rate` is the requests a second that a server bears while it is cold.
+    `cold_rate` is how many requests per second a server tolerates while it is cold,
+    that is, just after its start.
     """
 
     name: str
@@ -49,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits on what a caller may send, and how long it may take."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 64 * 1024 * 1024
@@ -70,7 +71,7 @@
 
 @dataclass(slots=True)
 class RouteTable:
-    """Finds the route of a request: its host, then the longest prefix."""
+    """Finds the route of a request by its host name, then by the longest prefix."""
 
     config: Configuration
     _by_host: dict[str, list[Route]] = field(init=False)
@@ -84,16 +85,17 @@
         self._by_host = dict(grouped)
 
     def match(self, host_name: str, path: str) -> Route | None:
-        """Return the route of a request, or None when there is none."""
+        """Return the route of a request, or None when no route matches."""
         for route in self._by_host.get(host_name, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def home_regions(self, host_name: str) -> frozenset[str]:
-        """Return the regions to which all routes of a host name may go.
+        """Return the regions to which all bound routes of a host name may go.
 
-        Empty means that no route of that host name is bound to regions.
+        Empty if no route of that host name is bound to regions, or if those that are
+        have no region in common.
         """
         bound = [r.home_regions for r in self._by_host.get(host_name, ())]
         bound = [regions for regions in bound if regions]
--- a/lacewingcross/core/send_gate.py
+++ b/lacewingcross/core/send_gate.py
@@ -1,8 +1,8 @@
-"""Asks whether a backend server itself allows one more request.
+"""Checks whether a backend server itself allows one more request.
 
-In the way of each request to a server: first tries, retries, tries after a server was
-left alone, tries of quarantined requests. It is asked when a server is chosen and again
-before the first byte is sent.
+Each request to a server passes this check: first attempts, retries, attempts after a
+server was skipped, attempts of quarantined requests. It is made when a server is chosen
+and again before the first byte is sent.
 """
 
 from .backend_state import Incarnation
@@ -12,12 +12,12 @@
 
 
 class SendGate:
-    """All that servers ask for in their answers, as one question.
+    """All limits that servers request in their responses, combined in one check.
 
     Parameters
     ----------
     host_id : str
-        This host.
+        Id of this host.
     """
 
     __slots__ = ("departures", "rates", "backoffs")
@@ -29,11 +29,11 @@
 
     @property
     def version(self) -> int:
-        """Return what grows whenever other hosts have to be told something."""
+        """Return a number that grows whenever there is news for other hosts."""
         return self.departures.version + self.rates.version
 
     def may_send(self, server: Incarnation, now: float, *, urgent: bool) -> bool:
-        """Tell whether a request may go to a run of a server."""
+        """Return whether a request may go to a run of a server."""
         if not self.departures.may_send(server):
             return False
         if not self.backoffs.may_send(server, now):
@@ -41,7 +41,7 @@
         return self.rates.may_send(server, now, urgent=urgent)
 
     def sent(self, server: Incarnation, now: float) -> None:
-        """Count a request of which the first byte is sent."""
+        """Count a request whose first byte is sent."""
         self.rates.sent(server, now)
         self.backoffs.sent(server, now)
 
--- a/lacewingcross/core/server_backoffs.py
+++ b/lacewingcross/core/server_backoffs.py
@@ -1,34 +1,34 @@
-"""Backend servers that have turned a request away and asked this host for rest.
+"""Backend servers that rejected a request and requested a back-off (Retry-After).
 
-Rest is between one server and one host: nobody else is told. After it one request goes
-first, so that a server which is still in need gets no flood.
+A back-off applies between one server and one host; no other host is informed. After it
+one request goes first, so that a server that is still overloaded is not flooded.
 """
 
 from dataclasses import dataclass
 
 from .backend_state import Incarnation
 
-# A longer rest is cut to this, in seconds: a wrong figure must not cost a server.
+# Upper limit of a back-off, in seconds: a wrong value must not disable a server.
 REST_MOST_S = 60.0
-# The first request after a rest is waited for so long, in seconds.
+# Time for which the first request after a back-off is waited for, in seconds.
 TRIAL_S = 1.0
 
 
 @dataclass(slots=True)
 class ServerBackoff:
-    """The rest of one server: when it ends, and when it was tried after that."""
+    """The back-off of one server: its end, and when a request was last sent to it."""
 
     until: float
     tried_at: float = float("-inf")
 
 
 class ServerBackoffs:
-    """Servers that rest from this host.
+    """Servers that have requested a back-off from this host.
 
     Attributes
     ----------
-    passed_over : int
-        How often a server was passed over.
+    skipped : int
+        How often a server was skipped.
     """
 
     __slots__ = ("_by_server", "skipped")
@@ -38,14 +38,14 @@
         self.skipped = 0
 
     def observe(self, server: Incarnation, rest_s: float, now: float) -> bool:
-        """Take in an answer of a server; return whether it rests from now on.
+        """Process a response of a server; return whether a back-off begins with it.
 
         Parameters
         ----------
         server : Incarnation
-            Which run of it.
+            Run of the server.
         rest_s : float
-            For how long it wants nothing, in seconds; 0 for an answer without it.
+            Requested back-off in seconds; 0 for a response without one.
         now : float
             Monotonic time in seconds.
         """
@@ -62,13 +62,13 @@
         return True
 
     def may_send(self, server: Incarnation, now: float) -> bool:
-        """Tell whether a request may go to a server."""
+        """Return whether a request may go to a server."""
         wait_s = self.wait_s(server, now)
         self.skipped += wait_s > 0.0
         return wait_s <= 0.0
 
     def sent(self, server: Incarnation, now: float) -> None:
-        """Note that a request is sent."""
+        """Record that a request is sent."""
         known = self._by_server.get(server)
         if known is not None:
             known.tried_at = now
@@ -82,7 +82,7 @@
         return max(0.0, known.until - now, trial_over - now)
 
     def in_force(self, now: float) -> dict[str, float]:
-        """Return the ids of servers that rest, and for how long, in seconds."""
+        """Return the time that is left of each back-off, in seconds, by server id."""
         return {
             server[0]: rest.until - now
             for server, rest in self._by_server.items()
@@ -90,7 +90,7 @@
         }
 
     def forget_old(self, now: float) -> None:
-        """Drop rests that ended long ago without a request since."""
+        """Drop back-offs that ended long ago without a request since."""
         old = [
             server
             for server, rest in self._by_server.items()
--- a/lacewingcross/core/server_signals.py
+++ b/lacewingcross/core/server_signals.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself in the head of one answer."""
+"""What a backend server states about itself in the head of a response."""
 
 from dataclasses import dataclass
 
@@ -10,15 +10,15 @@
     Attributes
     ----------
     rate : float or None
-        Requests a second that it takes from all hosts together; None if it names no
-        limit.
+        Requests per second that it accepts from all hosts together; None if it states
+        no limit.
     leaving : bool
-        Whether it leaves: it ends soon and wants nothing more.
+        Whether it is shutting down soon and wants no more requests.
     rest_s : float
-        Time for which it wants nothing more from this host, in seconds; 0 for none.
+        Back-off that it requests from this host, in seconds; 0 for none.
     unreadable : tuple of str
-        Names of fields that were there and could not be read. They say nothing: what
-        was believed before stays.
+        Names of fields that were present and could not be parsed. They change nothing:
+        what was known before stays.
     """
 
     rate: float | None = None
--- a/lacewingcross/core/slew.py
+++ b/lacewingcross/core/slew.py
@@ -1,4 +1,4 @@
-"""Each host's own limit on how fast it follows a plan."""
+"""Limits how fast each host follows a plan."""
 
 import math
 from collections import deque
@@ -11,10 +11,10 @@
 class EffectivePlan:
     """The tables in force on this host.
 
-    Failure: a host skips versions of the plan, or sees two of them late and close
-    together. Taking over the newest at once would move in one instant what the
-    planner had spread over several windows. So each host counts its own moves over
-    its own clock's window and follows the plan only within the cap.
+    Guards against sudden moves: a host misses versions of the plan, or receives two of
+    them late and close together. Adopting the newest at once would move in one instant
+    what the planner had spread over several windows. So each host counts its own moves
+    within a window of its own clock and follows the plan only within the cap.
     """
 
     __slots__ = ("_behind", "_moves", "tables", "wanted")
@@ -26,7 +26,7 @@
         self._behind: dict[str, int] = {}
 
     def adopt(self, plan: Plan, cap: ShiftCap, now: float) -> None:
-        """Take a newer plan as the goal; groups not seen before start at once."""
+        """Set a newer plan as the goal; new groups take effect at once."""
         self.wanted = plan
         for group in [name for name in self.tables if name not in plan.tables]:
             del self.tables[group]
@@ -41,7 +41,7 @@
     def advance(self, cap: ShiftCap, now: float) -> int:
         """Move as many buckets as the cap allows; return how many.
 
-        Called with every tick: groups that follow their plan already cost nothing.
+        Called with every tick: groups that already match their plan cost nothing.
         """
         return sum(
             self._advance_group(group, self.wanted.tables[group], cap, now)
--- a/lacewingcross/core/terms.py
+++ b/lacewingcross/core/terms.py
@@ -1,4 +1,4 @@
-"""How a request is treated: what its route and its client account say together."""
+"""How a request is treated, as set by its route and its client account."""
 
 from dataclasses import dataclass
 
@@ -10,9 +10,9 @@
 class Terms:
     """How a request is treated.
 
-    `account` is None where nobody is asked for a key. `regions` are those that may
-    serve it; `no_common_region` tells that route and account have
-    homes, and none in common.
+    `account` is None where callers need no API key. `regions` are those that may serve
+    the request. `no_common_region` is true if the route and the account both have home
+    regions, but none in common.
     """
 
     account: ClientAccount | None
@@ -29,7 +29,7 @@
 def terms_for(route: Route, account: ClientAccount | None) -> Terms:
     """Return how a request of an account on a route is treated.
 
-    The account's rank goes before the route's; homes of both bind.
+    The account's rank takes precedence over the route's; home regions of both apply.
     """
     if account is None:
         return Terms(None, route.priority, route.home_regions)
--- a/lacewingcross/core/waiting_requests.py
+++ b/lacewingcross/core/waiting_requests.py
@@ -9,13 +9,13 @@
 class WaitingRequests:
     """Waiting requests for each service and region.
 
-    Entries are left in place when a request stops waiting and dropped when they come
-    to the front, so that adding and taking cost the same however many wait.
+    Entries stay in their queue when a request stops waiting and are dropped when they
+    come to the front, so that adding and taking cost the same however many wait.
 
     Parameters
     ----------
     is_open : callable
-        Tells whether a request state is still one of the host's requests.
+        Returns whether a request state is still one of the host's requests.
     """
 
     __slots__ = ("_is_open", "_queues")
@@ -43,7 +43,7 @@
     def take_for(
         self, service: str, region: str, held: HeldPermit, now: float
     ) -> RequestState | None:
-        """Return the oldest request if it can use the permit, and remove it."""
+        """Remove and return the oldest request if it can use the permit, else None."""
         queue = self._queues[service, region]
         state = self._front(queue)
         if state is None or now >= state.give_up_at:
@@ -54,6 +54,6 @@
         return state
 
     def sweep(self) -> None:
-        """Drop entries at the front that no longer wait, so that none pile up."""
+        """Drop entries at the front that no longer wait, so that none accumulate."""
         for queue in self._queues.values():
             self._front(queue)
