--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -1,4 +1,4 @@
-"""Hosts in virtual time that keep to the rate which one server names."""
+"""Hosts in virtual time that keep to the rate that one server states."""
 
 import heapq
 import itertools
@@ -9,18 +9,19 @@
 STEP_S = 0.05
 ANSWER_S = 0.1
 WAY_S = 0.04
-# A host is bound from so long after it has passed on a naming answer, in seconds.
+# A host is bound from this long after it has passed on a response with a rate, in s.
 HEARD_S = 0.5
-# The bound counts from so long after the first such answer; a restart excuses as long.
+# The bound applies from this long after the first such response, in seconds. A host is
+# exempt for as long after a restart.
 STABLE_S = 3.0
-# Answers that are held up come so much later, in seconds.
+# Extra delay of responses that are held up, in seconds.
 LATE_S = 1.2
 
 
 class LimitFleet:
-    """Hosts, their views of each other, and what the server got.
+    """Hosts, their views of each other, and the requests that the server got.
 
-    `cut` holds hosts that hear no other host; they reach the server all the same.
+    `cut` holds hosts that reach no other host; they still reach the server.
     """
 
     def __init__(self, count, rate, *, gated=True):
@@ -42,7 +43,7 @@
             self.start(name, names)
 
     def start(self, name, view):
-        """Start a host, or start it again: it remembers nothing."""
+        """Start or restart a host, which then remembers nothing."""
         self.hosts[name] = RateLimits(name)
         self.hosts[name].set_hosts(frozenset(view), self.now)
         self.views[name] = set(view)
@@ -52,7 +53,7 @@
             self.tell(other, name)
 
     def join(self):
-        """Add a host; the others hear of it a way later."""
+        """Add a host; the others learn of it after a network delay."""
         name = f"h{len(self.hosts)}"
         self.start(name, [*self.hosts, name])
         for other in self.hosts:
@@ -66,7 +67,7 @@
         self.hosts[other].set_hosts(frozenset(self.views[other]), self.now)
 
     def name_rate(self, rate):
-        """Let the server name another rate, None for no limit."""
+        """Set the rate that the server states, None for no limit."""
         self.rate = rate
 
     def later(self, delay_s, action, *args):
@@ -84,7 +85,7 @@
             self.hosts[receiver].learn_from_peer(*word, self.now)
 
     def send(self, name, *, late_s=0.0):
-        """Let a host have a request; its answer may be held up on its way."""
+        """Let a host send a request; its response may be delayed. Return if it did."""
         limits = self.hosts[name]
         if self.gated and not limits.may_send(SERVER, self.now, urgent=True):
             return False
@@ -111,7 +112,7 @@
                 self.tell(name, other)
 
     def play(self, seconds, *, tries=2, senders=None, late_s=0.0):
-        """Have each host ask more of the server than it takes."""
+        """Have each host request more of the server than it accepts."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             while self._events and self._events[0][0] <= self.now:
@@ -122,9 +123,9 @@
                     self.send(name, late_s=late_s)
 
     def _bound_by(self, name):
-        """Return the rate that binds a host, by what it has passed on; None for none.
+        """Return the rate that binds a host by what it has passed on; None for none.
 
-        What it has passed on within half a second need not be kept to yet.
+        A statement that it passed on within the last half second need not be kept yet.
         """
         words = self.heard[name]
         while len(words) > 1 and words[1][0] <= self.now - HEARD_S:
@@ -134,13 +135,13 @@
         return None if not known or None in rates else max(rates)
 
     def excess(self):
-        """Return by how much the worst window lies above the bound; 0 keeps it."""
+        """Return how far the worst window exceeds the bound; 0 or less keeps it."""
         bound = RateBound()
         if self.named_at is None:
             return self._worst
         first = self.named_at + STABLE_S
         counted = [(at, rate) for at, rate in self.arrivals if at >= first]
-        # Windows that began earlier are over and were looked at.
+        # Windows that began earlier have been checked.
         self.arrivals = [item for item in counted if item[0] > self.now - 20.0]
         for since, _ in counted:
             until = since + bound.window_s
--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -1,4 +1,7 @@
-"""Plays a load on several hosts' placements and modelled servers, in virtual time."""
+"""Plays a load on the placements of several hosts and on modelled servers.
+
+Time is virtual. A server is warm for an object that it has handled recently.
+"""
 
 import heapq
 import itertools
@@ -18,7 +21,7 @@
 
 @dataclass
 class Kind:
-    """One sort of request: how often it comes, what it takes, what is wanted."""
+    """One sort of request: its rate, its service time and its target."""
 
     name: str
     service: str
@@ -34,20 +37,20 @@
 
 @dataclass(slots=True)
 class ModelServer:
-    """Slots, a queue, and the objects that are at hand."""
+    """A backend server: its slots, its queue, and the objects for which it is warm."""
 
     slots: int
     slow: float = 1.0
     shed: float = 0.0
     running: int = 0
     waiting: deque = field(default_factory=deque)
-    # Objects that are at hand, the latest last, and how many there may be.
+    # Objects for which the server is warm, the latest last; there may be `keeps`.
     warm: dict = field(default_factory=dict)
     keeps: int = 10**6
     cold_runs: int = 0
 
     def handle(self, thing):
-        """Take an object; return whether it was at hand."""
+        """Handle an object; return whether the server was warm for it."""
         known = self.warm.pop(thing, False)
         self.warm[thing] = True
         if len(self.warm) > self.keeps:
@@ -57,7 +60,7 @@
 
 @dataclass
 class Outcome:
-    """What callers got, and where it ran, by seconds."""
+    """What callers got, and where their requests ran, by seconds."""
 
     in_target: Counter = field(default_factory=Counter)
     asked: Counter = field(default_factory=Counter)
@@ -65,13 +68,13 @@
     ran_in: dict = field(default_factory=dict)
 
     def share(self, kind, since=0, until=10**6):
-        """Return the part of a kind's requests that were answered in time."""
+        """Return the share of a kind's requests that were answered in time."""
         spans = [(k, s) for k, s in self.asked if k == kind and since <= s < until]
         asked = sum(self.asked[key] for key in spans)
         return sum(self.in_target[key] for key in spans) / asked
 
     def worst_shift(self, region, since=4, span=2):
-        """Return the largest part that changed its region from a span to the next."""
+        """Return the largest share that changed its region between adjacent spans."""
         spans = {}
         for (origin, second), counts in self.ran_in.items():
             if origin == region:
@@ -98,8 +101,8 @@
         Servers of each service in each region, as ``{"service@region": count}``.
     hosts : dict of str to int
         Hosts of each region.
-    way_s : float
-        Time to another region and back.
+    network_s : float
+        Network round trip to another region, in seconds.
     """
 
     def __init__(
@@ -138,7 +141,7 @@
         self.out = Outcome()
 
     def at(self, when, step, *args):
-        """Do something at a time."""
+        """Schedule a call."""
         heapq.heappush(self.events, (when, next(self.numbers), step, args))
 
     def play(self, kinds, seconds, rate=lambda region, now: 1.0):
@@ -243,5 +246,5 @@
 
     @property
     def cold_runs(self):
-        """Return how many requests ran at servers that did not know their object."""
+        """Return how many requests ran at servers that were cold for their object."""
         return sum(model.cold_runs for model in self.models.values())
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Every sequence of attempt endings: "not run" is a proof, nothing runs twice."""
+"""Every sequence of attempt endings: "not run" is proved, and nothing runs twice."""
 
 import itertools
 
@@ -10,14 +10,14 @@
 
 
 def _possible(ending, sent):
-    """Tell whether an ending can follow, given that bytes were written or not."""
+    """Return whether an ending can follow, given whether bytes were written."""
     if not sent:
         return ending in (Ending.CONNECT_FAILED, Ending.CANCELLED, Ending.TIMED_OUT)
     return ending is not Ending.CONNECT_FAILED
 
 
 def _may_run(ending, sent):
-    """Tell whether the backend server may have run it: the test's own view."""
+    """Return whether the server may have run it, computed independently of the code."""
     return sent and ending is not Ending.SERVER_NOT_RUN
 
 
--- a/tests/test_cold_limit.py
+++ b/tests/test_cold_limit.py
@@ -1,4 +1,4 @@
-"""Cold servers: the bound over all hosts, kept without any message."""
+"""Cold servers: the bound over all hosts, kept without any messages."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -12,8 +12,8 @@
     asks=st.lists(st.tuples(st.integers(0, 8), st.floats(0, 0.1)), max_size=400),
 )
 def test_no_second_carries_more_than_the_bound(hosts, asks):
-    # A region's servers come back cold together. Every host, partitioned ones too,
-    # sends what it may; a server that got more than the bound would break again.
+    # A region's servers return cold together. Every host, also a partitioned one, sends
+    # as much as it may. A server that gets more than the bound would break again.
     limit = share_of(14.0, 1.5, 5.0, 1.0 / hosts)
     shares = [ColdShare() for _ in range(hosts)]
     now = 0.0
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""Servers that leave by their own word."""
+"""Servers that announce in a response that they are shutting down."""
 
 from lacewingcross.core.departures import KEPT, Departures
 from lacewingcross.core.send_gate import SendGate
--- a/tests/test_passive_health.py
+++ b/tests/test_passive_health.py
@@ -18,8 +18,8 @@
 
 
 def test_after_a_pause_one_request_goes_first():
-    # A crashed server's pause is over. Sending all its keys at once would lose them
-    # all together if it is still down.
+    # The pause of a crashed server is over. If all its keys were sent at once, all of
+    # them would be lost if it is still down.
     evidence = PassiveHealth()
     evidence.unreachable(1, 0.0)
     assert evidence.usable(1.0)
@@ -70,7 +70,7 @@
 
 def test_a_request_given_up_at_a_dark_server_takes_it_out():
     # A server loses power with its connections open. Each read sent there would wait
-    # for as long as the patience of its caller allows.
+    # for as long as its caller is prepared to wait.
     evidence = PassiveHealth()
     evidence.sent(1, 0.0, PATIENCE_S)
     evidence.timed_out(1, 0.4)
@@ -88,8 +88,8 @@
 
 
 def test_patience_is_that_of_each_request():
-    # A history takes 1.6 s on a cold server and a level 80 ms. Waiting for the history
-    # with the patience of the level would count the server as dark.
+    # A history takes 1.6 s on a cold server and a level 80 ms. With the silence timeout
+    # of the level, the server would count as silent while it runs the history.
     evidence = PassiveHealth()
     evidence.sent(1, 0.0, 4.0)
     assert evidence.usable(1.0)
@@ -98,8 +98,8 @@
 
 
 def test_failures_at_all_servers_of_a_service_are_told_from_those_of_a_few():
-    # For eight seconds every server sheds half of what it gets. Each is passed over in
-    # turn, and every key wanders over all servers and is cold on each of them.
+    # For eight seconds every server sheds half of its requests. If each were skipped in
+    # turn, every key would wander over all servers and be cold on each of them.
     few = FailureShare()
     for number in range(400):
         few.note(number % 7 == 0 and number % 2 == 0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -53,7 +53,7 @@
 
 
 def learnt(placed, seconds, *, cold=0.0, count=60):
-    """Teach the work of the kind and of its service."""
+    """Record service times for the kind and its service."""
     times = placed.expectations.kind("listing", 0.2)
     server = next(iter(placed.known.servers.values()))
     for _ in range(count):
@@ -82,8 +82,8 @@
 
 
 def test_all_hosts_send_a_key_to_the_same_server():
-    # Each region had a server of its own for a key: seventy objects were cold on seven
-    # to nine servers each, and cold work filled the slots.
+    # Guards against a home per region for each key: seventy objects were then cold on
+    # seven to nine servers each, and cold runs filled the slots.
     for number in range(30):
         key = str(number)
         here = chosen(placement(*six()), key=key)
@@ -92,8 +92,8 @@
 
 
 def test_a_key_whose_home_is_full_has_one_more_and_is_then_refused():
-    # Every caller wakes on the hour. Spread over all servers the key would be cold on
-    # each of them, and cold work takes three times the slots.
+    # Every caller sends requests on the hour. Spread over all servers, the key would be
+    # cold on each of them, and a cold run takes three times the slots.
     placed = placement(*six())
     home = placed.known.servers[chosen(placed).server_id]
     fill(home, 3)
@@ -119,14 +119,14 @@
 
 
 def in_use(placed):
-    """Let each server have been used a moment ago."""
+    """Record that each server was used a moment ago."""
     for server in placed.known.servers.values():
         server.used_at = NOW
 
 
 def test_a_key_stays_where_it_is_warm_when_a_server_joins():
-    # Half of a service is replaced, one server after the other. With each that joins a
-    # part of all keys had a new home and was cold there at once.
+    # Half of a service is replaced, one server after the other. With each server that
+    # joined, some of the keys had a new home and were cold there at once.
     placed = placement(*six())
     homes = {str(number): chosen(placed, key=str(number)) for number in range(60)}
     for key, home in homes.items():
@@ -139,8 +139,8 @@
 
 
 def test_a_home_that_stands_idle_takes_its_keys_over_one_at_a_time():
-    # A server joins on a calm day. Every key is warm elsewhere and finds room there,
-    # so the new server would never be asked.
+    # A server joins under low load. Every key is warm elsewhere and finds room there,
+    # so the new server would never be sent a request.
     placed = placement(*six())
     for number in range(60):
         warm(
@@ -159,8 +159,8 @@
 
 
 def test_a_server_that_handled_another_kind_of_object_is_cold_for_this_one():
-    # Route sheet 7 and tank 7 are two objects; a server that knew the one took as long
-    # for the other as a server that knew neither.
+    # Route sheet 7 and tank 7 are two objects. A server that has handled one takes as
+    # long for the other as a server that has handled neither.
     placed = placement(*six())
     home = placed.known.servers[chosen(placed).server_id]
     home.warm.handled("upload/7")
@@ -191,8 +191,9 @@
 
 
 def test_a_server_that_starts_again_under_its_id_knows_nothing():
-    # A server crashes and comes back with the same id. Taken for the earlier run it
-    # would be sent all its keys as warm, at once, while it bears three requests.
+    # A server crashes and comes back with the same id. If it were treated as the
+    # earlier run, it would be sent all its keys as warm, at once, while it tolerates
+    # three requests.
     placed = placement(*six())
     home = chosen(placed).server_id
     old = placed.known.servers[home]
@@ -260,8 +261,8 @@
 
 
 def test_a_failure_domain_that_is_taken_back_is_cold():
-    # An evacuation ends and the domain's keys all return at once. Its servers have
-    # stood idle; nothing in their entries says that they are cold.
+    # An evacuation ends and all keys of the domain return at once. Its servers have
+    # been idle, and nothing in their entries says that they are cold.
     placed = placement(*six())
     placed.eligibility.region_part = 1.0
     evacuate(placed, ["a1", "a2"])
@@ -293,8 +294,8 @@
 
 
 def test_failing_servers_are_used_when_no_other_is_left():
-    # All servers of a service shed half of what they get. Passing all of them over
-    # would refuse every request; using them answers half.
+    # All servers of a service shed half of their requests. Skipping all of them would
+    # refuse every request, while using them answers half.
     placed = placement(*six())
     for server in placed.known.servers.values():
         for number in range(20):
@@ -304,8 +305,8 @@
 
 
 def test_without_a_key_the_least_loaded_server_is_chosen():
-    # What the other hosts have in flight counts too: by own counts alone a route
-    # without keys was sent to a server with ten requests on six slots.
+    # The requests that other hosts have in flight count too. By its own counts alone, a
+    # host sent requests without keys to a server with ten requests on six slots.
     placed = placement(*six())
     fill(placed.known.servers["a0"], 1)
     fill(placed.known.servers["a1"], 1)
@@ -314,8 +315,8 @@
 
 
 def test_requests_wait_at_their_warm_server_while_the_target_stays_in_reach():
-    # A warm answer takes 50 ms and operators aim at 200 ms. Two requests more than
-    # slots wait 50 ms each; cold work elsewhere would take three times as long.
+    # A warm response takes 50 ms and the target is 200 ms. Two requests more than slots
+    # wait 50 ms each; a cold run elsewhere would take three times as long.
     placed = placement(*six())
     learnt(placed, 0.05)
     home = placed.known.servers[chosen(placed).server_id]
@@ -330,9 +331,9 @@
 
 
 def test_an_answer_that_took_no_time_is_learnt_from_all_the_same():
-    # The first answer of a service comes from another region and took no longer than
-    # the way there was thought to be. Nobody can wait for work of no length, and every
-    # later request to the service failed over the division.
+    # The first response of a service comes from another region and took no longer than
+    # the estimated network round trip. A service time of zero made every later request
+    # to the service fail with a division by zero.
     placed = placement(*six())
     placed.expectations.rtt_s["b"] = 0.05
     away = placed.choose(ask(regions=["b"]), NOW)
@@ -341,8 +342,8 @@
 
 
 def test_counts_of_a_host_may_come_as_changes():
-    # A host tells only where its requests in flight have changed. What it said before
-    # must still count, and what has ended must not.
+    # A host reports only the servers at which its requests in flight have changed. Its
+    # earlier counts must still hold, and requests that have ended must not count.
     known = placement(*six()).known
     known.set_peer_counts("host-2", {"a1": 2, "a2": 1}, NOW)
     known.change_peer_counts("host-2", {"a2": 0, "b1": 3, "unknown": 4}, NOW + 5.0)
--- a/tests/test_placement_load.py
+++ b/tests/test_placement_load.py
@@ -1,4 +1,4 @@
-"""What callers get under loads: few objects, long work, servers that slow or shed."""
+"""What callers get under load: few objects, long runs, servers that slow or shed."""
 
 from collections import Counter
 from math import pi, sin
@@ -7,8 +7,8 @@
 
 from .load_player import Kind, LoadPlayer, Outcome
 
-# The heaviest day of a fleet that dispatches tankers: 24 objects of each kind, work of
-# 256 to 1,600 ms that takes 0.3 of that at a server that knows the object.
+# The busiest day of a fleet that dispatches tankers: 24 objects of each kind. Service
+# times are 256 to 1,600 ms, and 0.3 of that at a server that is warm for the object.
 KINDS = [
     Kind("route-sheet", "dispatch", 89.0, 0.64, 0.4),
     Kind("assignment", "dispatch", 31.0, 0.84, 0.6, urgent=True),
@@ -25,19 +25,19 @@
 }
 HOSTS = {"n": 3, "c": 3, "s": 3}
 PHASES = {"n": 0.1, "c": 0.43, "s": 0.77}
-# Most of a region's requests that may run elsewhere from one span of 2 s to the next.
+# Largest share of a region's requests that may move elsewhere between spans of 2 s.
 SHIFT_MOST = 0.15
 
 
 def wave(region, now):
-    """Return how much more or less a region asks while the wave passes."""
+    """Return the factor on a region's request rate while the wave passes over it."""
     return 1 + 0.55 * sin(2 * pi * (now / 36 + PHASES[region]))
 
 
 def test_objects_are_warm_soon_and_stay_so():
-    # With a home in each region and spilling, 0.3 to 0.6 of the requests of such a day
-    # were answered in time. Two homes for the whole fleet make some two hundred cold
-    # runs, one for each object and home, of five thousand requests.
+    # With a home in each region and spilling over to others, 0.3 to 0.6 of the requests
+    # of such a day were answered in time. Two homes for the whole fleet make some two
+    # hundred cold runs, one for each object and home, of five thousand requests.
     player = LoadPlayer(SERVERS, HOSTS)
     out = player.play(KINDS, 30, wave)
     assert player.cold_runs < 250
@@ -47,7 +47,7 @@
 
 
 def moved(rate, seconds=20, plays=8):
-    """Return each region's largest shift, over plays so that chance is small."""
+    """Return each region's largest shift, over several runs to reduce chance."""
     ran_in = {}
     for seed in range(plays):
         out = LoadPlayer(SERVERS, HOSTS, seed=seed).play(KINDS, seconds, rate)
@@ -58,8 +58,8 @@
 
 
 def test_a_burst_of_one_region_does_not_move_its_requests_elsewhere():
-    # Two thirds more callers wake in one region and go again. Bulk moves land on cold
-    # servers, so operators cap what may move from one span to the next.
+    # Two thirds more callers become active in one region and then leave. Requests that
+    # move in bulk land on cold servers, so operators cap what may move between spans.
     shifts = moved(lambda region, now: 1.7 if region == "c" and 10 <= now < 14 else 0.8)
     assert max(shifts.values()) <= SHIFT_MOST
 
@@ -70,8 +70,8 @@
 
 
 def test_callers_that_leave_a_region_do_not_pull_requests_there():
-    # Two thirds of a region's callers move away within a second. Its servers have
-    # room, and what was served elsewhere would come home within two seconds.
+    # Two thirds of a region's callers leave within a second. Its servers then have
+    # room, and requests that were served elsewhere would return within two seconds.
     shifts = moved(lambda region, now: 0.33 if region == "s" and now >= 10 else 1.0)
     assert max(shifts.values()) <= SHIFT_MOST
 
@@ -80,8 +80,8 @@
     assert max(moved(wave, seconds=36).values()) <= SHIFT_MOST
 
 
-# A fifth of all requests are of an account that is bound to the smallest region, which
-# has a tenth of the slots. Servers keep ten objects at hand, there are 160 of them.
+# A fifth of all requests belong to an account that is bound to the smallest region,
+# which has a tenth of the slots. Servers keep ten objects warm, and there are 160.
 SPACIOUS = {"dispatch@n": 4, "dispatch@c": 18, "dispatch@s": 18}
 NORTH = frozenset("n")
 BOUND_KINDS = [
@@ -102,9 +102,10 @@
 
 
 def test_requests_that_may_go_anywhere_leave_a_region_to_those_that_may_not():
-    # Objects of all accounts came to the few servers of the small region and pushed one
-    # another out; cold work filled the slots. In time before 0.893 of the requests that
-    # may go anywhere and 0.984 now; refused before 0.023 of the bound ones, now none.
+    # Guards against objects of all accounts on the few servers of the small region,
+    # where they displaced each other and cold runs filled the slots. Without
+    # reservations, 0.893 of the requests that may go anywhere are in time, and 0.984
+    # with them; of the bound ones, 0.023 are refused without them, and none with them.
     before = with_bound(Policy(reserve_regions=False))
     after = with_bound()
     assert after.share("free", 15) > before.share("free", 15) + 0.05
@@ -113,7 +114,7 @@
 
 
 def test_a_region_is_left_to_others_without_a_jump():
-    # What leaves a region lands on servers that do not know it: little at a time.
+    # What leaves a region lands on cold servers, so it must move in small steps.
     ran_in = {}
     for seed in range(8):
         for span, counts in with_bound(seconds=24, seed=seed).ran_in.items():
@@ -123,7 +124,7 @@
 
 
 def accounts(flooding, seconds=24):
-    """Play accounts; one may flood, and its quota lets 1.6 times its usual by."""
+    """Play accounts; one may flood, and its quota admits 1.6 times its usual rate."""
     times = 1.6 if flooding else 1.0
     kinds = [
         Kind("others", "dispatch", 80.0, 0.64, 0.4),
@@ -133,14 +134,14 @@
 
 
 def test_an_account_that_floods_costs_the_others_next_to_nothing():
-    # One account sends eight times its usual. Its quota is all that reaches servers.
+    # One account sends eight times its usual rate. Only its quota reaches the servers.
     before = accounts(flooding=False).share("others", since=8)
     assert accounts(flooding=True).share("others", since=8) > before - 0.01
 
 
 def test_no_account_is_left_behind_when_all_send_twice_what_is_borne():
     # Requests of urgent accounts may wait where others are refused. The others must
-    # still get a fair part of the slots: a quarter of what all get at the least.
+    # still get a fair share of the slots: at least a quarter of what any account gets.
     kinds = [
         Kind("urgent", "dispatch", 60.0, 0.64, 0.4, urgent=True, like="usual"),
         Kind("usual", "dispatch", 540.0, 0.64, 0.4),
@@ -152,8 +153,9 @@
 
 
 def test_servers_that_all_shed_keep_their_keys():
-    # For eight seconds each server sheds half of what it gets though it has room.
-    # Passed over for that, every key wandered over all servers and was cold on each.
+    # For eight seconds each server sheds half of its requests although it has free
+    # slots. If servers were skipped for that, every key would wander over all servers
+    # and be cold on each.
     player = LoadPlayer(SERVERS, HOSTS)
     player.at(8.0, lambda: [setattr(m, "shed", 0.55) for m in player.models.values()])
     player.at(16.0, lambda: [setattr(m, "shed", 0.0) for m in player.models.values()])
@@ -163,8 +165,8 @@
 
 
 def test_a_few_slow_servers_cost_little():
-    # Three of sixteen servers take eight times as long for some seconds. Nobody is told
-    # so; their slots stay taken, and what finds them full goes elsewhere.
+    # Three of sixteen servers take eight times as long for some seconds. No host is
+    # told; their slots stay taken, and requests that find them full go elsewhere.
     player = LoadPlayer(SERVERS, HOSTS)
     slow = [player.models[f"dispatch-s-{number}"] for number in range(3)]
     player.at(8.0, lambda: [setattr(model, "slow", 8.0) for model in slow])
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""The rates that servers name, kept to by hosts that may not hear of each other."""
+"""The rates that servers state, kept by hosts that may not reach each other."""
 
 import pytest
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Five hosts and some more, a server whose rate changes, cuts, restarts."""
+    """Five or more hosts, a server whose rate changes, partitions and restarts."""
 
     @initialize(rate=RATES)
     def start(self, rate):
@@ -79,7 +79,8 @@
 
 
 def test_a_limit_that_is_named_no_more_ends_at_all_hosts():
-    # One host hears of it; the others sent nothing meanwhile and must not keep to it.
+    # One host receives the update. The others sent nothing meanwhile and must drop the
+    # limit too.
     fleet = flooded(6.0)
     fleet.name_rate(None)
     fleet.play(3.0, senders=["h0"])
--- a/tests/test_region_reservations.py
+++ b/tests/test_region_reservations.py
@@ -1,4 +1,4 @@
-"""When a region is left to the requests that may go nowhere else."""
+"""When a region is reserved for the requests that may go nowhere else."""
 
 from lacewingcross.core.backend_state import Server, ServerEntry
 from lacewingcross.core.region_reservations import (
@@ -23,7 +23,7 @@
 
 
 def reviewed(bound_of_ten, known, seconds=30.0, made=None, start=0.0):
-    """Ask ten requests every half second, some of them bound to the north."""
+    """Count ten requests every half second, some of them bound to the north."""
     made = made or RegionReservations()
     for step in range(int(seconds * 2)):
         for number in range(10):
--- a/tests/test_server_backoffs.py
+++ b/tests/test_server_backoffs.py
@@ -1,4 +1,4 @@
-"""Servers that ask a host for rest."""
+"""Servers that request a back-off from a host."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/test_splits.py
+++ b/tests/test_splits.py
@@ -25,8 +25,8 @@
 @pytest.mark.parametrize("weights", [(90, 10), (50, 50), (1, 2, 7)])
 @pytest.mark.parametrize("objects", [3, 24, 500])
 def test_proportions_hold_however_few_keys_there_are(weights, objects):
-    # An operator sends a tenth of a route to a new service. With few objects a split
-    # by key alone gives a part all or nothing of its share.
+    # An operator sends a tenth of a route to a new service. With few objects, a split
+    # by key alone gives a service all or nothing of its share.
     keys = [str(number % objects) for number in range(3000)]
     got = shares(splitter(*weights), keys)
     for index, weight in enumerate(weights):
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -1,4 +1,4 @@
-"""What a host believes of the store, and what it keeps through outages."""
+"""What a host derives from the store, and what it keeps through outages."""
 
 import random
 
@@ -47,8 +47,8 @@
 
 
 def test_entries_that_lapsed_in_an_outage_are_kept_for_two_seconds():
-    # The store was away for longer than entries live. At its return all entries are
-    # gone; the servers, which live, register again within two seconds.
+    # The store is away for longer than entries last, so all entries are gone when it
+    # returns. The servers are alive and register again within two seconds.
     made = steering()
     told(made, 1, ENTRY, 0.0)
     back = OUTAGE_S + 3.0
@@ -91,7 +91,7 @@
 
 
 def test_a_reserve_shrinks_when_more_hosts_become_known():
-    # All hosts start together; the first requests come before they know each other.
+    # All hosts start together, and the first requests come before they know each other.
     # Twelve whole reserves would be twelve times what the users allow.
     made = steering(1)
     budget = made.budget("calendar")
@@ -105,8 +105,9 @@
 
 @pytest.mark.parametrize("hosts", [1, 12, 68])
 def test_retries_of_all_hosts_stay_within_the_shared_allowance(hosts):
-    # Every server of a service sheds. Each host retries what its allowance permits;
-    # together they must stay under a fifth of the requests and the common extra.
+    # When every server of a service sheds, each host retries as much as its allowance
+    # permits. All hosts together must stay under a fifth of the requests plus the
+    # common extra.
     made = [steering(hosts) for _ in range(hosts)]
     requests = retries = 0
     for host in made:
@@ -121,8 +122,8 @@
 
 
 def test_an_entry_that_another_writer_spoilt_names_no_server():
-    # Something else writes to a server's entry. Nobody can say what it means, so
-    # nothing more is sent there; the other servers go on.
+    # Another writer overwrites a server's entry with something that cannot be decoded.
+    # That server must get no more requests; the other servers stay in use.
     made = steering()
     told(made, 1, ENTRY, 0.0)
     told(made, 2, ENTRY, 0.0, name="i-2")
@@ -134,8 +135,8 @@
 
 
 def test_a_server_that_starts_again_under_its_id_is_a_new_one():
-    # A server crashes and is back before its entry lapsed. An entry of the earlier run
-    # that was written late changes nothing.
+    # A server crashes and restarts before its entry has expired. An entry of the
+    # earlier run that was written late must change nothing.
     made = steering()
     told(made, 1, {**ENTRY, "born": 1000}, 0.0)
     first = made.placement.known.servers["i-1"]
@@ -149,7 +150,7 @@
 
 
 def test_a_quarantine_that_cannot_be_read_refuses_nobody():
-    # Somebody writes nonsense beside what hosts have stored. The others hold.
+    # Something else stores invalid quarantines. Those of the hosts must still hold.
     made = steering()
     told(made, 1, {"servers": ["i-1"]}, 0.0, name="good", kind=Kind.QUARANTINE)
     for revision, spec in enumerate(([], {"servers": 3}, {"servers": [3]}), 2):
