--- a/lacewingcross/core/attempts.py
+++ b/lacewingcross/core/attempts.py
@@ -121,26 +121,26 @@
         Maximum number of retries that can be saved up.
     """
 
-    __slots__ = ("_earned", "_most", "requests_each")
+    __slots__ = ("_max_tokens", "_tokens", "requests_per_retry")
 
-    def __init__(self, requests_each: int = 10, reserve: int = 10) -> None:
-        self.requests_each = requests_each
-        self._most = reserve * requests_each
-        self._earned = self._most
+    def __init__(self, requests_per_retry: int = 10, reserve: int = 10) -> None:
+        self.requests_per_retry = requests_per_retry
+        self._max_tokens = reserve * requests_per_retry
+        self._tokens = self._max_tokens
 
     def resize(self, reserve: int) -> None:
         """Set another reserve; savings beyond it are lost."""
-        self._most = reserve * self.requests_each
-        self._earned = min(self._earned, self._most)
+        self._max_tokens = reserve * self.requests_per_retry
+        self._tokens = min(self._tokens, self._max_tokens)
 
     def earn(self) -> None:
         """Count one request."""
-        self._earned = min(self._most, self._earned + 1)
+        self._tokens = min(self._max_tokens, self._tokens + 1)
 
     def available(self) -> bool:
         """Return whether the budget allows a retry."""
-        return self._earned >= self.requests_each
+        return self._tokens >= self.requests_per_retry
 
     def spend(self) -> None:
         """Deduct one retry."""
-        self._earned -= self.requests_each
+        self._tokens -= self.requests_per_retry
--- a/lacewingcross/core/backend_state.py
+++ b/lacewingcross/core/backend_state.py
@@ -2,15 +2,15 @@
 
 from dataclasses import dataclass, field
 
-from .cold_limit import ColdShare
+from .cold_limit import ColdSends
 from .passive_health import PassiveHealth
-from .warm_keys import Warmth
+from .warm_keys import WarmKeys
 
 # Identifies one run of a server: its id, and when it started (see `born_ms`).
 Incarnation = tuple[str, int]
 
 # A load report is used for this long, in seconds; then counts of hosts are more recent.
-REPORT_S = 0.15
+MAX_REPORT_AGE_S = 0.15
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,14 +49,14 @@
     of_peers: dict[str, int] = field(default_factory=dict)
     reported: int = 0
     reported_at: float = float("-inf")
-    cold_share: ColdShare = field(default_factory=ColdShare)
+    cold_sends: ColdSends = field(default_factory=ColdSends)
     passive_health: PassiveHealth = field(default_factory=PassiveHealth)
-    warm: Warmth = field(default_factory=Warmth)
+    warm: WarmKeys = field(default_factory=WarmKeys)
 
     def busy(self, now: float) -> int:
         """Return how many requests are believed to run or wait there."""
         counted = self.own + sum(self.of_peers.values())
-        if now - self.reported_at > REPORT_S:
+        if now - self.reported_at > MAX_REPORT_AGE_S:
             return counted
         return max(counted, self.reported)
 
--- a/lacewingcross/core/cold_limit.py
+++ b/lacewingcross/core/cold_limit.py
@@ -12,10 +12,10 @@
 WINDOW_S = 1.0
 # Requests that are sent some time apart may arrive within one window. The window is
 # extended by this time, in seconds (the longest path inside a region).
-ARRIVAL_SPREAD_S = 0.1
+ARRIVAL_JITTER_S = 0.1
 
 
-class ColdShare:
+class ColdSends:
     """Requests that one host sent to one cold server within the last second."""
 
     __slots__ = ("_sent",)
@@ -25,11 +25,11 @@
         # empty deque takes 600 bytes.
         self._sent: deque[float] | None = None
 
-    def room(self, limit: int, now: float) -> bool:
+    def has_room(self, limit: int, now: float) -> bool:
         """Return whether one more request stays within `limit` in the window."""
         if self._sent is None:
             return limit > 0
-        oldest = now - WINDOW_S - ARRIVAL_SPREAD_S
+        oldest = now - WINDOW_S - ARRIVAL_JITTER_S
         while self._sent and self._sent[0] <= oldest:
             self._sent.popleft()
         return len(self._sent) < limit
@@ -41,7 +41,7 @@
         self._sent.append(now)
 
 
-def share_of(per_s: float, over: float, slack: float, part: float) -> int:
+def cold_send_limit(per_s: float, over: float, slack: float, share: float) -> int:
     """Return how many requests per second one host may send to a cold server.
 
     Parameters
@@ -55,4 +55,4 @@
         not: the shares add up to at most 1.
     """
     bound = per_s * over + slack
-    return int(bound * part)
+    return int(bound * share)
--- a/lacewingcross/core/completion.py
+++ b/lacewingcross/core/completion.py
@@ -9,16 +9,16 @@
 
 from .backend_state import Server
 from .estimate import ServiceTimes
-from .work_times import WorkTimes
+from .work_times import KindTimes
 
 # Factor on the service time at a server that has just started. Both users state this
 # factor for their servers.
-COLD_SERVER_TIMES = 2.0
+COLD_SERVER_FACTOR = 2.0
 # Service time assumed for a service before any response, in seconds.
-FIRST_WORK_S = 0.2
+INITIAL_SERVICE_TIME_S = 0.2
 # Lower limit of a service time, in seconds: a response may return sooner than the
 # measured network round trip, and no wait can be computed from a service time of zero.
-LEAST_WORK_S = 0.001
+MIN_SERVICE_TIME_S = 0.001
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,45 +27,47 @@
 
     network_s: float
     wait_s: float
-    work_s: float
+    service_time_s: float
     warm: bool
 
     @property
     def total_s(self) -> float:
         """Return the time until the response has arrived."""
-        return self.network_s + self.wait_s + self.work_s
+        return self.network_s + self.wait_s + self.service_time_s
 
 
-class Expectations:
+class ExpectedTimes:
     """Service times of all kinds and services, as estimated by this host."""
 
     __slots__ = ("_by_kind", "_by_service", "rtt_s")
 
     def __init__(self) -> None:
-        self._by_kind: dict[str, WorkTimes] = {}
+        self._by_kind: dict[str, KindTimes] = {}
         self._by_service: dict[str, ServiceTimes] = {}
         # Network round trip to each region, in seconds.
         self.rtt_s: dict[str, float] = {}
 
-    def kind(self, name: str, target_s: float) -> WorkTimes:
+    def kind(self, name: str, target_s: float) -> KindTimes:
         """Return the service times of a kind of request."""
         times = self._by_kind.get(name)
         if times is None:
-            times = WorkTimes(target_s)
+            times = KindTimes(target_s)
             self._by_kind[name] = times
         return times
 
-    def service_work_s(self, service: str) -> float:
+    def mean_service_time_s(self, service: str) -> float:
         """Return the mean service time of a service, in seconds."""
         times = self._by_service.get(service)
-        return max(LEAST_WORK_S, times.mean_s) if times else FIRST_WORK_S
+        return (
+            max(MIN_SERVICE_TIME_S, times.mean_s) if times else INITIAL_SERVICE_TIME_S
+        )
 
     def network_s(self, server: Server) -> float:
         """Return the network round trip to a server, in seconds."""
         return self.rtt_s.get(server.region, 0.0)
 
     def estimate(
-        self, server: Server, key: str, times: WorkTimes, now: float
+        self, server: Server, key: str, times: KindTimes, now: float
     ) -> Estimate:
         """Return the times that a request with `key` is expected to meet at a server.
 
@@ -81,20 +83,22 @@
             Monotonic time in seconds.
         """
         slots = server.entry.slots
-        pace = COLD_SERVER_TIMES if server.cold(now) else 1.0
+        factor = COLD_SERVER_FACTOR if server.cold(now) else 1.0
         waiting = max(0, server.busy(now) - slots + 1)
-        wait_s = pace * waiting / slots * self.service_work_s(server.entry.service)
+        wait_s = (
+            factor * waiting / slots * self.mean_service_time_s(server.entry.service)
+        )
         warm = bool(key) and server.warm.holds(key)
-        work_s = pace * times.expected_s(warm=warm)
-        return Estimate(self.network_s(server), wait_s, work_s, warm)
+        service_time_s = factor * times.expected_s(warm=warm)
+        return Estimate(self.network_s(server), wait_s, service_time_s, warm)
 
-    def learn_work(
-        self, server: Server, times: WorkTimes, work_s: float, *, warm: bool
+    def learn_service_time(
+        self, server: Server, times: KindTimes, service_time_s: float, *, warm: bool
     ) -> None:
         """Record the service time of a request that did not wait."""
-        times.learn_work(work_s, warm=warm)
+        times.learn_service_time(service_time_s, warm=warm)
         known = self._by_service.get(server.entry.service)
         if known is None:
-            known = ServiceTimes(FIRST_WORK_S)
+            known = ServiceTimes(INITIAL_SERVICE_TIME_S)
             self._by_service[server.entry.service] = known
-        known.add(work_s)
+        known.add(service_time_s)
--- a/lacewingcross/core/departures.py
+++ b/lacewingcross/core/departures.py
@@ -12,7 +12,7 @@
 
 # Number of announcements that are kept; the oldest are dropped first. A store that was
 # unreachable for long brings old entries back when it returns.
-KEPT = 4096
+MAX_DEPARTURES_KEPT = 4096
 
 
 class Departures:
@@ -52,7 +52,7 @@
 
     def _keep(self, server: Incarnation, *, own: bool) -> None:
         self._leaving[server] = own
-        if len(self._leaving) > KEPT:
+        if len(self._leaving) > MAX_DEPARTURES_KEPT:
             self._leaving.popitem(last=False)
 
     def own_observations(self) -> Iterator[Incarnation]:
--- a/lacewingcross/core/eligibility.py
+++ b/lacewingcross/core/eligibility.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from .backend_state import Server
-from .cold_limit import share_of
+from .cold_limit import cold_send_limit
 from .fleet_shares import HOSTS_UNLISTED
 from .passive_health import FailureShare
 from .placement_types import PlacementRequest
@@ -19,7 +19,7 @@
     region : str
         Region of this host.
     cold_over, cold_slack : float
-        Bound on requests to cold servers, see `share_of`.
+        Bound on requests to cold servers, see `cold_send_limit`.
     gate : SendGate
         Limits that servers request in their responses.
     """
@@ -32,7 +32,7 @@
         "_region",
         "_services",
         "gate",
-        "region_part",
+        "host_region_share",
     )
 
     def __init__(
@@ -46,14 +46,14 @@
         self._services: dict[str, Service] = {}
         self.gate = gate
         # This host's share of what its region's hosts may send to a cold server.
-        self.region_part = 1.0 / HOSTS_UNLISTED
+        self.host_region_share = 1.0 / HOSTS_UNLISTED
 
     def set_services(self, services: dict[str, Service]) -> None:
         """Set what operators declare about the services."""
         self._services = services
 
     def set_cold_bound(self, over: float, slack: float) -> None:
-        """Set the bound on requests to cold servers, see `share_of`."""
+        """Set the bound on requests to cold servers, see `cold_send_limit`."""
         self._cold_over = over
         self._cold_slack = slack
 
@@ -78,22 +78,27 @@
         return declared.cold_start_s if declared else 0.0
 
     def may_take(
-        self, server: Server, ask: PlacementRequest, now: float, *, desperate: bool
+        self,
+        server: Server,
+        request: PlacementRequest,
+        now: float,
+        *,
+        last_resort: bool,
     ) -> bool:
         """Return whether a server may be sent a request, see `PassiveHealth.usable`."""
-        usable = self._usable(server, ask, now, desperate=desperate)
-        return usable and self.may_send(server, ask, now)
+        usable = self._usable(server, request, now, last_resort=last_resort)
+        return usable and self.may_send(server, request, now)
 
-    def may_send(self, server: Server, ask: PlacementRequest, now: float) -> bool:
+    def may_send(self, server: Server, request: PlacementRequest, now: float) -> bool:
         """Return whether a server itself allows one more request.
 
         This is checked when the server is chosen, and again just before the first byte
         is sent: the request may have waited for a connection or a body in between.
         """
-        return self.gate.may_send(server.entry.incarnation, now, urgent=ask.urgent)
+        return self.gate.may_send(server.entry.incarnation, now, urgent=request.urgent)
 
     def wait_s(
-        self, servers: Iterable[Server], ask: PlacementRequest, now: float
+        self, servers: Iterable[Server], request: PlacementRequest, now: float
     ) -> float:
         """Return when the first of some servers allows a request, in seconds.
 
@@ -101,7 +106,7 @@
         """
         soonest_s = float("inf")
         for server in servers:
-            if self._usable(server, ask, now, desperate=True):
+            if self._usable(server, request, now, last_resort=True):
                 wait_s = self.gate.wait_s(server.entry.incarnation, now)
                 soonest_s = min(soonest_s, wait_s)
                 if soonest_s <= 0.0:
@@ -109,31 +114,39 @@
         return soonest_s
 
     def _usable(
-        self, server: Server, ask: PlacementRequest, now: float, *, desperate: bool
+        self,
+        server: Server,
+        request: PlacementRequest,
+        now: float,
+        *,
+        last_resort: bool,
     ) -> bool:
         entry = server.entry
-        if ask.regions and server.region not in ask.regions:
+        if request.regions and server.region not in request.regions:
             return False
-        if entry.server_id in ask.tried or entry.failure_domain in self._evacuated:
+        if entry.server_id in request.tried or entry.failure_domain in self._evacuated:
             return False
-        if not server.passive_health.usable(now, desperate=desperate):
+        if not server.passive_health.usable(now, last_resort=last_resort):
             return False
-        return not server.cold(now) or self._cold_room(server, now)
+        return not server.cold(now) or self._has_cold_room(server, now)
 
-    def _cold_room(self, server: Server, now: float) -> bool:
+    def _has_cold_room(self, server: Server, now: float) -> bool:
         declared = self._services.get(server.entry.service)
         if declared is None or server.region != self._region:
             return False
-        limit = share_of(
-            declared.cold_rate, self._cold_over, self._cold_slack, self.region_part
+        limit = cold_send_limit(
+            declared.cold_rate,
+            self._cold_over,
+            self._cold_slack,
+            self.host_region_share,
         )
-        return server.cold_share.room(limit, now)
+        return server.cold_sends.has_room(limit, now)
 
     def learn_outcome(self, service: str, *, failed: bool) -> None:
         """Add an outcome of an attempt to the service's share of failures."""
-        self._failures.setdefault(service, FailureShare()).note(failed)
+        self._failures.setdefault(service, FailureShare()).add(failed)
 
     def failing_alike(self, service: str) -> bool:
         """Return whether failures are common to all servers of a service."""
         failures = self._failures.get(service)
-        return failures is not None and failures.general()
+        return failures is not None and failures.is_common()
--- a/lacewingcross/core/estimate.py
+++ b/lacewingcross/core/estimate.py
@@ -39,9 +39,9 @@
             oldest = self._recent.popleft()
             del self._sorted[bisect_left(self._sorted, oldest)]
 
-    def quantile(self, part: float) -> float:
-        """Return the service time that `part` of the recent responses stayed under."""
+    def quantile(self, fraction: float) -> float:
+        """Return the time that `fraction` of the recent responses stayed under."""
         if not self._sorted:
             return self.mean_s
-        index = min(len(self._sorted) - 1, int(part * len(self._sorted)))
+        index = min(len(self._sorted) - 1, int(fraction * len(self._sorted)))
         return self._sorted[index]
--- a/lacewingcross/core/fixed_share.py
+++ b/lacewingcross/core/fixed_share.py
@@ -21,11 +21,11 @@
         Shared state.
     """
 
-    __slots__ = ("_next_number", "_view")
+    __slots__ = ("_last_number", "_view")
 
     def __init__(self, view: View) -> None:
         self._view = view
-        self._next_number = 0
+        self._last_number = 0
 
     def take(
         self, state: RequestState, in_use: list[tuple[str, int]], now: float
@@ -49,8 +49,8 @@
         server_id = self._least_used(state, Counter(server for server, _ in in_use))
         if server_id is None:
             return None
-        self._next_number += 1
-        number = (self._view.incarnation << 32) + self._next_number
+        self._last_number += 1
+        number = (self._view.incarnation << 32) + self._last_number
         return HeldPermit(number, server_id, state.keeper)
 
     def _size(self, service: str, region: str, now: float) -> int:
@@ -60,9 +60,9 @@
 
     def _least_used(self, state: RequestState, in_use: Counter[str]) -> str | None:
         service = state.req.service
-        passed_over = self._view.leaving_servers(service) | state.exclude
+        skipped = self._view.leaving_servers(service) | state.exclude
         servers = self._view.region_servers(service, state.region)
-        usable = [srv.server_id for srv in servers if srv.server_id not in passed_over]
+        usable = [srv.server_id for srv in servers if srv.server_id not in skipped]
         key = state.req.request_id
         return min(
             usable,
--- a/lacewingcross/core/known_servers.py
+++ b/lacewingcross/core/known_servers.py
@@ -17,13 +17,13 @@
         Updated with every change of the servers.
     """
 
-    __slots__ = ("_homes", "_news", "_region_of", "_told", "servers")
+    __slots__ = ("_homes", "_newly_handled", "_peer_counts", "_region_of", "servers")
 
     def __init__(self, region_of: dict[str, str], homes: Homes) -> None:
         self._homes = homes
-        self._news: list[tuple[str, str]] = []
+        self._newly_handled: list[tuple[str, str]] = []
         self._region_of = region_of
-        self._told: dict[str, dict[str, int]] = {}
+        self._peer_counts: dict[str, dict[str, int]] = {}
         self.servers: dict[str, Server] = {}
 
     def put(self, entry: ServerEntry, now: float) -> None:
@@ -42,11 +42,11 @@
             region = self._region_of.get(entry.failure_domain, "")
             server = Server(entry, region, used_at=now)
             self.servers[entry.server_id] = server
-        moves = server is not known or _moves(known.entry, entry)
-        if moves and known is not None:
+        changes_use = server is not known or _changes_use(known.entry, entry)
+        if changes_use and known is not None:
             self._homes.remove(known)
         server.entry = entry
-        if moves and not entry.draining:
+        if changes_use and not entry.draining:
             self._homes.add(server)
         if entry.cold_left_s > 0:
             server.cold_until = max(server.cold_until, now + entry.cold_left_s)
@@ -72,7 +72,7 @@
         in a region, each reporting eleven times per second, a walk over 250 servers for
         each message would take longer than the rest of its processing.
         """
-        for server_id in self._told.pop(peer, {}).keys() - counts.keys():
+        for server_id in self._peer_counts.pop(peer, {}).keys() - counts.keys():
             if server_id in self.servers:
                 self.servers[server_id].of_peers.pop(peer, None)
         for server_id, count in counts.items():
@@ -80,18 +80,18 @@
                 self.servers[server_id].of_peers[peer] = count
                 self.servers[server_id].used_at = now
         if counts:
-            self._told[peer] = counts
+            self._peer_counts[peer] = counts
 
     def change_peer_counts(
         self, peer: str, changes: dict[str, int], now: float
     ) -> None:
         """Update another host's requests in flight where they have changed."""
-        told = self._told.setdefault(peer, {})
+        peer_counts = self._peer_counts.setdefault(peer, {})
         for server_id, count in changes.items():
             if count:
-                told[server_id] = count
+                peer_counts[server_id] = count
             else:
-                told.pop(server_id, None)
+                peer_counts.pop(server_id, None)
             server = self.servers.get(server_id)
             if server is None:
                 continue
@@ -103,19 +103,19 @@
 
     def set_handled(self, pairs: Iterable[tuple[str, str]]) -> None:
         """Record which servers are warm for which objects, as another host reports."""
-        for server_id, thing in pairs:
+        for server_id, object_name in pairs:
             if server_id in self.servers:
-                self.servers[server_id].warm.handled(thing)
+                self.servers[server_id].warm.handled(object_name)
 
-    def handled(self, server: Server, thing: str) -> None:
+    def handled(self, server: Server, object_name: str) -> None:
         """Record that a server is sent a request for an object."""
-        if server.warm.handled(thing):
-            self._news.append((server.entry.server_id, thing))
+        if server.warm.handled(object_name):
+            self._newly_handled.append((server.entry.server_id, object_name))
 
     def take_newly_handled(self) -> list[tuple[str, str]]:
         """Return the servers and objects that were recorded since the last call."""
-        news, self._news = self._news, []
-        return news
+        newly_handled, self._newly_handled = self._newly_handled, []
+        return newly_handled
 
     def learn_load(self, server: Server, load: int, now: float) -> None:
         """Record the load that a server reports: the requests that run or wait."""
@@ -123,6 +123,6 @@
         server.reported_at = now
 
 
-def _moves(before: ServerEntry, after: ServerEntry) -> bool:
+def _changes_use(before: ServerEntry, after: ServerEntry) -> bool:
     """Return whether a new entry changes the service or draining state of a server."""
     return (before.service, before.draining) != (after.service, after.draining)
--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -5,7 +5,7 @@
 
 from ..checks import is_address
 from .messages import Heartbeat, HostFields
-from .neighbours import SMALL_BEAT_S, Place, neighbours
+from .neighbours import SMALL_FLEET_INTERVAL_S, Place, neighbours
 
 SUSPECT_BEATS = 3.75
 LIST_GRACE_S = 3.0
@@ -66,7 +66,7 @@
     broken: bool = False
     broken_at: float = float("-inf")
     drained: bool = False
-    beat_s: float = SMALL_BEAT_S
+    beat_s: float = SMALL_FLEET_INTERVAL_S
     neighbour: bool = True
     next_beat: float = float("-inf")
 
--- a/lacewingcross/core/neighbours.py
+++ b/lacewingcross/core/neighbours.py
@@ -6,9 +6,9 @@
 from .rendezvous import ranked
 
 FULL_MESH_MAX = 64
-SMALL_BEAT_S = 0.4
-NEAR_BEAT_S = 1.0
-FAR_BEAT_S = 5.0
+SMALL_FLEET_INTERVAL_S = 0.4
+DOMAIN_INTERVAL_S = 1.0
+RELAY_INTERVAL_S = 5.0
 RELAYS = 2
 
 
@@ -50,9 +50,9 @@
     """
     others = [place for place in places if place.host_id != own.host_id]
     if len(others) < FULL_MESH_MAX:
-        return {place.host_id: SMALL_BEAT_S for place in others}
+        return {place.host_id: SMALL_FLEET_INTERVAL_S for place in others}
     result = {
-        place.host_id: NEAR_BEAT_S
+        place.host_id: DOMAIN_INTERVAL_S
         for place in others
         if place.failure_domain == own.failure_domain
     }
@@ -64,10 +64,10 @@
     if own.host_id in relays(own.failure_domain, domains[_domain(own)]):
         for (region, domain), host_ids in domains.items():
             if region == own.region:
-                _add(result, own, relays(domain, host_ids))
+                _add_relays(result, own, relays(domain, host_ids))
     if own.host_id in relays(own.region, regions[own.region]):
         for region, host_ids in regions.items():
-            _add(result, own, relays(region, host_ids))
+            _add_relays(result, own, relays(region, host_ids))
     return result
 
 
@@ -75,7 +75,7 @@
     return place.region, place.failure_domain
 
 
-def _add(result: dict[str, float], own: Place, host_ids: list[str]) -> None:
+def _add_relays(result: dict[str, float], own: Place, host_ids: list[str]) -> None:
     for host_id in host_ids:
         if host_id != own.host_id:
-            result.setdefault(host_id, FAR_BEAT_S)
+            result.setdefault(host_id, RELAY_INTERVAL_S)
--- a/lacewingcross/core/placement_types.py
+++ b/lacewingcross/core/placement_types.py
@@ -28,14 +28,14 @@
 class Choice:
     """The server that gets the request, and the times expected there (`estimate`).
 
-    `thing` names the request's object, `busy` is how many requests were believed to be
-    at the server, and `why` says which of the key's servers it is.
+    `object_name` names the request's object, `busy` is how many requests were believed
+    to be at the server, and `why` says which of the key's servers it is.
     """
 
     server: Server
     why: str
-    ask: PlacementRequest
-    thing: str
+    placement_request: PlacementRequest
+    object_name: str
     estimate: Estimate
     busy: int
 
--- a/lacewingcross/core/rate_limits.py
+++ b/lacewingcross/core/rate_limits.py
@@ -14,21 +14,21 @@
 from .rendezvous import ranked
 
 # Credit that a request needs beyond its own, in requests, unless it is urgent.
-LEFT_TO_URGENT = 0.2
+URGENT_RESERVE = 0.2
 # Lower limit of the credit that each sharing host may save up, in requests.
-CREDIT_LEAST = 1.0 + LEFT_TO_URGENT
+MIN_CREDIT = 1.0 + URGENT_RESERVE
 # Fraction of what the bound allows beyond the rate itself that saved credit may use.
 # The rest is for hosts that do not agree yet on which hosts share, and for requests
 # that are under way.
-SPARE_PART = 0.6
+SAVINGS_FRACTION = 0.6
 # Lower limit of a server's rate, in requests per second over all hosts. A lower rate
 # counts as this one: only a response shows that a server accepts requests again.
-LEAST_RATE = 0.25
+MIN_RATE_PER_S = 0.25
 # Hosts without a share rely on a stated rate for this long, in seconds. Then they send
 # one request each in rotation, to see whether the rate still holds.
-BELIEVED_S = 30.0
+RATE_VALID_S = 30.0
 # Position of a host that is not serving: it sends nothing to servers with a limit.
-NEVER = -1
+NO_POSITION = -1
 # A server's statement is kept for this long, in seconds, after it was withdrawn or the
 # server is gone: another host may report an earlier statement later.
 REMEMBERED_S = 60.0
@@ -56,17 +56,17 @@
         """Return the maximum number of requests that a server may get in any window."""
         return rate * self.window_s * (1 + self.excess) + self.slack
 
-    def sharers_most(self, rate: float) -> int:
+    def max_sharers(self, rate: float) -> int:
         """Return the maximum number of hosts that may save up credit for one server."""
-        return max(1, int(self._savings(rate) / CREDIT_LEAST))
+        return max(1, int(self._savings(rate) / MIN_CREDIT))
 
     def credit_each(self, rate: float, sharers: int) -> float:
         """Return the credit that each sharing host may save up, in requests."""
-        return max(CREDIT_LEAST, self._savings(rate) / sharers)
+        return max(MIN_CREDIT, self._savings(rate) / sharers)
 
     def _savings(self, rate: float) -> float:
         spare = rate * self.window_s * self.excess + self.slack
-        return spare * SPARE_PART
+        return spare * SAVINGS_FRACTION
 
 
 @dataclass(slots=True)
@@ -76,8 +76,8 @@
     `at` is when the statement was known to hold, by this host's clock: when a response
     with a rate arrived, or when the request was sent whose response stated no rate.
     `own` is true if this host received the response itself. `tried_at` is when this
-    host last sent a request without having a share; it may do so at position `turn` in
-    a rotation of `turns`. It saves up at most `credit_most` requests.
+    host last sent a request without having a share; it may do so at its `position` in a
+    rotation of `positions` hosts. It saves up at most `max_credit` requests.
     """
 
     rate: float | None
@@ -85,16 +85,16 @@
     own: bool
     share: float = 0.0
     credit: float = 0.0
-    credit_most: float = CREDIT_LEAST
+    max_credit: float = MIN_CREDIT
     credited_at: float = 0.0
     tried_at: float = float("-inf")
-    turn: int = 0
-    turns: int = 1
+    position: int = 0
+    positions: int = 1
 
     def credit_now(self, now: float) -> float:
         """Return the credit of this host, in requests."""
         grown = self.credit + self.share * (now - self.credited_at)
-        return min(self.credit_most, grown)
+        return min(self.max_credit, grown)
 
     def settle(self, now: float) -> None:
         """Add the credit that has grown since the last call."""
@@ -107,7 +107,7 @@
 
     Parameters
     ----------
-    own : str
+    host_id : str
         Id of this host.
     bound : RateBound, optional
         The bound that all hosts keep.
@@ -120,14 +120,14 @@
         How often a server was skipped because of its rate.
     """
 
-    __slots__ = ("_bound", "_by_server", "_hosts", "_own", "skipped", "version")
+    __slots__ = ("_bound", "_by_server", "_host_id", "_hosts", "skipped", "version")
 
-    def __init__(self, own: str, bound: RateBound | None = None) -> None:
+    def __init__(self, host_id: str, bound: RateBound | None = None) -> None:
         self._bound = bound or RateBound()
         self._by_server: dict[Incarnation, RateLimit] = {}
         # As long as the serving hosts are not known, this host has no share.
         self._hosts: frozenset[str] = frozenset()
-        self._own = own
+        self._host_id = host_id
         self.skipped = 0
         self.version = 0
 
@@ -150,9 +150,9 @@
         known = self._by_server.get(server)
         # The rotation starts at the last known statement, so all hosts need to learn of
         # a renewed one.
-        old = known is not None and now - known.at > BELIEVED_S
-        changed = self._take(server, rate, at, now, own=True)
-        if changed or old:
+        outdated = known is not None and now - known.at > RATE_VALID_S
+        changed = self._apply(server, rate, at, now, own=True)
+        if changed or outdated:
             self.version += 1
         return changed
 
@@ -166,9 +166,9 @@
         changed : bool
             Whether that changes the rate.
         """
-        return self._take(server, rate, at, now, own=False)
+        return self._apply(server, rate, at, now, own=False)
 
-    def _take(
+    def _apply(
         self,
         server: Incarnation,
         rate: float | None,
@@ -182,7 +182,7 @@
             if rate is None:
                 return False
             # The bound applies only some seconds after the first statement.
-            known = RateLimit(None, at, own, credit=CREDIT_LEAST, credited_at=now)
+            known = RateLimit(None, at, own, credit=MIN_CREDIT, credited_at=now)
             self._by_server[server] = known
         elif at <= known.at:
             return False
@@ -191,7 +191,7 @@
         if rate == known.rate:
             return False
         known.rate = rate
-        self._share_out(server, known, now)
+        self._update_share(server, known, now)
         return True
 
     def own_observations(self) -> Iterator[tuple[Incarnation, RateLimit]]:
@@ -213,34 +213,34 @@
             return
         self._hosts = frozenset(hosts)
         for server, limit in self._by_server.items():
-            self._share_out(server, limit, now)
+            self._update_share(server, limit, now)
 
-    def _share_out(self, server: Incarnation, limit: RateLimit, now: float) -> None:
+    def _update_share(self, server: Incarnation, limit: RateLimit, now: float) -> None:
         limit.settle(now)
         if limit.rate is None:
             limit.share = 0.0
             return
-        rate = max(LEAST_RATE, limit.rate)
+        rate = max(MIN_RATE_PER_S, limit.rate)
         order = ranked(server[0], self._hosts)
-        most = self._bound.sharers_most(rate)
-        serves = self._own in self._hosts
-        place = order.index(self._own) if serves else len(order)
-        shares = serves and place < most
-        sharers = max(1, min(most, len(order)))
-        limit.share = rate / sharers if shares else 0.0
-        limit.credit_most = self._bound.credit_each(rate, sharers)
-        limit.turn = place - most if serves else NEVER
-        limit.turns = max(1, len(order) - most + 1)
+        max_sharers = self._bound.max_sharers(rate)
+        serving = self._host_id in self._hosts
+        rank = order.index(self._host_id) if serving else len(order)
+        sharing = serving and rank < max_sharers
+        sharers = max(1, min(max_sharers, len(order)))
+        limit.share = rate / sharers if sharing else 0.0
+        limit.max_credit = self._bound.credit_each(rate, sharers)
+        limit.position = rank - max_sharers if serving else NO_POSITION
+        limit.positions = max(1, len(order) - max_sharers + 1)
 
     def forget_old(self, now: float, known: Collection[str]) -> None:
         """Drop what is no longer needed; `known` are the ids of known servers."""
-        old = [
+        outdated = [
             server
             for server, limit in self._by_server.items()
             if now - limit.at > REMEMBERED_S
             and (limit.rate is None or server[0] not in known)
         ]
-        for server in old:
+        for server in outdated:
             del self._by_server[server]
 
     def may_send(self, server: Incarnation, now: float, *, urgent: bool) -> bool:
@@ -261,23 +261,23 @@
         if limit is None or limit.rate is None:
             return True
         if limit.share > 0.0:
-            allowed = limit.credit_now(now) >= (1.0 if urgent else CREDIT_LEAST)
+            allowed = limit.credit_now(now) >= (1.0 if urgent else MIN_CREDIT)
         else:
-            allowed = self._may_try(limit, now)
+            allowed = self._may_probe(limit, now)
         self.skipped += not allowed
         return allowed
 
-    def _may_try(self, limit: RateLimit, now: float) -> bool:
+    def _may_probe(self, limit: RateLimit, now: float) -> bool:
         """Return whether this host, without a share, may check if a rate still holds.
 
         Guards against a burst: no host sends a request to a server for long, then all
         hosts get one for it at once, each considers the known rate outdated, and
         together they send too many.
         """
-        if now - max(limit.at, limit.tried_at) <= BELIEVED_S:
+        if now - max(limit.at, limit.tried_at) <= RATE_VALID_S:
             return False
-        turn = int((now - limit.at) / self._bound.window_s) % limit.turns
-        return turn == limit.turn
+        position = int((now - limit.at) / self._bound.window_s) % limit.positions
+        return position == limit.position
 
     def sent(self, server: Incarnation, now: float) -> None:
         """Count a request whose first byte is sent."""
@@ -300,4 +300,4 @@
             return 0.0
         if limit.share <= 0.0:
             return float("inf")
-        return max(0.0, CREDIT_LEAST - limit.credit_now(now)) / limit.share
+        return max(0.0, MIN_CREDIT - limit.credit_now(now)) / limit.share
--- a/lacewingcross/core/region_reservations.py
+++ b/lacewingcross/core/region_reservations.py
@@ -22,39 +22,39 @@
 RESERVE_FROM = 0.5
 RESERVE_UNTIL = 0.25
 # Factor on the counts at each review, so that about the last five seconds count.
-FADE = 0.9
+DECAY = 0.9
 # Fewer requests than this show no pressure.
-REQUESTS_LEAST = 20.0
+MIN_REQUESTS = 20.0
 # Share of a region's other requests that leave it, or return to it, per second. Moved
 # all at once, they would land on cold servers elsewhere.
-MOVED_PER_S = 0.1
+MOVED_SHARE_PER_S = 0.1
 
-Place = tuple[str, str]
+ServiceRegion = tuple[str, str]
 
 
 class RegionReservations:
     """The degree to which each region is reserved, for each service."""
 
-    __slots__ = ("_asked", "_bound", "_parts", "_reviewed_at")
+    __slots__ = ("_avoiding", "_bound", "_requests", "_reviewed_at")
 
     def __init__(self) -> None:
-        self._asked: Counter[str] = Counter()
+        self._requests: Counter[str] = Counter()
         self._bound: Counter[tuple[str, frozenset[str]]] = Counter()
         # Share of the other requests that avoid the region, by service and region.
-        self._parts: dict[str, dict[str, float]] = {}
+        self._avoiding: dict[str, dict[str, float]] = {}
         self._reviewed_at: float | None = None
 
-    def asked(self, service: str, regions: frozenset[str]) -> None:
+    def count_request(self, service: str, regions: frozenset[str]) -> None:
         """Count a request and the regions to which it is bound, empty for none."""
-        self._asked[service] += 1
+        self._requests[service] += 1
         if regions:
             self._bound[service, regions] += 1
 
-    def any_for(self, service: str) -> bool:
+    def has_any(self, service: str) -> bool:
         """Return whether any region is reserved for a service."""
-        return bool(self._parts.get(service))
+        return bool(self._avoiding.get(service))
 
-    def off_limits(self, service: str, point: float) -> frozenset[str]:
+    def avoided_regions(self, service: str, position: float) -> frozenset[str]:
         """Return the regions that a request which may go anywhere has to avoid.
 
         Parameters
@@ -65,65 +65,71 @@
             Position from 0 to 1, the same for all requests of an object, so that whole
             objects move.
         """
-        parts = self._parts.get(service, {})
-        return frozenset(region for region, part in parts.items() if point < part)
+        shares = self._avoiding.get(service, {})
+        return frozenset(region for region, share in shares.items() if position < share)
 
     def review(self, servers: Iterable[Server], now: float) -> None:
         """Update the reservations by the requests counted since the last review."""
-        passed_s = 0.0 if self._reviewed_at is None else now - self._reviewed_at
+        elapsed_s = 0.0 if self._reviewed_at is None else now - self._reviewed_at
         self._reviewed_at = now
-        for place, pressure in self._pressures(servers).items():
-            self._move(place, pressure, passed_s)
-        self._fade()
+        for service_region, pressure in self._pressures(servers).items():
+            self._adjust(service_region, pressure, elapsed_s)
+        self._decay()
 
-    def _pressures(self, servers: Iterable[Server]) -> dict[Place, float]:
-        slots: Counter[Place] = Counter()
+    def _pressures(self, servers: Iterable[Server]) -> dict[ServiceRegion, float]:
+        slots: Counter[ServiceRegion] = Counter()
         of_service: Counter[str] = Counter()
         for server in servers:
             if not server.entry.draining:
                 slots[server.entry.service, server.region] += server.entry.slots
                 of_service[server.entry.service] += server.entry.slots
-        wanted = self._wanted(slots)
+        bound = self._bound_by_region(slots)
         return {
-            (service, region): wanted[service, region]
+            (service, region): bound[service, region]
             * of_service[service]
-            / (self._asked[service] * count)
+            / (self._requests[service] * count)
             for (service, region), count in slots.items()
-            if self._asked[service] >= REQUESTS_LEAST
+            if self._requests[service] >= MIN_REQUESTS
         }
 
-    def _wanted(self, slots: Counter[Place]) -> Counter[Place]:
+    def _bound_by_region(self, slots: Counter[ServiceRegion]) -> Counter[ServiceRegion]:
         """Return the requests bound to each service and region.
 
         Requests that are bound to several regions are divided among them by slots.
         """
-        wanted: Counter[Place] = Counter()
+        bound: Counter[ServiceRegion] = Counter()
         for (service, regions), count in self._bound.items():
-            among = {r: slots[service, r] for r in regions if slots[service, r]}
-            for region, number in among.items():
-                wanted[service, region] += count * number / sum(among.values())
-        return wanted
-
-    def _move(self, place: Place, pressure: float, passed_s: float) -> None:
-        service, region = place
-        parts = self._parts.get(service, {})
-        part = parts.get(region, 0.0)
-        limit = RESERVE_UNTIL if part else RESERVE_FROM
-        step = MOVED_PER_S * passed_s
-        part = min(1.0, part + step) if pressure >= limit else max(0.0, part - step)
-        if part:
-            self._parts.setdefault(service, {})[region] = part
-        elif region in parts:
-            del parts[region]
-
-    def _fade(self) -> None:
-        for counts in (self._asked, self._bound):
+            slots_by_region = {
+                r: slots[service, r] for r in regions if slots[service, r]
+            }
+            for region, region_slots in slots_by_region.items():
+                bound[service, region] += (
+                    count * region_slots / sum(slots_by_region.values())
+                )
+        return bound
+
+    def _adjust(
+        self, service_region: ServiceRegion, pressure: float, elapsed_s: float
+    ) -> None:
+        service, region = service_region
+        shares = self._avoiding.get(service, {})
+        share = shares.get(region, 0.0)
+        limit = RESERVE_UNTIL if share else RESERVE_FROM
+        step = MOVED_SHARE_PER_S * elapsed_s
+        share = min(1.0, share + step) if pressure >= limit else max(0.0, share - step)
+        if share:
+            self._avoiding.setdefault(service, {})[region] = share
+        elif region in shares:
+            del shares[region]
+
+    def _decay(self) -> None:
+        for counts in (self._requests, self._bound):
             for name in list(counts):
-                counts[name] *= FADE
+                counts[name] *= DECAY
                 if counts[name] < 0.01:
                     del counts[name]
 
 
-def point_of(thing: str) -> float:
+def position_of(object_name: str) -> float:
     """Return a position from 0 to 1 that is the same for all requests of an object."""
-    return hash64("reserved", thing) / HASH_RANGE
+    return hash64("reserved", object_name) / HASH_RANGE
--- a/lacewingcross/core/server_backoffs.py
+++ b/lacewingcross/core/server_backoffs.py
@@ -9,9 +9,9 @@
 from .backend_state import Incarnation
 
 # Upper limit of a back-off, in seconds: a wrong value must not disable a server.
-REST_MOST_S = 60.0
+MAX_BACKOFF_S = 60.0
 # Time for which the first request after a back-off is waited for, in seconds.
-TRIAL_S = 1.0
+TRIAL_TIMEOUT_S = 1.0
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
         self._by_server: dict[Incarnation, ServerBackoff] = {}
         self.skipped = 0
 
-    def observe(self, server: Incarnation, rest_s: float, now: float) -> bool:
+    def observe(self, server: Incarnation, backoff_s: float, now: float) -> bool:
         """Process a response of a server; return whether a back-off begins with it.
 
         Parameters
@@ -50,11 +50,11 @@
             Monotonic time in seconds.
         """
         known = self._by_server.get(server)
-        if rest_s <= 0.0:
+        if backoff_s <= 0.0:
             if known is not None and now >= known.until:
                 del self._by_server[server]
             return False
-        until = now + min(REST_MOST_S, rest_s)
+        until = now + min(MAX_BACKOFF_S, backoff_s)
         if known is not None and now < known.until:
             known.until = max(known.until, until)
             return False
@@ -78,23 +78,25 @@
         known = self._by_server.get(server)
         if known is None:
             return 0.0
-        trial_over = known.tried_at + TRIAL_S if known.tried_at >= known.until else 0.0
-        return max(0.0, known.until - now, trial_over - now)
+        trial_ends_at = (
+            known.tried_at + TRIAL_TIMEOUT_S if known.tried_at >= known.until else 0.0
+        )
+        return max(0.0, known.until - now, trial_ends_at - now)
 
     def in_force(self, now: float) -> dict[str, float]:
         """Return the time that is left of each back-off, in seconds, by server id."""
         return {
-            server[0]: rest.until - now
-            for server, rest in self._by_server.items()
-            if rest.until > now
+            server[0]: backoff.until - now
+            for server, backoff in self._by_server.items()
+            if backoff.until > now
         }
 
     def forget_old(self, now: float) -> None:
         """Drop back-offs that ended long ago without a request since."""
         old = [
             server
-            for server, rest in self._by_server.items()
-            if now - rest.until > REST_MOST_S
+            for server, backoff in self._by_server.items()
+            if now - backoff.until > MAX_BACKOFF_S
         ]
         for server in old:
             del self._by_server[server]
--- a/lacewingcross/core/slew.py
+++ b/lacewingcross/core/slew.py
@@ -32,9 +32,9 @@
             del self.tables[group]
         self._behind = {}
         for group, table in plan.tables.items():
-            have = self.tables.setdefault(group, list(table))
-            if have != table:
-                different = map(ne, have, table)
+            current = self.tables.setdefault(group, list(table))
+            if current != table:
+                different = map(ne, current, table)
                 self._behind[group] = sum(different)
         self.advance(cap, now)
 
--- a/lacewingcross/core/splits.py
+++ b/lacewingcross/core/splits.py
@@ -31,20 +31,20 @@
     def pick(self, key: str) -> str:
         """Return the service for a request with affinity key `key`."""
         index = self._by_key(key)
-        if self._ahead(index) > TOLERANCE:
-            index = min(range(len(self._parts)), key=self._ahead)
+        if self._excess(index) > TOLERANCE:
+            index = min(range(len(self._parts)), key=self._excess)
         self._count(index)
         return self._parts[index].service
 
     def _by_key(self, key: str) -> int:
-        point = hash64("split", key) / HASH_RANGE
+        position = hash64("split", key) / HASH_RANGE
         for index, part in enumerate(self._parts):
-            point -= part.weight
-            if point < 0:
+            position -= part.weight
+            if position < 0:
                 return index
         return len(self._parts) - 1
 
-    def _ahead(self, index: int) -> float:
+    def _excess(self, index: int) -> float:
         """Return by how much a service would exceed its weight with another request."""
         share = (self._counts[index] + 1.0) / (self._total + 1.0)
         slack = 1.0 / (self._total + 1.0)
--- a/lacewingcross/core/steering.py
+++ b/lacewingcross/core/steering.py
@@ -74,10 +74,10 @@
         "_budgets",
         "_confirmed_at",
         "_decoder",
-        "_held",
+        "_host_share",
+        "_kept_until",
         "_least_urgent",
         "_outage_ended_at",
-        "_part",
         "_retry_extra",
         "_retry_ratio",
         "_splitters",
@@ -104,13 +104,13 @@
         self.rng = rng
         self.table: RouteTable | None = None
         self.hosts = 1
-        self._part = 1.0
+        self._host_share = 1.0
         self._decoder = decoder
         self._retry_ratio = retry_ratio
         self._retry_extra = retry_extra
         self._budgets: dict[str, RetryBudget] = {}
         self._splitters: dict[str, tuple[Route, Splitter]] = {}
-        self._held: dict[str, float] = {}
+        self._kept_until: dict[str, float] = {}
         self._least_urgent: dict[str, int] = {}
         self._confirmed_at: dict[Kind, float] = {}
         self._outage_ended_at = float("-inf")
@@ -157,7 +157,7 @@
                 # be decoded is dropped, since its address is unknown.
                 self.rejected.append(Rejected(doc, exc.code, exc.message))
                 if doc.kind is Kind.SERVER:
-                    self._held.pop(doc.name, None)
+                    self._kept_until.pop(doc.name, None)
                     self.placement.known.drop(doc.name)
         if any(doc.kind is Kind.EVACUATION for doc in fresh):
             domains = [doc.name for doc in self.replica.known(Kind.EVACUATION)]
@@ -191,7 +191,7 @@
 
     def _take_server(self, doc: Document, now: float) -> None:
         if doc.spec is not None:
-            self._held.pop(doc.name, None)
+            self._kept_until.pop(doc.name, None)
             self.placement.known.put(self._decoder.server(doc.name, doc.spec), now)
             return
         release_at = self._outage_ended_at + LAPSE_GRACE_S
@@ -200,17 +200,17 @@
             # can renew its entry while the store is away, so all entries expire
             # together. Dropping them when the store returns would leave no server to
             # send to until they have registered again.
-            self._held[doc.name] = release_at
+            self._kept_until[doc.name] = release_at
             return
         self.placement.known.drop(doc.name)
 
     def tick(self, now: float) -> list[str]:
         """Drop the servers that did not register again in time; return their ids."""
-        over = [name for name, until in self._held.items() if now >= until]
-        for name in over:
-            del self._held[name]
+        expired = [name for name, until in self._kept_until.items() if now >= until]
+        for name in expired:
+            del self._kept_until[name]
             self.placement.known.drop(name)
-        return over
+        return expired
 
     def ready(self) -> bool:
         """Return whether everything that decides on a request has been read.
@@ -247,27 +247,29 @@
             self._retry_extra = extra
             self._budgets.clear()
 
-    def set_part(self, part: float) -> None:
+    def set_host_share(self, share: float) -> None:
         """Set this host's share of what all hosts may do together.
 
         Guards against oversized budgets: all hosts start together, and each knows only
         itself when its first requests come. The reserve computed then must shrink.
         """
-        if part != self._part:
-            self._part = part
+        if share != self._host_share:
+            self._host_share = share
             for budget in self._budgets.values():
                 budget.resize(self._reserve())
 
     def _reserve(self) -> int:
-        share = self._retry_extra * RETRY_MARGIN * self._part
-        return max(1, int(share))
+        reserve = self._retry_extra * RETRY_MARGIN * self._host_share
+        return max(1, int(reserve))
 
     def budget(self, service: str) -> RetryBudget:
         """Return this host's share of the retry allowance of a service."""
         budget = self._budgets.get(service)
         if budget is None:
-            each = max(1, round(1.0 / self._retry_ratio))
-            budget = RetryBudget(requests_each=each, reserve=self._reserve())
+            requests_per_retry = max(1, round(1.0 / self._retry_ratio))
+            budget = RetryBudget(
+                requests_per_retry=requests_per_retry, reserve=self._reserve()
+            )
             self._budgets[service] = budget
         return budget
 
@@ -276,7 +278,7 @@
     """Return the highest rank number that requests to each service may have."""
     ranks: dict[str, int] = {}
     for route in config.routes:
-        least = max(ranks_of(route, config.accounts))
+        max_rank = max(ranks_of(route, config.accounts))
         for part in route.parts:
-            ranks[part.service] = max(ranks.get(part.service, least), least)
+            ranks[part.service] = max(ranks.get(part.service, max_rank), max_rank)
     return ranks
--- a/lacewingcross/core/warm_keys.py
+++ b/lacewingcross/core/warm_keys.py
@@ -7,10 +7,10 @@
 
 # Upper limit of keys kept for each server, which bounds memory (some 100 bytes each).
 # Servers keep fewer objects themselves; the key handled longest ago is dropped first.
-KEYS_MOST = 512
+MAX_KEYS = 512
 
 
-class Warmth:
+class WarmKeys:
     """Keys that one run of a server has handled recently, as far as this host knows."""
 
     __slots__ = ("_keys",)
@@ -25,12 +25,12 @@
 
     def handled(self, key: str) -> bool:
         """Record that the server handled a key; return whether the key is new."""
-        news = key not in self._keys
+        is_new = key not in self._keys
         self._keys.pop(key, None)
         self._keys[key] = None
-        if len(self._keys) > KEYS_MOST:
+        if len(self._keys) > MAX_KEYS:
             del self._keys[next(iter(self._keys))]
-        return news
+        return is_new
 
     def forget(self, key: str) -> None:
         """Remove a key that the server did not handle after all."""
--- a/lacewingcross/core/work_times.py
+++ b/lacewingcross/core/work_times.py
@@ -10,23 +10,23 @@
 # Service times assumed for a kind before any response, as fractions of the operators'
 # target. A target is set for warm runs, which take a bit less than half of it, and cold
 # runs miss it.
-WARM_OF_TARGET = 0.45
-COLD_OF_TARGET = 1.6
+WARM_TARGET_FRACTION = 0.45
+COLD_TARGET_FACTOR = 1.6
 # Number of measured times from which on they replace the assumed ones.
-ANSWERS_LEAST = 5
+MIN_SAMPLES = 5
 # A server is silent when it sends no response for this multiple of the time that 98 of
 # 100 responses of the kind stay under. With 1.3 times that of the whole service, runs
 # that were merely slow were aborted halfway and started again, cold, elsewhere.
-PATIENCE_PART = 0.98
-PATIENCE_TIMES = 2.0
+SILENCE_QUANTILE = 0.98
+SILENCE_FACTOR = 2.0
 # With fewer responses than this, the silence timeout is this multiple of the target: a
 # cold run takes 1.6 targets, twice that on a server that has just started, and the
 # request may wait for as long again.
-PATIENCE_ANSWERS = 50
-PATIENCE_TARGETS = 6.0
+SILENCE_MIN_ANSWERS = 50
+SILENCE_TARGETS = 6.0
 
 
-class WorkTimes:
+class KindTimes:
     """Service times of one kind of request.
 
     Parameters
@@ -47,24 +47,24 @@
         """Record how long one response took, waiting included."""
         self._answers.add(latency_s)
 
-    def learn_work(self, work_s: float, *, warm: bool) -> None:
+    def learn_service_time(self, service_time_s: float, *, warm: bool) -> None:
         """Record the service time of a request that did not wait."""
-        (self._warm if warm else self._cold).add(work_s)
+        (self._warm if warm else self._cold).add(service_time_s)
 
     def expected_s(self, *, warm: bool) -> float:
         """Return the expected service time of a request, in seconds."""
-        warm_s = _median(self._warm, WARM_OF_TARGET * self._target_s)
+        warm_s = _median(self._warm, WARM_TARGET_FRACTION * self._target_s)
         if warm:
             return warm_s
-        return max(warm_s, _median(self._cold, COLD_OF_TARGET * self._target_s))
+        return max(warm_s, _median(self._cold, COLD_TARGET_FACTOR * self._target_s))
 
-    def silence_timeout_s(self, least_s: float) -> float:
+    def silence_timeout_s(self, min_s: float) -> float:
         """Return how long a server may send no response, in seconds."""
-        if len(self._answers) < PATIENCE_ANSWERS:
-            return max(least_s, PATIENCE_TARGETS * self._target_s)
-        usual_s = self._answers.quantile(PATIENCE_PART)
-        return max(least_s, PATIENCE_TIMES * usual_s)
+        if len(self._answers) < SILENCE_MIN_ANSWERS:
+            return max(min_s, SILENCE_TARGETS * self._target_s)
+        usual_s = self._answers.quantile(SILENCE_QUANTILE)
+        return max(min_s, SILENCE_FACTOR * usual_s)
 
 
 def _median(times: ServiceTimes, assumed_s: float) -> float:
-    return times.quantile(0.5) if len(times) >= ANSWERS_LEAST else assumed_s
+    return times.quantile(0.5) if len(times) >= MIN_SAMPLES else assumed_s
--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -200,8 +200,8 @@
         servers = placement.known.servers.values()
         roster = gateway.roster
         steering.hosts = len(roster.active.keys() | {roster.own.host_id})
-        steering.set_part(fleet_share(roster, now))
-        placement.eligibility.region_part = region_share(roster, now)
+        steering.set_host_share(fleet_share(roster, now))
+        placement.eligibility.host_region_share = region_share(roster, now)
         rates = placement.gate.rates
         rates.set_hosts(serving_hosts(roster, now), now)
         rates.forget_old(now, placement.known.servers.keys())
--- a/lacewingcross/gateway/attempt_feedback.py
+++ b/lacewingcross/gateway/attempt_feedback.py
@@ -76,7 +76,7 @@
         if result.why == REFUSED:
             gateway.crashes.refused(server.entry)
     elif ending is Ending.CONNECT_FAILED or result.gone:
-        evidence.forgotten(result.number)
+        evidence.abandoned(result.number)
     elif ending in (Ending.TIMED_OUT, Ending.CANCELLED):
         evidence.timed_out(result.number, now)
     else:
--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -7,10 +7,10 @@
 
 SERVER = ("i-1", 0)
 STEP_S = 0.05
-ANSWER_S = 0.1
-WAY_S = 0.04
+RESPONSE_DELAY_S = 0.1
+NETWORK_DELAY_S = 0.04
 # A host is bound from this long after it has passed on a response with a rate, in s.
-HEARD_S = 0.5
+BOUND_AFTER_S = 0.5
 # The bound applies from this long after the first such response, in seconds. A host is
 # exempt for as long after a restart.
 STABLE_S = 3.0
@@ -29,14 +29,14 @@
         self.gated = gated
         self.rate = rate
         self.cut = set()
-        self.heard = {}
+        self.responses = {}
         self.named_at = None
         self._worst = -RateBound().most(0.0)
         self.started_at = {}
         self.arrivals = []
         self.hosts = {}
         self.views = {}
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._events = []
         names = [f"h{number}" for number in range(count)]
         for name in names:
@@ -47,42 +47,42 @@
         self.hosts[name] = RateLimits(name)
         self.hosts[name].set_hosts(frozenset(view), self.now)
         self.views[name] = set(view)
-        self.heard[name] = []
+        self.responses[name] = []
         self.started_at[name] = self.now
         for other in self.hosts:
-            self.tell(other, name)
+            self.gossip(other, name)
 
     def join(self):
         """Add a host; the others learn of it after a network delay."""
         name = f"h{len(self.hosts)}"
         self.start(name, [*self.hosts, name])
         for other in self.hosts:
-            self.later(WAY_S, self._see, other, name)
+            self.later(NETWORK_DELAY_S, self._learn_host, other, name)
 
-    def _see(self, other, name):
+    def _learn_host(self, other, name):
         if other in self.cut or name in self.cut:
-            self.later(1.0, self._see, other, name)
+            self.later(1.0, self._learn_host, other, name)
             return
         self.views[other].add(name)
         self.hosts[other].set_hosts(frozenset(self.views[other]), self.now)
 
-    def name_rate(self, rate):
+    def set_rate(self, rate):
         """Set the rate that the server states, None for no limit."""
         self.rate = rate
 
     def later(self, delay_s, action, *args):
         heapq.heappush(
-            self._events, (self.now + delay_s, next(self._numbers), action, args)
+            self._events, (self.now + delay_s, next(self._sequence), action, args)
         )
 
-    def tell(self, sender, receiver):
+    def gossip(self, sender, receiver):
         for server, limit in list(self.hosts[sender].own_observations()):
-            word = (server, limit.rate, limit.at)
-            self.later(WAY_S, self._told, sender, receiver, word)
+            statement = (server, limit.rate, limit.at)
+            self.later(NETWORK_DELAY_S, self._receive, sender, receiver, statement)
 
-    def _told(self, sender, receiver, word):
+    def _receive(self, sender, receiver, statement):
         if sender not in self.cut and receiver not in self.cut:
-            self.hosts[receiver].learn_from_peer(*word, self.now)
+            self.hosts[receiver].learn_from_peer(*statement, self.now)
 
     def send(self, name, *, late_s=0.0):
         """Let a host send a request; its response may be delayed. Return if it did."""
@@ -94,22 +94,22 @@
         calm = self.now - self.started_at[name] > STABLE_S
         if calm and bound_by is not None:
             self.arrivals.append((self.now, bound_by))
-        word = (self.rate, self.now, self.hosts[name])
-        self.later(ANSWER_S + late_s, self._answer, name, word)
+        statement = (self.rate, self.now, self.hosts[name])
+        self.later(RESPONSE_DELAY_S + late_s, self._answer, name, statement)
         return True
 
-    def _answer(self, name, word):
-        rate, asked_at, limits = word
+    def _answer(self, name, statement):
+        rate, asked_at, limits = statement
         if self.hosts[name] is not limits:
             return
-        self.heard[name].append((self.now, rate))
+        self.responses[name].append((self.now, rate))
         if rate is not None and self.named_at is None:
             self.named_at = self.now
         version = limits.version
         limits.observe(SERVER, rate, asked_at, self.now)
         if limits.version != version:
             for other in self.hosts:
-                self.tell(name, other)
+                self.gossip(name, other)
 
     def play(self, seconds, *, tries=2, senders=None, late_s=0.0):
         """Have each host request more of the server than it accepts."""
@@ -127,11 +127,11 @@
 
         A statement that it passed on within the last half second need not be kept yet.
         """
-        words = self.heard[name]
-        while len(words) > 1 and words[1][0] <= self.now - HEARD_S:
-            words.pop(0)
-        known = [rate for at, rate in words[:1] if at <= self.now - HEARD_S]
-        rates = [rate for _, rate in words]
+        statements = self.responses[name]
+        while len(statements) > 1 and statements[1][0] <= self.now - BOUND_AFTER_S:
+            statements.pop(0)
+        known = [rate for at, rate in statements[:1] if at <= self.now - BOUND_AFTER_S]
+        rates = [rate for _, rate in statements]
         return None if not known or None in rates else max(rates)
 
     def excess(self):
--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -14,9 +14,9 @@
 from lacewingcross.core.placement_types import Choice, PlacementRequest
 from lacewingcross.core.routes import Service
 
-TELL_EVERY_S = 0.04
-REVIEW_EVERY_S = 0.5
-WARM_PART = 0.3
+GOSSIP_INTERVAL_S = 0.04
+REVIEW_INTERVAL_S = 0.5
+WARM_FACTOR = 0.3
 
 
 @dataclass
@@ -26,9 +26,9 @@
     name: str
     service: str
     per_s: float
-    work_s: float
+    service_time_s: float
     target_s: float
-    things: int = 24
+    objects: int = 24
     urgent: bool = False
     regions: frozenset = frozenset()
     # Name of the kind whose objects and work it shares.
@@ -49,10 +49,10 @@
     keeps: int = 10**6
     cold_runs: int = 0
 
-    def handle(self, thing):
+    def handle(self, object_name):
         """Handle an object; return whether the server was warm for it."""
-        known = self.warm.pop(thing, False)
-        self.warm[thing] = True
+        known = self.warm.pop(object_name, False)
+        self.warm[object_name] = True
         if len(self.warm) > self.keeps:
             del self.warm[next(iter(self.warm))]
         return known
@@ -80,10 +80,10 @@
             if origin == region:
                 spans.setdefault(second // span, Counter()).update(counts)
         worst = 0.0
-        for number in sorted(spans):
-            if number * span < since or number + 1 not in spans:
+        for index in sorted(spans):
+            if index * span < since or index + 1 not in spans:
                 continue
-            here, after = spans[number], spans[number + 1]
+            here, after = spans[index], spans[index + 1]
             regions = here.keys() | after.keys()
             moved = sum(
                 abs(here[r] / here.total() - after[r] / after.total()) for r in regions
@@ -115,8 +115,8 @@
         entries = []
         for place, count in servers.items():
             service, region = place.split("@")
-            for number in range(count):
-                name = f"{service}-{region}-{number}"
+            for index in range(count):
+                name = f"{service}-{region}-{index}"
                 entries.append(
                     ServerEntry(name, service, "127.0.0.1:1", region, slots, False, 0.0)
                 )
@@ -131,59 +131,59 @@
             for _ in range(count):
                 host = Placement(region, region_of, self.rng, 1.5, 5.0, policy)
                 host.eligibility.set_services(self.services)
-                host.eligibility.region_part = 1.0 / count
+                host.eligibility.host_region_share = 1.0 / count
                 host.expectations.rtt_s = {r: network_s for r in regions if r != region}
                 for entry in entries:
                     host.known.put(entry, 0.0)
                 self.hosts.append((region, host))
-        self.numbers = itertools.count()
+        self.sequence = itertools.count()
         self.events = []
         self.out = Outcome()
 
-    def at(self, when, step, *args):
+    def at(self, due_at, call, *args):
         """Schedule a call."""
-        heapq.heappush(self.events, (when, next(self.numbers), step, args))
+        heapq.heappush(self.events, (due_at, next(self.sequence), call, args))
 
     def play(self, kinds, seconds, rate=lambda region, now: 1.0):
         """Play a load; `rate` scales a region's callers over time."""
         for kind in kinds:
             for index, _ in enumerate(self.hosts):
                 self.at(self.rng.uniform(0, 0.1), self._arrive, kind, index, rate)
-        self.at(0.0, self._tell)
+        self.at(0.0, self._gossip)
         self.at(0.0, self._review)
         while self.events and self.events[0][0] < seconds:
-            self.now, _, step, args = heapq.heappop(self.events)
-            step(*args)
+            self.now, _, call, args = heapq.heappop(self.events)
+            call(*args)
         return self.out
 
     def _arrive(self, kind, index, rate):
         region, host = self.hosts[index]
         per_s = kind.per_s / len(self.hosts) * rate(region, self.now)
         self.at(self.now + self.rng.expovariate(per_s), self._arrive, kind, index, rate)
-        key = str(self.rng.randrange(kind.things))
-        ask = PlacementRequest(
+        key = str(self.rng.randrange(kind.objects))
+        request = PlacementRequest(
             kind.service, key, kind.regions, kind.urgent, frozenset(), kind.target_s,
             kind.like or kind.name,
         )  # fmt: skip
         self.out.asked[kind.name, int(self.now)] += 1
-        self._try(ask, region, host, self.now, kind)
+        self._try(request, region, host, self.now, kind)
 
-    def _try(self, ask, region, host, since, kind):
-        choice = host.choose(ask, self.now)
+    def _try(self, request, region, host, since, kind):
+        choice = host.choose(request, self.now)
         if not isinstance(choice, Choice):
             self.out.refused[kind.name, int(since)] += 1
             return
-        number = next(self.numbers)
-        host.began(choice, number, self.now)
+        attempt_id = next(self.sequence)
+        host.began(choice, attempt_id, self.now)
         network_s = 0.0 if choice.server.region == region else self.network_s
-        job = (choice, number, host, since, kind, self.now)
-        self.at(self.now + network_s / 2, self._reach, job, region)
+        job = (choice, attempt_id, host, since, kind, self.now)
+        self.at(self.now + network_s / 2, self._arrive_at_server, job, region)
 
-    def _reach(self, job, region):
-        choice, number, host, *_ = job
+    def _arrive_at_server(self, job, region):
+        choice, attempt_id, host, *_ = job
         model = self.models[choice.server.entry.server_id]
         if self.rng.random() < model.shed:
-            self.at(self.now, self._shed, choice, number, host)
+            self.at(self.now, self._shed, choice, attempt_id, host)
             return
         ran = self.out.ran_in.setdefault((region, int(self.now)), Counter())
         ran[choice.server.region] += 1
@@ -192,55 +192,62 @@
         else:
             model.waiting.append(job)
 
-    def _shed(self, choice, number, host):
+    def _shed(self, choice, attempt_id, host):
         host.ended(choice.server)
-        choice.server.passive_health.shed(number, self.now, full=False)
+        choice.server.passive_health.shed(attempt_id, self.now, full=False)
         host.eligibility.learn_outcome(choice.server.entry.service, failed=True)
         host.not_run(choice)
 
     def _run(self, model, job):
         choice, _, _, _, kind, _ = job
-        thing = choice.thing
-        work_s = kind.work_s * model.slow * self.rng.uniform(0.85, 1.15)
-        if model.handle(thing):
-            work_s *= WARM_PART
+        object_name = choice.object_name
+        service_time_s = kind.service_time_s * model.slow * self.rng.uniform(0.85, 1.15)
+        if model.handle(object_name):
+            service_time_s *= WARM_FACTOR
         else:
             model.cold_runs += 1
         model.running += 1
-        self.at(self.now + work_s, self._done, model, job)
+        self.at(self.now + service_time_s, self._done, model, job)
 
     def _done(self, model, job):
         model.running -= 1
         if model.waiting:
             self._run(model, model.waiting.popleft())
-        choice, number, host, since, kind, sent = job
+        choice, attempt_id, host, since, kind, sent = job
         network_s = choice.estimate.network_s / 2
         self.at(
-            self.now + network_s, self._answer, choice, number, host, since, kind, sent
+            self.now + network_s,
+            self._answer,
+            choice,
+            attempt_id,
+            host,
+            since,
+            kind,
+            sent,
         )
 
-    def _answer(self, choice, number, host, since, kind, sent_at):
+    def _answer(self, choice, attempt_id, host, since, kind, sent_at):
         host.ended(choice.server)
-        choice.server.passive_health.answered(number, self.now, good=True)
+        choice.server.passive_health.answered(attempt_id, self.now, good=True)
         host.eligibility.learn_outcome(choice.server.entry.service, failed=False)
         host.learn_answer(choice, self.now - sent_at, self.now)
         if self.now - since <= kind.target_s:
             self.out.in_target[kind.name, int(since)] += 1
 
-    def _tell(self):
-        self.at(self.now + TELL_EVERY_S, self._tell)
+    def _gossip(self):
+        self.at(self.now + GOSSIP_INTERVAL_S, self._gossip)
         for index, (_, host) in enumerate(self.hosts):
             counts = {
                 name: srv.own for name, srv in host.known.servers.items() if srv.own
             }
-            news = host.known.take_newly_handled()
-            for other, (_, told) in enumerate(self.hosts):
+            newly_handled = host.known.take_newly_handled()
+            for other, (_, receiver) in enumerate(self.hosts):
                 if other != index:
-                    told.known.set_peer_counts(f"host-{index}", counts, self.now)
-                    told.known.set_handled(news)
+                    receiver.known.set_peer_counts(f"host-{index}", counts, self.now)
+                    receiver.known.set_handled(newly_handled)
 
     def _review(self):
-        self.at(self.now + REVIEW_EVERY_S, self._review)
+        self.at(self.now + REVIEW_INTERVAL_S, self._review)
         for _, host in self.hosts:
             host.reserved.review(host.known.servers.values(), self.now)
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -21,7 +21,7 @@
     return sent and ending is not Ending.SERVER_NOT_RUN
 
 
-def _walk(repeatable, replayable, path):
+def _run_path(repeatable, replayable, path):
     """Yield (verdict, number of attempts that may have run) for a path of endings."""
     ran = 0
     for number, (ending, sent) in enumerate(path, 1):
@@ -51,7 +51,7 @@
     seen = set()
     for length in range(1, MAX_ATTEMPTS + 1):
         for path in itertools.product(steps, repeat=length):
-            result = _walk(False, replayable, path)
+            result = _run_path(False, replayable, path)
             if result is None or result[1] is None:
                 continue
             verdict, ran = result
@@ -81,7 +81,7 @@
 
 
 def test_budget_earns_a_tenth():
-    budget = RetryBudget(requests_each=10, reserve=1)
+    budget = RetryBudget(requests_per_retry=10, reserve=1)
     budget.spend()
     assert not budget.available()
     for _ in range(10):
--- a/tests/test_cold_limit.py
+++ b/tests/test_cold_limit.py
@@ -3,25 +3,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lacewingcross.core.cold_limit import ColdShare, share_of
+from lacewingcross.core.cold_limit import ColdSends, cold_send_limit
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(
     hosts=st.integers(1, 9),
-    asks=st.lists(st.tuples(st.integers(0, 8), st.floats(0, 0.1)), max_size=400),
+    sends=st.lists(st.tuples(st.integers(0, 8), st.floats(0, 0.1)), max_size=400),
 )
-def test_no_second_carries_more_than_the_bound(hosts, asks):
+def test_no_second_carries_more_than_the_bound(hosts, sends):
     # A region's servers return cold together. Every host, also a partitioned one, sends
     # as much as it may. A server that gets more than the bound would break again.
-    limit = share_of(14.0, 1.5, 5.0, 1.0 / hosts)
-    shares = [ColdShare() for _ in range(hosts)]
+    limit = cold_send_limit(14.0, 1.5, 5.0, 1.0 / hosts)
+    shares = [ColdSends() for _ in range(hosts)]
     now = 0.0
     sent = []
-    for who, pause in asks:
+    for index, pause in sends:
         now += pause
-        share = shares[who % hosts]
-        if share.room(limit, now):
+        share = shares[index % hosts]
+        if share.has_room(limit, now):
             share.count(now)
             sent.append(now)
     for start in sent:
@@ -30,7 +30,7 @@
 
 
 def test_a_share_frees_up_after_a_second():
-    share = ColdShare()
+    share = ColdSends()
     share.count(0.0)
-    assert not share.room(1, 1.0)
-    assert share.room(1, 1.2)
+    assert not share.has_room(1, 1.0)
+    assert share.has_room(1, 1.2)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,6 +1,6 @@
 """Servers that announce in a response that they are shutting down."""
 
-from lacewingcross.core.departures import KEPT, Departures
+from lacewingcross.core.departures import MAX_DEPARTURES_KEPT, Departures
 from lacewingcross.core.send_gate import SendGate
 from lacewingcross.gateway.gossip_sender import signal_messages
 
@@ -35,10 +35,10 @@
 
 def test_words_are_bounded_the_oldest_go_first():
     departures = Departures()
-    for number in range(KEPT + 1):
+    for number in range(MAX_DEPARTURES_KEPT + 1):
         departures.observe((f"i-{number}", 0))
     assert not departures.leaves(("i-0", 0))
-    assert departures.leaves((f"i-{KEPT}", 0))
+    assert departures.leaves((f"i-{MAX_DEPARTURES_KEPT}", 0))
 
 
 def test_other_hosts_are_told_of_servers_that_are_still_there():
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -29,7 +29,7 @@
     return placed
 
 
-def ask(key="7", *, regions=(), urgent=False, tried=(), target_s=0.2):
+def make_request(key="7", *, regions=(), urgent=False, tried=(), target_s=0.2):
     regions = frozenset(regions)
     tried = frozenset(tried)
     return PlacementRequest(
@@ -52,23 +52,25 @@
     server.warm.handled(f"listing/{key}")
 
 
-def learnt(placed, seconds, *, cold=0.0, count=60):
+def record_service_times(placed, seconds, *, cold=0.0, count=60):
     """Record service times for the kind and its service."""
     times = placed.expectations.kind("listing", 0.2)
     server = next(iter(placed.known.servers.values()))
     for _ in range(count):
-        placed.expectations.learn_work(server, times, cold or 3 * seconds, warm=False)
+        placed.expectations.learn_service_time(
+            server, times, cold or 3 * seconds, warm=False
+        )
     for _ in range(count):
-        placed.expectations.learn_work(server, times, seconds, warm=True)
+        placed.expectations.learn_service_time(server, times, seconds, warm=True)
 
 
 def chosen(placed, now=NOW, **kwargs):
-    choice = placed.choose(ask(**kwargs), now)
+    choice = placed.choose(make_request(**kwargs), now)
     assert isinstance(choice, Choice), choice
     return choice.server.entry
 
 
-def six():
+def six_servers():
     return [entry(f"a{i}", "a1" if i % 2 else "a2") for i in range(4)] + [
         entry("b0", "b1"),
         entry("b1", "b1"),
@@ -76,7 +78,7 @@
 
 
 def test_a_key_keeps_its_server_while_there_is_room():
-    placed = placement(*six())
+    placed = placement(*six_servers())
     assert len({chosen(placed).server_id for _ in range(20)}) == 1
     assert len({chosen(placed, key=str(i)).server_id for i in range(90)}) == 6
 
@@ -86,29 +88,29 @@
     # seven to nine servers each, and cold runs filled the slots.
     for number in range(30):
         key = str(number)
-        here = chosen(placement(*six()), key=key)
-        there = chosen(placement(*six(), region="b"), key=key)
+        here = chosen(placement(*six_servers()), key=key)
+        there = chosen(placement(*six_servers(), region="b"), key=key)
         assert here.server_id == there.server_id
 
 
 def test_a_key_whose_home_is_full_has_one_more_and_is_then_refused():
     # Every caller sends requests on the hour. Spread over all servers, the key would be
     # cold on each of them, and a cold run takes three times the slots.
-    placed = placement(*six())
+    placed = placement(*six_servers())
     home = placed.known.servers[chosen(placed).server_id]
     fill(home, 3)
     second = placed.known.servers[chosen(placed).server_id]
     assert second is not home
     fill(second, 3)
-    refusal = placed.choose(ask(), NOW)
+    refusal = placed.choose(make_request(), NOW)
     assert isinstance(refusal, Refusal)
     assert refusal.reason == "full"
     assert 0 < refusal.retry_after_s < 1
 
 
 def test_a_short_wait_at_the_warm_home_beats_cold_work():
-    placed = placement(*six())
-    learnt(placed, 0.1)
+    placed = placement(*six_servers())
+    record_service_times(placed, 0.1)
     home = placed.known.servers[chosen(placed).server_id]
     warm(home)
     fill(home, 2)
@@ -118,7 +120,7 @@
     assert chosen(placed).server_id != home.entry.server_id
 
 
-def in_use(placed):
+def mark_used(placed):
     """Record that each server was used a moment ago."""
     for server in placed.known.servers.values():
         server.used_at = NOW
@@ -127,13 +129,13 @@
 def test_a_key_stays_where_it_is_warm_when_a_server_joins():
     # Half of a service is replaced, one server after the other. With each server that
     # joined, some of the keys had a new home and were cold there at once.
-    placed = placement(*six())
+    placed = placement(*six_servers())
     homes = {str(number): chosen(placed, key=str(number)) for number in range(60)}
     for key, home in homes.items():
         warm(placed.known.servers[home.server_id], key)
     for number in range(3):
         placed.known.put(entry(f"new-{number}", "a1"), NOW)
-    in_use(placed)
+    mark_used(placed)
     for key, home in homes.items():
         assert chosen(placed, key=key).server_id == home.server_id
 
@@ -141,17 +143,17 @@
 def test_a_home_that_stands_idle_takes_its_keys_over_one_at_a_time():
     # A server joins under low load. Every key is warm elsewhere and finds room there,
     # so the new server would never be sent a request.
-    placed = placement(*six())
+    placed = placement(*six_servers())
     for number in range(60):
         warm(
             placed.known.servers[chosen(placed, key=str(number)).server_id], str(number)
         )
     placed.known.put(entry("new", "a1"), NOW)
-    in_use(placed)
+    mark_used(placed)
     placed.known.servers["new"].used_at = NOW - 5
     taken = 0
     for number in range(60):
-        choice = placed.choose(ask(key=str(number)), NOW)
+        choice = placed.choose(make_request(key=str(number)), NOW)
         if choice.server.entry.server_id == "new":
             taken += 1
             placed.began(choice, number, NOW)
@@ -161,40 +163,40 @@
 def test_a_server_that_handled_another_kind_of_object_is_cold_for_this_one():
     # Route sheet 7 and tank 7 are two objects. A server that has handled one takes as
     # long for the other as a server that has handled neither.
-    placed = placement(*six())
+    placed = placement(*six_servers())
     home = placed.known.servers[chosen(placed).server_id]
     home.warm.handled("upload/7")
-    choice = placed.choose(ask(), NOW)
+    choice = placed.choose(make_request(), NOW)
     assert not choice.estimate.warm
     warm(home)
-    assert placed.choose(ask(), NOW).estimate.warm
+    assert placed.choose(make_request(), NOW).estimate.warm
 
 
 def test_a_request_makes_its_server_warm_unless_it_did_not_run():
-    placed = placement(*six())
-    choice = placed.choose(ask(), NOW)
+    placed = placement(*six_servers())
+    choice = placed.choose(make_request(), NOW)
     placed.began(choice, 1, NOW)
     assert placed.known.take_newly_handled() == [
         (choice.server.entry.server_id, "listing/7")
     ]
     assert placed.known.take_newly_handled() == []
-    assert placed.choose(ask(), NOW).estimate.warm
+    assert placed.choose(make_request(), NOW).estimate.warm
     placed.not_run(choice)
-    assert not placed.choose(ask(), NOW).estimate.warm
+    assert not placed.choose(make_request(), NOW).estimate.warm
 
 
 def test_what_other_hosts_made_warm_is_known():
-    placed = placement(*six())
+    placed = placement(*six_servers())
     home = chosen(placed).server_id
     placed.known.set_handled([(home, "listing/7"), ("gone", "listing/7")])
-    assert placed.choose(ask(), NOW).estimate.warm
+    assert placed.choose(make_request(), NOW).estimate.warm
 
 
 def test_a_server_that_starts_again_under_its_id_knows_nothing():
     # A server crashes and comes back with the same id. If it were treated as the
     # earlier run, it would be sent all its keys as warm, at once, while it tolerates
     # three requests.
-    placed = placement(*six())
+    placed = placement(*six_servers())
     home = chosen(placed).server_id
     old = placed.known.servers[home]
     warm(old)
@@ -211,7 +213,7 @@
 
 
 def test_what_peers_have_in_flight_fills_a_server_too():
-    placed = placement(*six())
+    placed = placement(*six_servers())
     home = chosen(placed).server_id
     placed.known.set_peer_counts("host-2", {home: 3}, NOW)
     assert chosen(placed).server_id != home
@@ -220,7 +222,7 @@
 
 
 def test_a_load_report_counts_for_a_moment_only():
-    placed = placement(*six())
+    placed = placement(*six_servers())
     home = placed.known.servers[chosen(placed).server_id]
     placed.known.learn_load(home, 3, NOW)
     assert chosen(placed).server_id != home.entry.server_id
@@ -228,16 +230,16 @@
 
 
 def test_urgent_requests_may_wait_for_a_slot():
-    placed = placement(*six())
+    placed = placement(*six_servers())
     home = placed.known.servers[chosen(placed).server_id]
     fill(home, 3)
     fill(placed.known.servers[chosen(placed).server_id], 3)
-    assert isinstance(placed.choose(ask(), NOW), Refusal)
+    assert isinstance(placed.choose(make_request(), NOW), Refusal)
     assert chosen(placed, urgent=True).server_id == home.entry.server_id
 
 
 def test_draining_gone_and_tried_servers_are_not_chosen():
-    placed = placement(*six())
+    placed = placement(*six_servers())
     first = chosen(placed).server_id
     assert chosen(placed, tried=[first]).server_id != first
     placed.known.put(
@@ -251,52 +253,52 @@
 
 
 def test_an_evacuated_failure_domain_gets_nothing():
-    placed = placement(*six())
+    placed = placement(*six_servers())
     evacuate(placed, ["a1", "a2"])
     assert {chosen(placed, key=str(i)).failure_domain for i in range(30)} == {"b1"}
     placed.eligibility.set_evacuated(
         ["a1", "a2", "b1"], placed.known.servers.values(), NOW
     )
-    assert isinstance(placed.choose(ask(), NOW), Refusal)
+    assert isinstance(placed.choose(make_request(), NOW), Refusal)
 
 
 def test_a_failure_domain_that_is_taken_back_is_cold():
     # An evacuation ends and all keys of the domain return at once. Its servers have
     # been idle, and nothing in their entries says that they are cold.
-    placed = placement(*six())
-    placed.eligibility.region_part = 1.0
+    placed = placement(*six_servers())
+    placed.eligibility.host_region_share = 1.0
     evacuate(placed, ["a1", "a2"])
     evacuate(placed, [])
     sent = {}
     for number in range(300):
-        choice = placed.choose(ask(key=str(number)), NOW)
+        choice = placed.choose(make_request(key=str(number)), NOW)
         if isinstance(choice, Refusal):
             continue
         server = choice.server
         placed.began(choice, number, NOW)
         placed.ended(server)
-        server.passive_health.forgotten(number)
+        server.passive_health.abandoned(number)
         sent[server.entry.server_id] = sent.get(server.entry.server_id, 0) + 1
     assert all(sent[name] <= 26 for name in ("a0", "a1", "a2", "a3"))
 
 
 def test_cold_servers_of_another_region_get_nothing():
     placed = placement(*[entry("b0", "b1", cold_left_s=3.0)])
-    assert isinstance(placed.choose(ask(), NOW), Refusal)
+    assert isinstance(placed.choose(make_request(), NOW), Refusal)
     assert chosen(placed, now=NOW + 3.1).server_id == "b0"
 
 
 def test_requests_bound_to_regions_stay_there():
-    placed = placement(*six())
+    placed = placement(*six_servers())
     assert chosen(placed, regions=["b"]).failure_domain == "b1"
     only_a = placement(*[entry("a0", "a1")])
-    assert isinstance(only_a.choose(ask(regions=["b"]), NOW), Refusal)
+    assert isinstance(only_a.choose(make_request(regions=["b"]), NOW), Refusal)
 
 
 def test_failing_servers_are_used_when_no_other_is_left():
     # All servers of a service shed half of their requests. Skipping all of them would
     # refuse every request, while using them answers half.
-    placed = placement(*six())
+    placed = placement(*six_servers())
     for server in placed.known.servers.values():
         for number in range(20):
             server.passive_health.sent(number, NOW, 9.0)
@@ -307,7 +309,7 @@
 def test_without_a_key_the_least_loaded_server_is_chosen():
     # The requests that other hosts have in flight count too. By its own counts alone, a
     # host sent requests without keys to a server with ten requests on six slots.
-    placed = placement(*six())
+    placed = placement(*six_servers())
     fill(placed.known.servers["a0"], 1)
     fill(placed.known.servers["a1"], 1)
     placed.known.set_peer_counts("host-2", {"a2": 1}, NOW)
@@ -317,15 +319,15 @@
 def test_requests_wait_at_their_warm_server_while_the_target_stays_in_reach():
     # A warm response takes 50 ms and the target is 200 ms. Two requests more than slots
     # wait 50 ms each; a cold run elsewhere would take three times as long.
-    placed = placement(*six())
-    learnt(placed, 0.05)
+    placed = placement(*six_servers())
+    record_service_times(placed, 0.05)
     home = placed.known.servers[chosen(placed).server_id]
     warm(home)
     fill(home, 3)
     assert chosen(placed, target_s=0.2).server_id == home.entry.server_id
     fill(home, 1)
     assert chosen(placed, target_s=0.2).server_id != home.entry.server_id
-    learnt(placed, 0.3, count=300)
+    record_service_times(placed, 0.3, count=300)
     home.own = 3
     assert chosen(placed, target_s=0.2).server_id != home.entry.server_id
 
@@ -334,9 +336,9 @@
     # The first response of a service comes from another region and took no longer than
     # the estimated network round trip. A service time of zero made every later request
     # to the service fail with a division by zero.
-    placed = placement(*six())
+    placed = placement(*six_servers())
     placed.expectations.rtt_s["b"] = 0.05
-    away = placed.choose(ask(regions=["b"]), NOW)
+    away = placed.choose(make_request(regions=["b"]), NOW)
     placed.learn_answer(away, 0.04, NOW)
     assert chosen(placed)
 
@@ -344,7 +346,7 @@
 def test_counts_of_a_host_may_come_as_changes():
     # A host reports only the servers at which its requests in flight have changed. Its
     # earlier counts must still hold, and requests that have ended must not count.
-    known = placement(*six()).known
+    known = placement(*six_servers()).known
     known.set_peer_counts("host-2", {"a1": 2, "a2": 1}, NOW)
     known.change_peer_counts("host-2", {"a2": 0, "b1": 3, "unknown": 4}, NOW + 5.0)
     busy = {name: srv.busy(NOW + 5.0) for name, srv in known.servers.items()}
--- a/tests/test_placement_load.py
+++ b/tests/test_placement_load.py
@@ -26,7 +26,7 @@
 HOSTS = {"n": 3, "c": 3, "s": 3}
 PHASES = {"n": 0.1, "c": 0.43, "s": 0.77}
 # Largest share of a region's requests that may move elsewhere between spans of 2 s.
-SHIFT_MOST = 0.15
+MAX_SHIFT = 0.15
 
 
 def wave(region, now):
@@ -46,7 +46,7 @@
         assert out.share(kind.name, since=8) > 0.85
 
 
-def moved(rate, seconds=20, plays=8):
+def largest_shifts(rate, seconds=20, plays=8):
     """Return each region's largest shift, over several runs to reduce chance."""
     ran_in = {}
     for seed in range(plays):
@@ -60,24 +60,28 @@
 def test_a_burst_of_one_region_does_not_move_its_requests_elsewhere():
     # Two thirds more callers become active in one region and then leave. Requests that
     # move in bulk land on cold servers, so operators cap what may move between spans.
-    shifts = moved(lambda region, now: 1.7 if region == "c" and 10 <= now < 14 else 0.8)
-    assert max(shifts.values()) <= SHIFT_MOST
+    shifts = largest_shifts(
+        lambda region, now: 1.7 if region == "c" and 10 <= now < 14 else 0.8
+    )
+    assert max(shifts.values()) <= MAX_SHIFT
 
 
 def test_a_burst_everywhere_does_not_move_requests_between_regions():
-    shifts = moved(lambda _, now: 1.9 if 10 <= now < 14 else 0.8)
-    assert max(shifts.values()) <= SHIFT_MOST
+    shifts = largest_shifts(lambda _, now: 1.9 if 10 <= now < 14 else 0.8)
+    assert max(shifts.values()) <= MAX_SHIFT
 
 
 def test_callers_that_leave_a_region_do_not_pull_requests_there():
     # Two thirds of a region's callers leave within a second. Its servers then have
     # room, and requests that were served elsewhere would return within two seconds.
-    shifts = moved(lambda region, now: 0.33 if region == "s" and now >= 10 else 1.0)
-    assert max(shifts.values()) <= SHIFT_MOST
+    shifts = largest_shifts(
+        lambda region, now: 0.33 if region == "s" and now >= 10 else 1.0
+    )
+    assert max(shifts.values()) <= MAX_SHIFT
 
 
 def test_a_wave_that_passes_over_the_regions_moves_little():
-    assert max(moved(wave, seconds=36).values()) <= SHIFT_MOST
+    assert max(largest_shifts(wave, seconds=36).values()) <= MAX_SHIFT
 
 
 # A fifth of all requests belong to an account that is bound to the smallest region,
@@ -85,17 +89,17 @@
 SPACIOUS = {"dispatch@n": 4, "dispatch@c": 18, "dispatch@s": 18}
 NORTH = frozenset("n")
 BOUND_KINDS = [
-    Kind("free", "dispatch", 90.0, 0.8, 0.6, things=160),
-    Kind("bound", "dispatch", 22.0, 0.8, 0.6, things=160, regions=NORTH, like="free"),
+    Kind("free", "dispatch", 90.0, 0.8, 0.6, objects=160),
+    Kind("bound", "dispatch", 22.0, 0.8, 0.6, objects=160, regions=NORTH, like="free"),
 ]
 
 
-def with_bound(policy=None, seconds=40, seed=1):
+def play_bound(policy=None, seconds=40, seed=1):
     player = LoadPlayer(SPACIOUS, HOSTS, slots=6, keeps=10, policy=policy, seed=seed)
     return player.play(BOUND_KINDS, seconds)
 
 
-def refused(out, kind, since):
+def refused_share(out, kind, since):
     asked = sum(n for (k, s), n in out.asked.items() if k == kind and s >= since)
     gone = sum(n for (k, s), n in out.refused.items() if k == kind and s >= since)
     return gone / asked
@@ -106,10 +110,10 @@
     # where they displaced each other and cold runs filled the slots. Without
     # reservations, 0.893 of the requests that may go anywhere are in time, and 0.984
     # with them; of the bound ones, 0.023 are refused without them, and none with them.
-    before = with_bound(Policy(reserve_regions=False))
-    after = with_bound()
+    before = play_bound(Policy(reserve_regions=False))
+    after = play_bound()
     assert after.share("free", 15) > before.share("free", 15) + 0.05
-    assert refused(after, "bound", 15) < 0.01 < refused(before, "bound", 15)
+    assert refused_share(after, "bound", 15) < 0.01 < refused_share(before, "bound", 15)
     assert after.share("bound", 15) > before.share("bound", 15) - 0.02
 
 
@@ -117,13 +121,13 @@
     # What leaves a region lands on cold servers, so it must move in small steps.
     ran_in = {}
     for seed in range(8):
-        for span, counts in with_bound(seconds=24, seed=seed).ran_in.items():
+        for span, counts in play_bound(seconds=24, seed=seed).ran_in.items():
             ran_in.setdefault(span, Counter()).update(counts)
     total = Outcome(ran_in=ran_in)
-    assert max(total.worst_shift(r, since=2) for r in HOSTS) <= SHIFT_MOST
+    assert max(total.worst_shift(r, since=2) for r in HOSTS) <= MAX_SHIFT
 
 
-def accounts(flooding, seconds=24):
+def play_accounts(flooding, seconds=24):
     """Play accounts; one may flood, and its quota admits 1.6 times its usual rate."""
     times = 1.6 if flooding else 1.0
     kinds = [
@@ -135,8 +139,8 @@
 
 def test_an_account_that_floods_costs_the_others_next_to_nothing():
     # One account sends eight times its usual rate. Only its quota reaches the servers.
-    before = accounts(flooding=False).share("others", since=8)
-    assert accounts(flooding=True).share("others", since=8) > before - 0.01
+    before = play_accounts(flooding=False).share("others", since=8)
+    assert play_accounts(flooding=True).share("others", since=8) > before - 0.01
 
 
 def test_no_account_is_left_behind_when_all_send_twice_what_is_borne():
@@ -147,7 +151,7 @@
         Kind("usual", "dispatch", 540.0, 0.64, 0.4),
     ]
     out = LoadPlayer(SERVERS, HOSTS).play(kinds, 16)
-    served = {kind: 1 - refused(out, kind, 4) for kind in ("urgent", "usual")}
+    served = {kind: 1 - refused_share(out, kind, 4) for kind in ("urgent", "usual")}
     assert served["usual"] < 0.9
     assert min(served.values()) > max(served.values()) / 4
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from lacewingcross.core.rate_limits import (
-    BELIEVED_S,
+    RATE_VALID_S,
     REMEMBERED_S,
     RateBound,
     RateLimits,
@@ -51,7 +51,7 @@
 
     @rule(rate=RATES)
     def change(self, rate):
-        self.fleet.name_rate(rate)
+        self.fleet.set_rate(rate)
 
     @invariant()
     def server_gets_no_more(self):
@@ -82,7 +82,7 @@
     # One host receives the update. The others sent nothing meanwhile and must drop the
     # limit too.
     fleet = flooded(6.0)
-    fleet.name_rate(None)
+    fleet.set_rate(None)
     fleet.play(3.0, senders=["h0"])
     for limits in fleet.hosts.values():
         assert not list(limits.in_force())
@@ -112,14 +112,14 @@
         limits = RateLimits(name)
         limits.set_hosts(names, 0.0)
         limits.observe(SERVER, 0.0, 0.0, 0.0)
-        for second in range(int(BELIEVED_S) + 60):
+        for second in range(int(RATE_VALID_S) + 60):
             if limits.share_of(SERVER) or not limits.may_send(
                 SERVER, second, urgent=True
             ):
                 continue
             limits.sent(SERVER, second)
             sent.append(second)
-    assert min(sent) > BELIEVED_S
+    assert min(sent) > RATE_VALID_S
     assert len(sent) >= 10
     assert all(sum(at <= t < at + 4 for t in sent) <= 2 for at in sent)
 
@@ -150,7 +150,7 @@
         limits.set_hosts(frozenset(f"h{number}" for number in range(40)), 0.0)
         limits.observe(SERVER, 0.5, 0.0, 0.0)
     shares = [limits.share_of(SERVER) for limits in hosts]
-    assert sum(share > 0 for share in shares) <= bound.sharers_most(0.5)
+    assert sum(share > 0 for share in shares) <= bound.max_sharers(0.5)
     assert sum(shares) == pytest.approx(0.5)
 
 
--- a/tests/test_region_reservations.py
+++ b/tests/test_region_reservations.py
@@ -2,9 +2,9 @@
 
 from lacewingcross.core.backend_state import Server, ServerEntry
 from lacewingcross.core.region_reservations import (
-    MOVED_PER_S,
+    MOVED_SHARE_PER_S,
     RegionReservations,
-    point_of,
+    position_of,
 )
 
 NORTH = frozenset(("n",))
@@ -22,58 +22,60 @@
     ]
 
 
-def reviewed(bound_of_ten, known, seconds=30.0, made=None, start=0.0):
+def reviewed(bound_of_ten, known, seconds=30.0, reservations=None, start=0.0):
     """Count ten requests every half second, some of them bound to the north."""
-    made = made or RegionReservations()
+    reservations = reservations or RegionReservations()
     for step in range(int(seconds * 2)):
         for number in range(10):
-            made.asked("c", NORTH if number < bound_of_ten else frozenset())
-        made.review(known, start + step / 2)
-    return made
+            reservations.count_request(
+                "c", NORTH if number < bound_of_ten else frozenset()
+            )
+        reservations.review(known, start + step / 2)
+    return reservations
 
 
-def off(made, point=0.5):
-    return made.off_limits("c", point)
+def avoided(reservations, position=0.5):
+    return reservations.avoided_regions("c", position)
 
 
 def test_a_region_with_few_servers_is_left_to_those_that_are_bound_to_it():
-    assert off(reviewed(1, servers(n=2, c=18))) == NORTH
+    assert avoided(reviewed(1, servers(n=2, c=18))) == NORTH
 
 
 def test_a_large_region_bears_some_bound_requests_beside_all_others():
-    assert not off(reviewed(1, servers(n=18, c=2)))
+    assert not avoided(reviewed(1, servers(n=18, c=2)))
 
 
 def test_nothing_is_reserved_without_bound_requests_or_with_few_requests_at_all():
-    assert not off(reviewed(0, servers(n=2, c=18)))
-    made = RegionReservations()
-    made.asked("c", NORTH)
-    made.review(servers(n=2, c=18), 0.0)
-    made.review(servers(n=2, c=18), 60.0)
-    assert not off(made, 0.0)
+    assert not avoided(reviewed(0, servers(n=2, c=18)))
+    reservations = RegionReservations()
+    reservations.count_request("c", NORTH)
+    reservations.review(servers(n=2, c=18), 0.0)
+    reservations.review(servers(n=2, c=18), 60.0)
+    assert not avoided(reservations, 0.0)
 
 
 def test_it_comes_and_goes_by_little_at_a_time():
     known = servers(n=2, c=18)
-    made = reviewed(2, known, seconds=4.0)
-    parts = [sum(bool(off(made, n / 100)) for n in range(100)) / 100]
-    assert 0 < parts[0] <= 4.0 * MOVED_PER_S + 0.01
-    reviewed(2, known, seconds=10.0, made=made, start=4.0)
-    assert off(made, 0.99)
-    reviewed(0, known, seconds=60.0, made=made, start=14.0)
-    assert not off(made, 0.0)
+    reservations = reviewed(2, known, seconds=4.0)
+    shares = [sum(bool(avoided(reservations, n / 100)) for n in range(100)) / 100]
+    assert 0 < shares[0] <= 4.0 * MOVED_SHARE_PER_S + 0.01
+    reviewed(2, known, seconds=10.0, reservations=reservations, start=4.0)
+    assert avoided(reservations, 0.99)
+    reviewed(0, known, seconds=60.0, reservations=reservations, start=14.0)
+    assert not avoided(reservations, 0.0)
 
 
 def test_a_pressure_near_the_limit_does_not_flap():
     # A pressure that does not reserve a region is enough to keep it reserved.
     known = servers(n=5, c=15)
-    assert not off(reviewed(1, known), 0.0)
-    made = reviewed(2, known)
-    assert off(made, 0.9)
-    assert off(reviewed(1, known, made=made, start=30.0), 0.9)
+    assert not avoided(reviewed(1, known), 0.0)
+    reservations = reviewed(2, known)
+    assert avoided(reservations, 0.9)
+    assert avoided(reviewed(1, known, reservations=reservations, start=30.0), 0.9)
 
 
 def test_objects_move_whole():
-    assert point_of("a/1") == point_of("a/1")
-    points = [point_of(f"a/{n}") for n in range(1000)]
-    assert 400 < sum(point < 0.5 for point in points) < 600
+    assert position_of("a/1") == position_of("a/1")
+    positions = [position_of(f"a/{n}") for n in range(1000)]
+    assert 400 < sum(position < 0.5 for position in positions) < 600
--- a/tests/test_server_backoffs.py
+++ b/tests/test_server_backoffs.py
@@ -3,7 +3,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lacewingcross.core.server_backoffs import REST_MOST_S, TRIAL_S, ServerBackoffs
+from lacewingcross.core.server_backoffs import (
+    MAX_BACKOFF_S,
+    TRIAL_TIMEOUT_S,
+    ServerBackoffs,
+)
 
 SERVER = ("i-1", 0)
 
@@ -14,14 +18,14 @@
 def test_no_request_goes_to_a_resting_server_however_it_asks(answers):
     backoffs = ServerBackoffs()
     now = 0.0
-    rests_until = 0.0
-    for passed_s, rest_s in answers:
-        now += passed_s
+    backoff_until = 0.0
+    for elapsed_s, backoff_s in answers:
+        now += elapsed_s
         if backoffs.may_send(SERVER, now):
-            assert now >= rests_until
+            assert now >= backoff_until
             backoffs.sent(SERVER, now)
-            backoffs.observe(SERVER, rest_s, now)
-            rests_until = max(rests_until, now + rest_s)
+            backoffs.observe(SERVER, backoff_s, now)
+            backoff_until = max(backoff_until, now + backoff_s)
 
 
 def test_a_longer_rest_that_is_asked_for_meanwhile_counts():
@@ -53,13 +57,13 @@
     backoffs = ServerBackoffs()
     backoffs.observe(SERVER, 2.0, 0.0)
     backoffs.sent(SERVER, 2.0)
-    assert not backoffs.may_send(SERVER, 2.0 + TRIAL_S / 2)
-    assert backoffs.may_send(SERVER, 2.0 + TRIAL_S)
+    assert not backoffs.may_send(SERVER, 2.0 + TRIAL_TIMEOUT_S / 2)
+    assert backoffs.may_send(SERVER, 2.0 + TRIAL_TIMEOUT_S)
 
 
 def test_an_absurd_rest_ends():
     backoffs = ServerBackoffs()
     backoffs.observe(SERVER, 1e12, 0.0)
-    assert backoffs.wait_s(SERVER, 0.0) == REST_MOST_S
-    backoffs.forget_old(3 * REST_MOST_S)
-    assert backoffs.may_send(SERVER, 3 * REST_MOST_S)
+    assert backoffs.wait_s(SERVER, 0.0) == MAX_BACKOFF_S
+    backoffs.forget_old(3 * MAX_BACKOFF_S)
+    assert backoffs.may_send(SERVER, 3 * MAX_BACKOFF_S)
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -19,83 +19,83 @@
 }
 
 
-def steering(hosts=1):
+def make_steering(hosts=1):
     rng = random.Random(1)
     placement = Placement("a", {"a1": "a"}, rng, 1.5, 5.0)
-    made = Steering(placement, ObjectDecoder(), rng, 0.2, 64.0)
-    made.hosts = hosts
-    made.set_part(1.0 / hosts)
-    return made
+    state = Steering(placement, ObjectDecoder(), rng, 0.2, 64.0)
+    state.hosts = hosts
+    state.set_host_share(1.0 / hosts)
+    return state
 
 
-def told(made, revision, spec, now, *, name="i-1", kind=Kind.SERVER):
-    since = made.replica.as_of(kind)
+def apply_document(state, revision, spec, now, *, name="i-1", kind=Kind.SERVER):
+    since = state.replica.as_of(kind)
     doc = Document(kind, name, revision, spec)
-    made.take(Update(kind, since, revision, [doc]), now)
+    state.take(Update(kind, since, revision, [doc]), now)
 
 
-def quiet(made, now, kind=Kind.SERVER):
-    as_of = made.replica.as_of(kind)
-    made.take(Update(kind, as_of, as_of, []), now)
+def confirm_unchanged(state, now, kind=Kind.SERVER):
+    as_of = state.replica.as_of(kind)
+    state.take(Update(kind, as_of, as_of, []), now)
 
 
 def test_a_server_that_leaves_is_dropped_at_once():
-    made = steering()
-    told(made, 1, ENTRY, 0.0)
-    told(made, 2, None, 0.5)
-    assert not made.placement.known.servers
+    state = make_steering()
+    apply_document(state, 1, ENTRY, 0.0)
+    apply_document(state, 2, None, 0.5)
+    assert not state.placement.known.servers
 
 
 def test_entries_that_lapsed_in_an_outage_are_kept_for_two_seconds():
     # The store is away for longer than entries last, so all entries are gone when it
     # returns. The servers are alive and register again within two seconds.
-    made = steering()
-    told(made, 1, ENTRY, 0.0)
+    state = make_steering()
+    apply_document(state, 1, ENTRY, 0.0)
     back = OUTAGE_S + 3.0
-    told(made, 2, None, back)
-    assert "i-1" in made.placement.known.servers
-    told(made, 3, ENTRY, back + 1.0)
-    made.tick(back + LAPSE_GRACE_S + 0.1)
-    assert "i-1" in made.placement.known.servers
+    apply_document(state, 2, None, back)
+    assert "i-1" in state.placement.known.servers
+    apply_document(state, 3, ENTRY, back + 1.0)
+    state.tick(back + LAPSE_GRACE_S + 0.1)
+    assert "i-1" in state.placement.known.servers
 
 
 def test_entries_that_do_not_come_back_are_gone():
-    made = steering()
-    told(made, 1, ENTRY, 0.0)
+    state = make_steering()
+    apply_document(state, 1, ENTRY, 0.0)
     back = OUTAGE_S + 3.0
-    told(made, 2, None, back)
-    assert made.tick(back + LAPSE_GRACE_S - 0.1) == []
-    assert made.tick(back + LAPSE_GRACE_S + 0.1) == ["i-1"]
-    assert not made.placement.known.servers
+    apply_document(state, 2, None, back)
+    assert state.tick(back + LAPSE_GRACE_S - 0.1) == []
+    assert state.tick(back + LAPSE_GRACE_S + 0.1) == ["i-1"]
+    assert not state.placement.known.servers
 
 
 def test_a_server_that_leaves_long_after_an_outage_is_dropped_at_once():
-    made = steering()
-    told(made, 1, ENTRY, 0.0)
-    quiet(made, 10.0)
+    state = make_steering()
+    apply_document(state, 1, ENTRY, 0.0)
+    confirm_unchanged(state, 10.0)
     for second in range(11, 16):
-        quiet(made, float(second))
-    told(made, 2, None, 16.0)
-    assert not made.placement.known.servers
+        confirm_unchanged(state, float(second))
+    apply_document(state, 2, None, 16.0)
+    assert not state.placement.known.servers
 
 
 def test_one_unreadable_object_does_not_hold_up_the_others():
-    made = steering()
+    state = make_steering()
     docs = [
         Document(Kind.SERVER, "bad", 1, {"service": 1}),
         Document(Kind.SERVER, "good", 2, ENTRY),
     ]
-    made.take(Update(Kind.SERVER, 0, 2, docs), 0.0)
-    assert set(made.placement.known.servers) == {"good"}
-    assert [item.document.name for item in made.rejected] == ["bad"]
+    state.take(Update(Kind.SERVER, 0, 2, docs), 0.0)
+    assert set(state.placement.known.servers) == {"good"}
+    assert [item.document.name for item in state.rejected] == ["bad"]
 
 
 def test_a_reserve_shrinks_when_more_hosts_become_known():
     # All hosts start together, and the first requests come before they know each other.
     # Twelve whole reserves would be twelve times what the users allow.
-    made = steering(1)
-    budget = made.budget("calendar")
-    made.set_part(1.0 / 12)
+    state = make_steering(1)
+    budget = state.budget("calendar")
+    state.set_host_share(1.0 / 12)
     spent = 0
     while budget.available():
         budget.spend()
@@ -108,9 +108,9 @@
     # When every server of a service sheds, each host retries as much as its allowance
     # permits. All hosts together must stay under a fifth of the requests plus the
     # common extra.
-    made = [steering(hosts) for _ in range(hosts)]
+    fleet = [make_steering(hosts) for _ in range(hosts)]
     requests = retries = 0
-    for host in made:
+    for host in fleet:
         for _ in range(3000 // hosts):
             budget = host.budget("calendar")
             budget.earn()
@@ -124,38 +124,42 @@
 def test_an_entry_that_another_writer_spoilt_names_no_server():
     # Another writer overwrites a server's entry with something that cannot be decoded.
     # That server must get no more requests; the other servers stay in use.
-    made = steering()
-    told(made, 1, ENTRY, 0.0)
-    told(made, 2, ENTRY, 0.0, name="i-2")
-    told(made, 3, {**ENTRY, "state": "resting"}, 0.5)
-    assert set(made.placement.known.servers) == {"i-2"}
-    assert [item.document.name for item in made.rejected] == ["i-1"]
-    told(made, 4, ENTRY, 1.0)
-    assert set(made.placement.known.servers) == {"i-1", "i-2"}
+    state = make_steering()
+    apply_document(state, 1, ENTRY, 0.0)
+    apply_document(state, 2, ENTRY, 0.0, name="i-2")
+    apply_document(state, 3, {**ENTRY, "state": "resting"}, 0.5)
+    assert set(state.placement.known.servers) == {"i-2"}
+    assert [item.document.name for item in state.rejected] == ["i-1"]
+    apply_document(state, 4, ENTRY, 1.0)
+    assert set(state.placement.known.servers) == {"i-1", "i-2"}
 
 
 def test_a_server_that_starts_again_under_its_id_is_a_new_one():
     # A server crashes and restarts before its entry has expired. An entry of the
     # earlier run that was written late must change nothing.
-    made = steering()
-    told(made, 1, {**ENTRY, "born": 1000}, 0.0)
-    first = made.placement.known.servers["i-1"]
-    told(made, 2, {**ENTRY, "born": 2000, "cold_left_s": 3}, 1.0)
-    second = made.placement.known.servers["i-1"]
+    state = make_steering()
+    apply_document(state, 1, {**ENTRY, "born": 1000}, 0.0)
+    first = state.placement.known.servers["i-1"]
+    apply_document(state, 2, {**ENTRY, "born": 2000, "cold_left_s": 3}, 1.0)
+    second = state.placement.known.servers["i-1"]
     assert second is not first
     assert second.cold(1.5)
-    told(made, 3, {**ENTRY, "born": 1000, "state": "draining"}, 1.2)
-    assert made.placement.known.servers["i-1"] is second
+    apply_document(state, 3, {**ENTRY, "born": 1000, "state": "draining"}, 1.2)
+    assert state.placement.known.servers["i-1"] is second
     assert not second.entry.draining
 
 
 def test_a_quarantine_that_cannot_be_read_refuses_nobody():
     # Something else stores invalid quarantines. Those of the hosts must still hold.
-    made = steering()
-    told(made, 1, {"servers": ["i-1"]}, 0.0, name="good", kind=Kind.QUARANTINE)
+    state = make_steering()
+    apply_document(
+        state, 1, {"servers": ["i-1"]}, 0.0, name="good", kind=Kind.QUARANTINE
+    )
     for revision, spec in enumerate(([], {"servers": 3}, {"servers": [3]}), 2):
-        told(made, revision, spec, 0.0, name=f"bad{revision}", kind=Kind.QUARANTINE)
-    assert [name for name, _ in made.crashes.quarantine.items()] == ["good"]
-    assert len(made.rejected) == 3
-    told(made, 9, None, 0.0, name="good", kind=Kind.QUARANTINE)
-    assert not made.crashes.quarantine
+        apply_document(
+            state, revision, spec, 0.0, name=f"bad{revision}", kind=Kind.QUARANTINE
+        )
+    assert [name for name, _ in state.crashes.quarantine.items()] == ["good"]
+    assert len(state.rejected) == 3
+    apply_document(state, 9, None, 0.0, name="good", kind=Kind.QUARANTINE)
+    assert not state.crashes.quarantine
