--- a/lacewingcross/core/backend_state.py
+++ b/lacewingcross/core/backend_state.py
@@ -45,6 +45,7 @@
     # When any host last had a request in flight there; at first, when it became known.
     used_at: float
     cold_until: float = 0.0
+    # Requests in flight from this host, and from each of the other hosts.
     own: int = 0
     of_peers: dict[str, int] = field(default_factory=dict)
     reported: int = 0
--- a/lacewingcross/core/neighbours.py
+++ b/lacewingcross/core/neighbours.py
@@ -5,10 +5,14 @@
 
 from .rendezvous import ranked
 
+# From this many other hosts on, a fleet counts as large.
 FULL_MESH_MAX = 64
+# Heartbeat intervals in seconds: between all hosts of a small fleet, within a failure
+# domain, and between relays.
 SMALL_FLEET_INTERVAL_S = 0.4
 DOMAIN_INTERVAL_S = 1.0
 RELAY_INTERVAL_S = 5.0
+# Number of relays of each failure domain and each region.
 RELAYS = 2
 
 
