--- a/tests/test_cold_limit.py
+++ b/tests/test_cold_limit.py
@@ -29,7 +29,7 @@
         assert len(within) <= 14.0 * 1.5 + 5.0
 
 
-def test_a_share_frees_up_after_a_second():
+def test_a_share_is_available_again_after_a_second():
     share = ColdSends()
     share.count(0.0)
     assert not share.has_room(1, 1.0)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -7,7 +7,7 @@
 SERVER = ("i-1", 0)
 
 
-def test_a_server_that_has_said_so_once_gets_nothing_more():
+def test_a_server_that_announced_its_shutdown_gets_no_more_requests():
     gate = SendGate("h0")
     assert gate.may_send(SERVER, 0.0, urgent=True)
     assert gate.departures.observe(SERVER)
@@ -16,13 +16,13 @@
     assert gate.wait_s(SERVER, 1000.0) == float("inf")
 
 
-def test_another_run_of_the_server_is_another_one():
+def test_an_announcement_does_not_apply_to_another_run_of_the_server():
     gate = SendGate("h0")
     gate.departures.observe(SERVER)
     assert gate.may_send(("i-1", 5), 1.0, urgent=False)
 
 
-def test_a_word_that_another_host_told_counts_and_is_not_passed_on():
+def test_an_announcement_reported_by_another_host_is_not_passed_on():
     departures = Departures()
     assert departures.learn_from_peer(SERVER)
     assert departures.leaves(SERVER)
@@ -33,7 +33,7 @@
     assert list(departures.own_observations()) == [SERVER]
 
 
-def test_words_are_bounded_the_oldest_go_first():
+def test_announcements_are_bounded_and_the_oldest_are_dropped():
     departures = Departures()
     for number in range(MAX_DEPARTURES_KEPT + 1):
         departures.observe((f"i-{number}", 0))
@@ -41,7 +41,7 @@
     assert departures.leaves((f"i-{MAX_DEPARTURES_KEPT}", 0))
 
 
-def test_other_hosts_are_told_of_servers_that_are_still_there():
+def test_only_announcements_of_known_servers_are_sent_to_other_hosts():
     gate = SendGate("h0")
     gate.departures.observe(SERVER)
     gate.departures.observe(("gone", 0))
--- a/tests/test_passive_health.py
+++ b/tests/test_passive_health.py
@@ -5,7 +5,7 @@
 SILENCE_TIMEOUT_S = 0.4
 
 
-def test_a_server_that_cannot_be_reached_is_left_alone_for_longer_each_time():
+def test_an_unreachable_server_is_skipped_for_longer_each_time():
     health = PassiveHealth()
     health.sent(1, 0.0, SILENCE_TIMEOUT_S)
     health.unreachable(1, 0.0)
@@ -30,7 +30,7 @@
     assert health.usable(1.2)
 
 
-def test_a_server_that_has_gone_dark_is_passed_over_until_it_answers():
+def test_a_silent_server_is_skipped_until_it_answers():
     # A server loses power: connections stay open and nothing ever comes back.
     health = PassiveHealth()
     health.sent(1, 0.0, SILENCE_TIMEOUT_S)
@@ -48,7 +48,7 @@
     assert health.usable(0.5)
 
 
-def test_a_server_that_fails_half_its_requests_is_passed_over():
+def test_a_server_that_fails_half_its_requests_is_skipped():
     health = PassiveHealth()
     for number in range(20):
         health.sent(number, 0.0, SILENCE_TIMEOUT_S)
@@ -60,7 +60,7 @@
     assert health.usable(0.1, last_resort=True)
 
 
-def test_a_full_server_that_sheds_is_not_held_against_it():
+def test_shedding_by_a_full_server_does_not_count_as_failure():
     health = PassiveHealth()
     for number in range(20):
         health.sent(number, 0.0, SILENCE_TIMEOUT_S)
@@ -68,7 +68,7 @@
     assert health.usable(0.1)
 
 
-def test_a_request_given_up_at_a_dark_server_takes_it_out():
+def test_a_silent_server_is_skipped_after_a_timeout():
     # A server loses power with its connections open. Each read sent there would wait
     # for as long as its caller is prepared to wait.
     health = PassiveHealth()
@@ -78,7 +78,7 @@
     assert health.usable(1.0)
 
 
-def test_a_request_given_up_at_a_busy_server_does_not():
+def test_a_busy_server_is_not_skipped_after_a_timeout():
     health = PassiveHealth()
     health.sent(1, 0.0, SILENCE_TIMEOUT_S)
     health.sent(2, 0.0, SILENCE_TIMEOUT_S)
@@ -87,7 +87,7 @@
     assert health.usable(1.0)
 
 
-def test_patience_is_that_of_each_request():
+def test_the_silence_timeout_is_that_of_each_request():
     # A history takes 1.6 s on a cold server and a level 80 ms. With the silence timeout
     # of the level, the server would count as silent while it runs the history.
     health = PassiveHealth()
@@ -97,7 +97,7 @@
     assert not health.usable(1.5)
 
 
-def test_failures_at_all_servers_of_a_service_are_told_from_those_of_a_few():
+def test_failures_of_a_whole_service_are_distinguished_from_those_of_a_few_servers():
     # For eight seconds every server sheds half of its requests. If each were skipped in
     # turn, every key would wander over all servers and be cold on each of them.
     partial = FailureShare()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -93,7 +93,7 @@
         assert here.server_id == there.server_id
 
 
-def test_a_key_whose_home_is_full_has_one_more_and_is_then_refused():
+def test_a_key_whose_home_is_full_has_a_second_home_and_is_then_refused():
     # Every caller sends requests on the hour. Spread over all servers, the key would be
     # cold on each of them, and a cold run takes three times the slots.
     placed = placement(*six_servers())
@@ -108,7 +108,7 @@
     assert 0 < refusal.retry_after_s < 1
 
 
-def test_a_short_wait_at_the_warm_home_beats_cold_work():
+def test_a_short_wait_at_the_warm_home_is_preferred_to_a_cold_run():
     placed = placement(*six_servers())
     record_service_times(placed, 0.1)
     home = placed.known.servers[chosen(placed).server_id]
@@ -140,7 +140,7 @@
         assert chosen(placed, key=key).server_id == home.server_id
 
 
-def test_a_home_that_stands_idle_takes_its_keys_over_one_at_a_time():
+def test_an_idle_home_takes_its_keys_over_one_at_a_time():
     # A server joins under low load. Every key is warm elsewhere and finds room there,
     # so the new server would never be sent a request.
     placed = placement(*six_servers())
@@ -185,14 +185,14 @@
     assert not placed.choose(make_request(), NOW).estimate.warm
 
 
-def test_what_other_hosts_made_warm_is_known():
+def test_objects_handled_for_other_hosts_count_as_warm():
     placed = placement(*six_servers())
     home = chosen(placed).server_id
     placed.known.set_handled([(home, "listing/7"), ("gone", "listing/7")])
     assert placed.choose(make_request(), NOW).estimate.warm
 
 
-def test_a_server_that_starts_again_under_its_id_knows_nothing():
+def test_a_server_that_restarts_under_its_id_is_not_warm():
     # A server crashes and comes back with the same id. If it were treated as the
     # earlier run, it would be sent all its keys as warm, at once, while it tolerates
     # three requests.
@@ -212,7 +212,7 @@
     assert placed.known.servers[home] is new
 
 
-def test_what_peers_have_in_flight_fills_a_server_too():
+def test_requests_in_flight_from_other_hosts_fill_a_server_too():
     placed = placement(*six_servers())
     home = chosen(placed).server_id
     placed.known.set_peer_counts("host-2", {home: 3}, NOW)
@@ -221,7 +221,7 @@
     assert chosen(placed).server_id == home
 
 
-def test_a_load_report_counts_for_a_moment_only():
+def test_a_load_report_is_used_for_a_short_time_only():
     placed = placement(*six_servers())
     home = placed.known.servers[chosen(placed).server_id]
     placed.known.learn_load(home, 3, NOW)
@@ -252,7 +252,7 @@
     assert chosen(placed).server_id not in (first, second)
 
 
-def test_an_evacuated_failure_domain_gets_nothing():
+def test_an_evacuated_failure_domain_gets_no_requests():
     placed = placement(*six_servers())
     evacuate(placed, ["a1", "a2"])
     assert {chosen(placed, key=str(i)).failure_domain for i in range(30)} == {"b1"}
@@ -262,7 +262,7 @@
     assert isinstance(placed.choose(make_request(), NOW), Refusal)
 
 
-def test_a_failure_domain_that_is_taken_back_is_cold():
+def test_a_failure_domain_is_cold_after_its_evacuation():
     # An evacuation ends and all keys of the domain return at once. Its servers have
     # been idle, and nothing in their entries says that they are cold.
     placed = placement(*six_servers())
@@ -282,7 +282,7 @@
     assert all(sent[name] <= 26 for name in ("a0", "a1", "a2", "a3"))
 
 
-def test_cold_servers_of_another_region_get_nothing():
+def test_cold_servers_of_another_region_get_no_requests():
     placed = placement(*[entry("b0", "b1", cold_left_s=3.0)])
     assert isinstance(placed.choose(make_request(), NOW), Refusal)
     assert chosen(placed, now=NOW + 3.1).server_id == "b0"
@@ -295,7 +295,7 @@
     assert isinstance(only_a.choose(make_request(regions=["b"]), NOW), Refusal)
 
 
-def test_failing_servers_are_used_when_no_other_is_left():
+def test_failing_servers_are_used_when_no_other_server_is_left():
     # All servers of a service shed half of their requests. Skipping all of them would
     # refuse every request, while using them answers half.
     placed = placement(*six_servers())
@@ -316,7 +316,7 @@
     assert chosen(placed, key="").server_id == "a3"
 
 
-def test_requests_wait_at_their_warm_server_while_the_target_stays_in_reach():
+def test_requests_wait_at_their_warm_server_while_the_target_can_be_met():
     # A warm response takes 50 ms and the target is 200 ms. Two requests more than slots
     # wait 50 ms each; a cold run elsewhere would take three times as long.
     placed = placement(*six_servers())
@@ -332,7 +332,7 @@
     assert chosen(placed, target_s=0.2).server_id != home.entry.server_id
 
 
-def test_an_answer_that_took_no_time_is_learnt_from_all_the_same():
+def test_a_service_time_of_zero_does_not_break_later_requests():
     # The first response of a service comes from another region and took no longer than
     # the estimated network round trip. A service time of zero made every later request
     # to the service fail with a division by zero.
@@ -343,7 +343,7 @@
     assert chosen(placed)
 
 
-def test_counts_of_a_host_may_come_as_changes():
+def test_counts_of_a_host_may_be_reported_as_changes():
     # A host reports only the servers at which its requests in flight have changed. Its
     # earlier counts must still hold, and requests that have ended must not count.
     known = placement(*six_servers()).known
--- a/tests/test_placement_load.py
+++ b/tests/test_placement_load.py
@@ -34,7 +34,7 @@
     return 1 + 0.55 * sin(2 * pi * (now / 36 + PHASES[region]))
 
 
-def test_objects_are_warm_soon_and_stay_so():
+def test_objects_become_warm_soon_and_stay_warm():
     # With a home in each region and spilling over to others, 0.3 to 0.6 of the requests
     # of such a day were answered in time. Two homes for the whole fleet make some two
     # hundred cold runs, one for each object and home, of five thousand requests.
@@ -71,7 +71,7 @@
     assert max(shifts.values()) <= MAX_SHIFT
 
 
-def test_callers_that_leave_a_region_do_not_pull_requests_there():
+def test_callers_that_leave_a_region_do_not_move_requests_there():
     # Two thirds of a region's callers leave within a second. Its servers then have
     # room, and requests that were served elsewhere would return within two seconds.
     shifts = largest_shifts(
@@ -80,7 +80,7 @@
     assert max(shifts.values()) <= MAX_SHIFT
 
 
-def test_a_wave_that_passes_over_the_regions_moves_little():
+def test_a_load_wave_over_the_regions_moves_few_requests():
     assert max(largest_shifts(wave, seconds=36).values()) <= MAX_SHIFT
 
 
@@ -105,7 +105,7 @@
     return gone / asked
 
 
-def test_requests_that_may_go_anywhere_leave_a_region_to_those_that_may_not():
+def test_unbound_requests_avoid_a_region_with_many_bound_requests():
     # Guards against objects of all accounts on the few servers of the small region,
     # where they displaced each other and cold runs filled the slots. Without
     # reservations, 0.893 of the requests that may go anywhere are in time, and 0.984
@@ -117,7 +117,7 @@
     assert after.share("bound", 15) > before.share("bound", 15) - 0.02
 
 
-def test_a_region_is_left_to_others_without_a_jump():
+def test_requests_leave_a_reserved_region_gradually():
     # What leaves a region lands on cold servers, so it must move in small steps.
     ran_in = {}
     for seed in range(8):
@@ -137,13 +137,13 @@
     return LoadPlayer(SERVERS, HOSTS).play(kinds, seconds, wave)
 
 
-def test_an_account_that_floods_costs_the_others_next_to_nothing():
+def test_an_account_that_floods_hardly_affects_the_others():
     # One account sends eight times its usual rate. Only its quota reaches the servers.
     before = play_accounts(flooding=False).share("others", since=8)
     assert play_accounts(flooding=True).share("others", since=8) > before - 0.01
 
 
-def test_no_account_is_left_behind_when_all_send_twice_what_is_borne():
+def test_no_account_is_starved_when_all_send_twice_the_capacity():
     # Requests of urgent accounts may wait where others are refused. The others must
     # still get a fair share of the slots: at least a quarter of what any account gets.
     kinds = [
@@ -168,7 +168,7 @@
     assert out.share("route-sheet", since=17) > 0.85
 
 
-def test_a_few_slow_servers_cost_little():
+def test_a_few_slow_servers_have_little_effect():
     # Three of sixteen servers take eight times as long for some seconds. No host is
     # told; their slots stay taken, and requests that find them full go elsewhere.
     player = LoadPlayer(SERVERS, HOSTS)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -78,7 +78,7 @@
     assert len(times) >= 0.8 * rate * (times[-1] - times[0])
 
 
-def test_a_limit_that_is_named_no_more_ends_at_all_hosts():
+def test_a_limit_that_is_no_longer_stated_ends_at_all_hosts():
     # One host receives the update. The others sent nothing meanwhile and must drop the
     # limit too.
     fleet = flooded(6.0)
@@ -88,7 +88,7 @@
         assert not list(limits.in_force())
 
 
-def test_an_answer_from_before_the_limit_does_not_end_it():
+def test_a_response_from_before_the_limit_does_not_end_it():
     limits = RateLimits("h0")
     limits.set_hosts(frozenset({"h0"}), 0.0)
     assert limits.observe(SERVER, 6.0, 9.9, 10.0)
@@ -97,7 +97,7 @@
     assert limits.observe(SERVER, None, 10.5, 11.0)
 
 
-def test_old_news_of_another_host_does_not_undo_what_was_heard():
+def test_an_old_report_of_another_host_does_not_undo_a_statement():
     limits = RateLimits("h0")
     limits.observe(SERVER, 6.0, 9.9, 10.0)
     assert not limits.learn_from_peer(SERVER, 30.0, 9.0, 10.1)
@@ -105,7 +105,7 @@
     assert limits.learn_from_peer(SERVER, 3.0, 10.05, 10.1)
 
 
-def test_hosts_without_a_share_pass_the_server_over_and_ask_again_by_turns():
+def test_hosts_without_a_share_skip_the_server_and_probe_in_rotation():
     names = frozenset(f"h{number}" for number in range(12))
     sent = []
     for name in sorted(names):
@@ -124,7 +124,7 @@
     assert all(sum(at <= t < at + 4 for t in sent) <= 2 for at in sent)
 
 
-def test_a_host_that_stands_by_sends_nothing_to_a_server_with_a_limit():
+def test_a_standby_host_sends_nothing_to_a_server_with_a_limit():
     limits = RateLimits("stands-by")
     limits.set_hosts(frozenset({"h0", "h1"}), 0.0)
     limits.observe(SERVER, 6.0, 0.0, 0.0)
@@ -143,7 +143,7 @@
     assert limits.may_send(SERVER, soon + 0.001, urgent=False)
 
 
-def test_no_more_hosts_share_a_small_rate_than_may_save_up_for_it():
+def test_only_hosts_that_may_save_up_credit_share_a_small_rate():
     bound = RateBound()
     hosts = [RateLimits(f"h{number}") for number in range(40)]
     for limits in hosts:
@@ -154,7 +154,7 @@
     assert sum(shares) == pytest.approx(0.5)
 
 
-def test_limits_of_servers_that_are_gone_are_forgotten():
+def test_limits_of_servers_that_are_gone_are_dropped():
     limits = RateLimits("h0")
     limits.observe(SERVER, 6.0, 0.0, 0.0)
     limits.forget_old(REMEMBERED_S + 1.0, {SERVER[0]})
@@ -163,7 +163,7 @@
     assert not list(limits.in_force())
 
 
-def test_a_server_that_names_a_large_limit_is_passed_over_by_no_burst():
+def test_a_burst_does_not_skip_a_server_that_states_a_large_limit():
     # Three requests come at once; the server takes 1,000 a second.
     limits = RateLimits("h0")
     limits.set_hosts(frozenset({"h0", "h1"}), 0.0)
@@ -173,7 +173,7 @@
         limits.sent(SERVER, 1.0)
 
 
-def test_a_server_that_has_just_named_a_limit_is_asked_on():
+def test_a_server_that_has_just_stated_a_limit_still_gets_requests():
     limits = RateLimits("h0")
     limits.set_hosts(frozenset({"h0"}), 0.0)
     limits.observe(SERVER, 1.0, 0.0, 0.0)
--- a/tests/test_region_reservations.py
+++ b/tests/test_region_reservations.py
@@ -38,11 +38,11 @@
     return reservations.avoided_regions("c", position)
 
 
-def test_a_region_with_few_servers_is_left_to_those_that_are_bound_to_it():
+def test_a_region_with_few_servers_is_reserved_for_requests_bound_to_it():
     assert avoided(reviewed(1, servers(n=2, c=18))) == NORTH
 
 
-def test_a_large_region_bears_some_bound_requests_beside_all_others():
+def test_a_large_region_with_few_bound_requests_is_not_reserved():
     assert not avoided(reviewed(1, servers(n=18, c=2)))
 
 
@@ -55,7 +55,7 @@
     assert not avoided(reservations, 0.0)
 
 
-def test_it_comes_and_goes_by_little_at_a_time():
+def test_a_reservation_grows_and_shrinks_gradually():
     known = servers(n=2, c=18)
     reservations = reviewed(2, known, seconds=4.0)
     shares = [sum(bool(avoided(reservations, n / 100)) for n in range(100)) / 100]
@@ -75,7 +75,7 @@
     assert avoided(reviewed(1, known, reservations=reservations, start=30.0), 0.9)
 
 
-def test_objects_move_whole():
+def test_all_requests_of_an_object_have_the_same_position():
     assert position_of("a/1") == position_of("a/1")
     positions = [position_of(f"a/{n}") for n in range(1000)]
     assert 400 < sum(position < 0.5 for position in positions) < 600
--- a/tests/test_splits.py
+++ b/tests/test_splits.py
@@ -34,7 +34,7 @@
         assert got.get(f"s{index}", 0) == pytest.approx(expected, abs=0.05)
 
 
-def test_one_hot_key_does_not_carry_its_part_over_its_weight():
+def test_one_hot_key_does_not_exceed_the_weight_of_its_service():
     got = shares(splitter(50, 50), ["hot"] * 1000)
     assert got["s0"] == pytest.approx(0.5, abs=0.05)
 
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -46,7 +46,7 @@
     assert not state.placement.known.servers
 
 
-def test_entries_that_lapsed_in_an_outage_are_kept_for_two_seconds():
+def test_entries_that_expired_in_an_outage_are_kept_for_two_seconds():
     # The store is away for longer than entries last, so all entries are gone when it
     # returns. The servers are alive and register again within two seconds.
     state = make_steering()
@@ -59,7 +59,7 @@
     assert "i-1" in state.placement.known.servers
 
 
-def test_entries_that_do_not_come_back_are_gone():
+def test_entries_that_are_not_registered_again_are_dropped():
     state = make_steering()
     apply_document(state, 1, ENTRY, 0.0)
     back = OUTAGE_S + 3.0
@@ -79,7 +79,7 @@
     assert not state.placement.known.servers
 
 
-def test_one_unreadable_object_does_not_hold_up_the_others():
+def test_one_invalid_object_does_not_delay_the_others():
     state = make_steering()
     docs = [
         Document(Kind.SERVER, "bad", 1, {"service": 1}),
@@ -121,7 +121,7 @@
     assert retries <= 0.2 * requests + 64
 
 
-def test_an_entry_that_another_writer_spoilt_names_no_server():
+def test_a_server_with_an_invalid_entry_is_dropped():
     # Another writer overwrites a server's entry with something that cannot be decoded.
     # That server must get no more requests; the other servers stay in use.
     state = make_steering()
@@ -134,7 +134,7 @@
     assert set(state.placement.known.servers) == {"i-1", "i-2"}
 
 
-def test_a_server_that_starts_again_under_its_id_is_a_new_one():
+def test_a_server_that_restarts_under_its_id_is_a_new_one():
     # A server crashes and restarts before its entry has expired. An entry of the
     # earlier run that was written late must change nothing.
     state = make_steering()
@@ -149,7 +149,7 @@
     assert not second.entry.draining
 
 
-def test_a_quarantine_that_cannot_be_read_refuses_nobody():
+def test_an_invalid_quarantine_is_ignored():
     # Something else stores invalid quarantines. Those of the hosts must still hold.
     state = make_steering()
     apply_document(
