--- a/lacewingcross/core/attempts.py
+++ b/lacewingcross/core/attempts.py
@@ -115,7 +115,7 @@
 
     Parameters
     ----------
-    requests_each : int, default=10
+    requests_per_retry : int, default=10
         Requests that earn one retry.
     reserve : int, default=10
         Maximum number of retries that can be saved up.
--- a/lacewingcross/core/cold_limit.py
+++ b/lacewingcross/core/cold_limit.py
@@ -50,7 +50,7 @@
         Requests per second that the server tolerates while it is cold.
     over, slack : float
         The bound is ``per_s * over + slack`` in any second.
-    part : float
+    share : float
         This host's share of what all hosts of the server's region may send, alive or
         not: the shares add up to at most 1.
     """
--- a/lacewingcross/core/completion.py
+++ b/lacewingcross/core/completion.py
@@ -77,7 +77,7 @@
             Candidate.
         key : str
             Affinity key, empty for none: then no server is warm.
-        times : WorkTimes
+        times : KindTimes
             Times of the request's kind.
         now : float
             Monotonic time in seconds.
--- a/lacewingcross/core/region_reservations.py
+++ b/lacewingcross/core/region_reservations.py
@@ -61,7 +61,7 @@
         ----------
         service : str
             Service of the request.
-        point : float
+        position : float
             Position from 0 to 1, the same for all requests of an object, so that whole
             objects move.
         """
--- a/lacewingcross/core/server_backoffs.py
+++ b/lacewingcross/core/server_backoffs.py
@@ -44,7 +44,7 @@
         ----------
         server : Incarnation
             Run of the server.
-        rest_s : float
+        backoff_s : float
             Requested back-off in seconds; 0 for a response without one.
         now : float
             Monotonic time in seconds.
--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -9,7 +9,8 @@
 STEP_S = 0.05
 RESPONSE_DELAY_S = 0.1
 NETWORK_DELAY_S = 0.04
-# A host is bound from this long after it has passed on a response with a rate, in s.
+# A host is bound from this long after it has passed on a response with a rate, in
+# seconds.
 BOUND_AFTER_S = 0.5
 # The bound applies from this long after the first such response, in seconds. A host is
 # exempt for as long after a restart.
