--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -31,7 +31,7 @@
         self.rate = rate
         self.cut = set()
         self.responses = {}
-        self.named_at = None
+        self.first_rate_at = None
         self._worst = -RateBound().most(0.0)
         self.started_at = {}
         self.arrivals = []
@@ -92,8 +92,8 @@
             return False
         limits.sent(SERVER, self.now)
         bound_by = self._bound_by(name)
-        calm = self.now - self.started_at[name] > STABLE_S
-        if calm and bound_by is not None:
+        settled = self.now - self.started_at[name] > STABLE_S
+        if settled and bound_by is not None:
             self.arrivals.append((self.now, bound_by))
         statement = (self.rate, self.now, self.hosts[name])
         self.later(RESPONSE_DELAY_S + late_s, self._answer, name, statement)
@@ -104,8 +104,8 @@
         if self.hosts[name] is not limits:
             return
         self.responses[name].append((self.now, rate))
-        if rate is not None and self.named_at is None:
-            self.named_at = self.now
+        if rate is not None and self.first_rate_at is None:
+            self.first_rate_at = self.now
         version = limits.version
         limits.observe(SERVER, rate, asked_at, self.now)
         if limits.version != version:
@@ -138,9 +138,9 @@
     def excess(self):
         """Return how far the worst window exceeds the bound; 0 or less keeps it."""
         bound = RateBound()
-        if self.named_at is None:
+        if self.first_rate_at is None:
             return self._worst
-        first = self.named_at + STABLE_S
+        first = self.first_rate_at + STABLE_S
         counted = [(at, rate) for at, rate in self.arrivals if at >= first]
         # Windows that began earlier have been checked.
         self.arrivals = [item for item in counted if item[0] > self.now - 20.0]
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -163,7 +163,7 @@
     assert not list(limits.in_force())
 
 
-def test_a_burst_does_not_skip_a_server_that_states_a_large_limit():
+def test_a_server_that_states_a_large_limit_is_not_skipped_in_a_burst():
     # Three requests come at once; the server takes 1,000 a second.
     limits = RateLimits("h0")
     limits.set_hosts(frozenset({"h0", "h1"}), 0.0)
