--- a/lacewingcross/core/known_servers.py
+++ b/lacewingcross/core/known_servers.py
@@ -9,6 +9,8 @@
 class KnownServers:
     """Backend servers by id, and their order for each key.
 
+    A server is warm for an object, and for its key, that it has handled recently.
+
     Parameters
     ----------
     region_of : dict of str to str
--- a/lacewingcross/core/passive_health.py
+++ b/lacewingcross/core/passive_health.py
@@ -11,7 +11,8 @@
 FAILURE_PAUSE_S = 1.5
 # Failures at all servers of a service: weight of the newest outcome, and the share from
 # which on failures count as common to all servers. Skipping servers then only makes
-# keys cold elsewhere: when every server sheds, a key wanders over all of them.
+# keys cold elsewhere: when every server sheds, a key wanders over all of them. A key is
+# cold at a server that has not handled it recently.
 COMMON_WEIGHT = 0.05
 COMMON_THRESHOLD = 0.3
 FAILING = "failing"
--- a/lacewingcross/core/policy.py
+++ b/lacewingcross/core/policy.py
@@ -7,7 +7,8 @@
 class Policy:
     """Switches of single mechanisms; all are on unless an experiment turns them off.
 
-    A server is warm for an object, and for its key, that it has handled recently.
+    A server is warm for an object, and for its key, that it has handled recently. The
+    homes of a key are the servers that rendezvous hashing gives the key.
 
     Attributes
     ----------
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,8 @@
-"""Choice of backend server: two homes for a key, refusal before spreading."""
+"""Choice of backend server: two homes for a key, refusal before spreading.
+
+The homes of a key are the servers that rendezvous hashing gives the key. A server is
+warm for an object, and for its key, that it has handled recently, and cold otherwise.
+"""
 
 import random
 from dataclasses import replace
--- a/tests/test_placement_load.py
+++ b/tests/test_placement_load.py
@@ -1,4 +1,8 @@
-"""What callers get under load: few objects, long runs, servers that slow or shed."""
+"""What callers get under load: few objects, long runs, servers that slow or shed.
+
+The homes of a key are the servers that rendezvous hashing gives the key. A server is
+warm for an object that it has handled recently, and cold otherwise.
+"""
 
 from collections import Counter
 from math import pi, sin
