--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -106,8 +106,9 @@
         self.waited = 0
         self.messages = 0
         self.message_items = 0
-        self.most: dict[str, list[tuple[float, float]]] = {
-            name: [(0.0, self.bound.most(quota))] for name, quota in quotas.items()
+        self.max_per_window: dict[str, list[tuple[float, float]]] = {
+            name: [(0.0, self.bound.max_per_window(quota))]
+            for name, quota in quotas.items()
         }
         for _ in range(count):
             self.join(first_start=True)
@@ -189,7 +190,9 @@
         """Change quotas; hosts take them over within half a second."""
         self.quotas = dict(quotas)
         for name, quota in quotas.items():
-            self.most[name].append((self.now, self.bound.most(quota)))
+            self.max_per_window[name].append(
+                (self.now, self.bound.max_per_window(quota))
+            )
         for node in self.nodes.values():
             node.quotas.configure(accounts_with(quotas), self._times(node))
 
@@ -321,6 +324,17 @@
     def _most_at(self, account, at):
         """Return the highest bound that was in force within the last two windows."""
         since = at - 2 * self.bound.window_s
-        changes = self.most[account]
-        before = [most for began, most in changes if began <= since][-1:]
-        return max([*before, *(most for began, most in changes if since < began <= at)])
+        changes = self.max_per_window[account]
+        before = [
+            max_per_window for began, max_per_window in changes if began <= since
+        ][-1:]
+        return max(
+            [
+                *before,
+                *(
+                    max_per_window
+                    for began, max_per_window in changes
+                    if since < began <= at
+                ),
+            ]
+        )
--- a/bench/slots.py
+++ b/bench/slots.py
@@ -237,7 +237,7 @@
             for index, srv in enumerate(trial.servers)
         ]
         self._keeper.servers.declare(iter(declared), set(), 0.0)
-        self._keeper.limit = float(sum(srv.places for srv in declared))
+        self._keeper.limit = float(sum(srv.max_concurrent for srv in declared))
         self._jobs = {str(job.number): job for job in trial.jobs}
         self._permits: dict[int, tuple[msg.Grant, int]] = {}
         self._waiting: list[deque[Job]] = [deque() for _ in range(HOSTS)]
@@ -357,14 +357,14 @@
     """The paper's rule alone: dismiss at dispatch what would probably be late."""
 
     name = "slot keeper, acceptance test only"
-    policy = KeeperPolicy(queue_deadline_part=1e9)
+    policy = KeeperPolicy(queue_wait_fraction=1e9)
 
 
 class KeeperNoRefusal(KeeperWay):
     """The keeper without any refusal on arrival."""
 
     name = "slot keeper, dismissed only when late"
-    policy = KeeperPolicy(accept_test=False, queue_deadline_part=1e9)
+    policy = KeeperPolicy(accept_test=False, queue_wait_fraction=1e9)
 
 
 WAYS = (
--- a/bench/soak/accounts.py
+++ b/bench/soak/accounts.py
@@ -76,7 +76,7 @@
             for at, sent_at in times[first:]
             if at <= end and sent_at >= end - BOUND.window_s
         ]
-        if len(inside) > BOUND.most(QUOTA):
+        if len(inside) > BOUND.max_per_window(QUOTA):
             text = f"{len(inside)} requests of {FLOODED} within a window"
             yield Broken("QUOTA", end, text)
             return
--- a/lacewingcross/core/crash_gossip.py
+++ b/lacewingcross/core/crash_gossip.py
@@ -25,7 +25,7 @@
     `source` is the host that told it, empty for what this host saw itself.
     """
 
-    number: int
+    sequence: int
     source: str
     crashed: Incarnation | None = None
     answered: str = ""
@@ -57,16 +57,16 @@
         self.newest += 1
         self._pieces.append(GossipItem(self.newest, source, answered=request))
 
-    def since(self, number: int | None) -> Iterator[GossipItem]:
+    def since(self, sequence: int | None) -> Iterator[GossipItem]:
         """Return what is newer than a number and still true.
 
         With None, for a new stream: all ends that count against a request. The others
         only served to leave a server alone for some seconds.
         """
-        if number is None:
+        if sequence is None:
             return (piece for piece in self._pieces if self._counts(piece))
         # Numbers have no gaps, so the newer pieces are the last ones.
-        newest_first = islice(reversed(self._pieces), self.newest - number)
+        newest_first = islice(reversed(self._pieces), self.newest - sequence)
         newer = reversed(list(newest_first))
         return (p for p in newer if p.answered or self._ledger.has_crashed(p.crashed))
 
--- a/lacewingcross/core/crashes.py
+++ b/lacewingcross/core/crashes.py
@@ -61,7 +61,7 @@
     # Questions
 
     @property
-    def watches(self) -> bool:
+    def has_suspects(self) -> bool:
         """Tell whether anything is held against any request."""
         return bool(self._against or self.quarantine)
 
@@ -157,7 +157,9 @@
             self._ends[server].requests.discard(request)
             self._ends[server].cleared.add(request)
 
-    def stored(self, request: str, servers: tuple[str, ...], now: float) -> None:
+    def add_stored_quarantine(
+        self, request: str, servers: tuple[str, ...], now: float
+    ) -> None:
         """Take over a quarantine that a host has stored."""
         if request not in self.quarantine:
             self.quarantine.add(request, servers, now)
--- a/lacewingcross/core/eligibility.py
+++ b/lacewingcross/core/eligibility.py
@@ -4,7 +4,7 @@
 
 from .backend_state import Server
 from .cold_limit import cold_send_limit
-from .fleet_shares import HOSTS_UNLISTED
+from .fleet_shares import ASSUMED_HOSTS
 from .passive_health import FailureShare
 from .placement_types import PlacementRequest
 from .routes import Service
@@ -46,7 +46,7 @@
         self._services: dict[str, Service] = {}
         self.gate = gate
         # This host's share of what its region's hosts may send to a cold server.
-        self.host_region_share = 1.0 / HOSTS_UNLISTED
+        self.host_region_share = 1.0 / ASSUMED_HOSTS
 
     def set_services(self, services: dict[str, Service]) -> None:
         """Set what operators declare about the services."""
--- a/lacewingcross/core/fleet_shares.py
+++ b/lacewingcross/core/fleet_shares.py
@@ -8,7 +8,7 @@
 SETTLE_S = 2.0
 # Hosts of a region that are reckoned with before the list of hosts was read: the most
 # that either user has in a region of few hosts, and half as many again.
-HOSTS_UNLISTED = 8
+ASSUMED_HOSTS = 8
 
 
 def region_share(roster: Roster, now: float) -> float:
@@ -43,7 +43,7 @@
         and (not settled or _shares(roster, host_id, entry, now))
     )
     part = roster.own.cores / (roster.own.cores + others)
-    return part if roster.listed else min(part, 1.0 / HOSTS_UNLISTED)
+    return part if roster.listed else min(part, 1.0 / ASSUMED_HOSTS)
 
 
 def serving_hosts(roster: Roster, now: float) -> frozenset[str]:
--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -54,7 +54,7 @@
 
     accept_test: bool = True
     accept_quantile: float = ACCEPT_QUANTILE
-    queue_deadline_part: float = QUEUE_DEADLINE_PART
+    queue_wait_fraction: float = QUEUE_DEADLINE_PART
 
 
 class SlotKeeper:
@@ -216,7 +216,7 @@
         if waiting == 0 and len(self.permits) < capacity:
             return ""
         wait = self.expected_wait(waiting, capacity)
-        if wait > remaining_s * self.policy.queue_deadline_part:
+        if wait > remaining_s * self.policy.queue_wait_fraction:
             return "queue-full"
         if self.policy.accept_test and remaining_s - wait < self._accept_s():
             return "deadline"
--- a/lacewingcross/core/quarantine.py
+++ b/lacewingcross/core/quarantine.py
@@ -101,7 +101,7 @@
         """Note that a request is tried; nothing else of it is sent meanwhile."""
         self._held[request].next_trial_at = now + TRIAL_EVERY_S
 
-    def trial_void(self, request: str, now: float) -> None:
+    def trial_inconclusive(self, request: str, now: float) -> None:
         """Note that no server has begun to run a request that was tried."""
         if request in self._held:
             self._held[request].next_trial_at = now + TRIAL_IN_DOUBT_S
--- a/lacewingcross/core/quota.py
+++ b/lacewingcross/core/quota.py
@@ -38,7 +38,7 @@
     excess: float = 0.1
     slack: float = 20.0
 
-    def most(self, quota: Quota) -> float:
+    def max_per_window(self, quota: Quota) -> float:
         """Return how many requests may run in any window."""
         return self._owed(quota) + self.spare(quota)
 
--- a/lacewingcross/core/quota_keeper.py
+++ b/lacewingcross/core/quota_keeper.py
@@ -84,14 +84,14 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    """Credit of one account; `part` of its quota is lent to this keeper.
+    """Credit of one account; `lent_share` of its quota is lent to this keeper.
 
     `turns` holds the hosts with open charges, the next one first.
     """
 
     quota: Quota
     at: float
-    part: float = 0.0
+    lent_share: float = 0.0
     level: float = 0.0
     books: dict[Incarnation, _Book] = field(default_factory=dict)
     turns: deque[Incarnation] = field(default_factory=deque)
@@ -145,7 +145,7 @@
             bucket = self._buckets.get(account)
             if bucket is None:
                 bucket = _Bucket(quota, now)
-                bucket.part = self._part(account)
+                bucket.lent_share = self._part(account)
                 self._buckets[account] = bucket
             elif bucket.quota != quota:
                 self._fill(bucket, now)
@@ -212,7 +212,7 @@
     def _update_parts(self, now: float) -> None:
         for account, bucket in self._buckets.items():
             self._fill(bucket, now)
-            bucket.part = self._part(account)
+            bucket.lent_share = self._part(account)
             self._cap(bucket)
 
     def _part(self, account: str) -> float:
@@ -224,12 +224,12 @@
 
     def _fill(self, bucket: _Bucket, now: float) -> None:
         if now > bucket.at:
-            bucket.level += bucket.quota.rate * bucket.part * (now - bucket.at)
+            bucket.level += bucket.quota.rate * bucket.lent_share * (now - bucket.at)
             bucket.at = now
             self._cap(bucket)
 
     def _cap(self, bucket: _Bucket) -> None:
-        most = self._bound.credit_most(bucket.quota) * bucket.part
+        most = self._bound.credit_most(bucket.quota) * bucket.lent_share
         bucket.level = min(bucket.level, most)
 
     # Charges
@@ -292,7 +292,7 @@
         return Receipt(account, book.returned, book.paid, wait_s)
 
     def _wait_s(self, bucket: _Bucket, host: Incarnation) -> float:
-        rate = bucket.quota.rate * bucket.part
+        rate = bucket.quota.rate * bucket.lent_share
         if rate <= 0:
             return UNLENT_PAUSE_S
         ahead = bucket.turns.index(host) + 1
@@ -320,10 +320,10 @@
 
     # Questions
 
-    def part(self, account: str) -> float:
+    def lent_share(self, account: str) -> float:
         """Return which part of an account's quota is lent to this host."""
         bucket = self._buckets.get(account)
-        return bucket.part if bucket else 0.0
+        return bucket.lent_share if bucket else 0.0
 
     def credit(self, account: str, now: float) -> float:
         """Return the credit of an account, less what waits to be paid."""
--- a/lacewingcross/core/quota_ledger.py
+++ b/lacewingcross/core/quota_ledger.py
@@ -268,11 +268,11 @@
         for account in sorted(self._open):
             tab = self._tabs[account]
             if tab.keeper is not None and self._due(tab, now):
-                yield tab.keeper, self.charge_of(account, now)
+                yield tab.keeper, self.next_charge(account, now)
             if not tab.open and tab.told == (tab.charged, tab.returned):
                 self._open.discard(account)
 
-    def charge_of(self, account: str, now: float) -> Charge:
+    def next_charge(self, account: str, now: float) -> Charge:
         """Return what the account's keeper is told now, and note it as told."""
         tab = self._tabs[account]
         tab.told = (tab.charged, tab.returned)
--- a/lacewingcross/core/quotas.py
+++ b/lacewingcross/core/quotas.py
@@ -181,7 +181,7 @@
         found = self.ledger.ask(account, at.now)
         if self.ledger.keeper(account) != self._roster.own.host_id:
             return found
-        self._charge_own(self.ledger.charge_of(account, at.now), at)
+        self._charge_own(self.ledger.next_charge(account, at.now), at)
         if found.outcome is not Outcome.WAITING:
             return found
         decided = self.ledger.decided(account, at.now)
--- a/lacewingcross/core/resources.py
+++ b/lacewingcross/core/resources.py
@@ -73,7 +73,7 @@
     queue: int = 0
 
     @property
-    def places(self) -> int:
+    def max_concurrent(self) -> int:
         """Return the requests it takes at once: in its slots and in its own queue."""
         return self.slots + self.queue
 
@@ -105,7 +105,7 @@
 
     def limit(self, region: str) -> float:
         """Return the most requests in flight that `region` may be given."""
-        slots = float(sum(srv.places for srv in self.by_region.get(region, ())))
+        slots = float(sum(srv.max_concurrent for srv in self.by_region.get(region, ())))
         return min(slots, self.region_limits.get(region, slots))
 
 
--- a/lacewingcross/core/servers.py
+++ b/lacewingcross/core/servers.py
@@ -41,7 +41,7 @@
 
     def capacity(self, now: float) -> int:
         """Return the slots that may be used at `now`, slow start included."""
-        slots = self.declared.places
+        slots = self.declared.max_concurrent
         if self.probing or self.doubted:
             return 1
         if self.ramp_s <= 0 or now >= self.since + self.ramp_s:
--- a/lacewingcross/core/steering.py
+++ b/lacewingcross/core/steering.py
@@ -22,7 +22,7 @@
 LAPSE_GRACE_S = 2.2
 # Silence of the store, in seconds, that counts as an outage in which server entries may
 # have expired. It is half of the time after which the store drops a silent server, and
-# longer than any host waits before it queries the store itself (`PATIENCE_MAX_S`).
+# longer than any host waits before it queries the store itself (`MAX_SILENCE_TIMEOUT_S`).
 OUTAGE_S = 2.3
 # Fraction of the common retry allowance that the hosts use. The rest covers hosts that
 # restart with a full allowance of their own.
@@ -177,7 +177,7 @@
             self.crashes.release(doc.name)
         else:
             servers = self._decoder.quarantine(doc.name, doc.spec)
-            self.crashes.stored(doc.name, servers, now)
+            self.crashes.add_stored_quarantine(doc.name, servers, now)
 
     def _take_configuration(self, config: Configuration) -> None:
         if self.table is not None and self.table.config.version > config.version:
--- a/lacewingcross/core/watch_election.py
+++ b/lacewingcross/core/watch_election.py
@@ -28,7 +28,7 @@
 PATIENCE_EACH_S = 0.1
 # Longest silence that any host bears, in seconds. A change made right after the last
 # word is then in force 2.1 s later.
-PATIENCE_MAX_S = 2.0
+MAX_SILENCE_TIMEOUT_S = 2.0
 # The same for a host that has nothing yet and that callers are sent to, in seconds: a
 # peer that has everything tells it within that time of its start. A fleet that has lost
 # power, and whose first host comes back last, would serve that much later.
@@ -130,5 +130,5 @@
 
 def silence_timeout(rank: int, kind: Kind = Kind.CONFIG) -> float:
     """Return how long a host of this rank bears silence on a kind, in seconds."""
-    usual = min(PATIENCE_MAX_S, PATIENCE_S + (rank - 1) * PATIENCE_EACH_S)
+    usual = min(MAX_SILENCE_TIMEOUT_S, PATIENCE_S + (rank - 1) * PATIENCE_EACH_S)
     return usual + QUARANTINE_WATCH_S if kind is Kind.QUARANTINE else usual
--- a/lacewingcross/gateway/backends.py
+++ b/lacewingcross/gateway/backends.py
@@ -60,7 +60,7 @@
             self.drop(server, conn)
         return await self._open_new(server)
 
-    async def spare(self, server: ServerEntry, settle_s: float) -> bool:
+    async def open_spare(self, server: ServerEntry, settle_s: float) -> bool:
         """Open a connection ahead of need; return whether the server keeps it.
 
         Parameters
--- a/lacewingcross/gateway/crashes.py
+++ b/lacewingcross/gateway/crashes.py
@@ -119,7 +119,7 @@
         why = "silent"
         for _ in range(CHECKS_MOST):
             try:
-                lives = await self._backends.spare(entry, SETTLE_S)
+                lives = await self._backends.open_spare(entry, SETTLE_S)
             except HttpError as exc:
                 why = exc.reason
                 break
--- a/lacewingcross/gateway/gossip_sender.py
+++ b/lacewingcross/gateway/gossip_sender.py
@@ -164,9 +164,9 @@
                 link.told_news = None
             if link.told_news != news.newest:
                 for piece in self._pieces_for(host_id, link):
-                    if piece.number not in frames:
-                        frames[piece.number] = self._news_frame(piece)
-                    link.send_frame(*frames[piece.number])
+                    if piece.sequence not in frames:
+                        frames[piece.sequence] = self._news_frame(piece)
+                    link.send_frame(*frames[piece.sequence])
                 link.told_news = news.newest
 
     def tell_signals(self) -> None:
--- a/lacewingcross/gateway/quota_admission.py
+++ b/lacewingcross/gateway/quota_admission.py
@@ -126,8 +126,8 @@
         ledger = self._quotas.ledger
         for account in self._counted:
             self._metrics.set_gauge(f"accounts.unpaid.{account}", ledger.debt(account))
-            part = self._quotas.keeper.part(account)
-            self._metrics.set_gauge(f"accounts.kept.{account}", part)
+            lent_share = self._quotas.keeper.lent_share(account)
+            self._metrics.set_gauge(f"accounts.kept.{account}", lent_share)
 
     # Other hosts
 
--- a/lacewingcross/gateway/repeats.py
+++ b/lacewingcross/gateway/repeats.py
@@ -95,7 +95,7 @@
         if self._on_trial:
             self._on_trial = False
             quarantine = self._gateway.crashes.ledger.quarantine
-            quarantine.trial_void(self.name, self._gateway.now())
+            quarantine.trial_inconclusive(self.name, self._gateway.now())
 
     def broke(self, entry: ServerEntry) -> None:
         """Note that a server's connection ended under the request."""
@@ -116,5 +116,5 @@
     def answered(self) -> None:
         """Note that a server has answered the request."""
         crashes = self._gateway.crashes
-        if crashes.ledger.watches:
+        if crashes.ledger.has_suspects:
             crashes.answered(self.name)
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -172,7 +172,7 @@
         if not self.store_up or host.name in self.cut:
             return
         for request in self.store.keys() - host.documents:
-            host.ledger.stored(request, self.store[request], self.now)
+            host.ledger.add_stored_quarantine(request, self.store[request], self.now)
         for request in host.documents - self.store.keys():
             host.ledger.release(request)
         host.documents = set(self.store)
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -139,5 +139,5 @@
         for holders in (1, 2, 7, 12):
             debts = holders * bound.debt_each(quota, holders)
             saved = bound.credit_most(quota)
-            assert saved + quota.rate * 5.0 + debts <= bound.most(quota)
+            assert saved + quota.rate * 5.0 + debts <= bound.max_per_window(quota)
         assert bound.debt_each(quota, 12) >= 1
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -43,11 +43,11 @@
         backends.limit = lambda service: 2
         known = entry(server.address, 1)
         for _ in range(2):
-            assert await backends.spare(known, 0.0)
+            assert await backends.open_spare(known, 0.0)
         server.cut_off()
         await asyncio.sleep(0.05)
         with pytest.raises(HttpError) as caught:
-            await backends.spare(known, 0.0)
+            await backends.open_spare(known, 0.0)
         assert caught.value.reason == "connect-refused"
 
     asyncio.run(check())
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -26,7 +26,7 @@
         self.asked = 0
         self.go = asyncio.Event()
 
-    async def spare(self, entry, settle_s):
+    async def open_spare(self, entry, settle_s):
         self.asked += 1
         await self.go.wait()
         if self.reason:
@@ -74,7 +74,7 @@
     async def play(made):
         answers.go.set()
         await made.broke(ENTRY, "r1")
-        assert not made.ledger.watches
+        assert not made.ledger.has_suspects
         assert not made.ledger.has_crashed(END)
 
     check(answers, play)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -83,7 +83,7 @@
     # A late report of an end that it was cleared of is void.
     assert not made.record_crash(end(3, "popular"), 0.0)[0]
     assert made.crash_count("popular") == 0
-    assert not made.watches
+    assert not made.has_suspects
 
 
 def test_an_answer_ends_a_quarantine():
@@ -99,7 +99,7 @@
     made.quarantine.begin_trial(BAD, TRIAL_EVERY_S)
     assert not made.quarantine.trial_due(BAD, TRIAL_EVERY_S)
     # A server that was full tells nothing of the request.
-    made.quarantine.trial_void(BAD, TRIAL_EVERY_S)
+    made.quarantine.trial_inconclusive(BAD, TRIAL_EVERY_S)
     assert made.quarantine.trial_due(BAD, TRIAL_EVERY_S + TRIAL_IN_DOUBT_S)
 
 
@@ -130,7 +130,7 @@
     # which is bad. A host that starts reads both and knows nothing of the trial.
     made = CrashLedger()
     for request in (BAD, "popular"):
-        made.stored(request, ("i-1", "i-2", "i-3"), 0.0)
+        made.add_stored_quarantine(request, ("i-1", "i-2", "i-3"), 0.0)
     assert not made.quarantine.trial_due(BAD, TRIAL_IN_DOUBT_S)
 
 
@@ -172,7 +172,7 @@
         == MAX_CRASHES_KEPT
     )
     for number in range(KEPT + 10):
-        made.stored(f"s{number}", (), 0.0)
+        made.add_stored_quarantine(f"s{number}", (), 0.0)
     assert len(made.quarantine) == KEPT
     assert f"s{KEPT + 9}" in made.quarantine
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -178,7 +178,7 @@
         apps = await three_hosts(made)
         await repeat(apps, BAD, 1.0)
         for app in apps:
-            assert not app.gateway.crashes.ledger.watches
+            assert not app.gateway.crashes.ledger.has_suspects
 
 
 @pytest.mark.parametrize("size", [1_000, 1_200_000])
@@ -208,7 +208,7 @@
                 assert got.status == 502
             ledger = app.gateway.crashes.ledger
             await until(lambda: ledger.has_crashed(("i-1", 0)))
-            assert ledger.watches
+            assert ledger.has_suspects
 
     play()
 
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -40,7 +40,7 @@
 
     def counted(self):
         """Return how many requests count as run or waiting."""
-        told = self.ledger.charge_of("a", self.now)
+        told = self.ledger.next_charge("a", self.now)
         return told.charged - told.returned
 
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -193,7 +193,7 @@
     fleet.configure({**BOTH, "large": Quota(6.0, 6.0)})
     flood_through(fleet, 15.0)
     lowered = [at for at in fleet.runs["large"] if at > fleet.now - 5.0]
-    assert len(lowered) <= fleet.bound.most(Quota(6.0, 6.0))
+    assert len(lowered) <= fleet.bound.max_per_window(Quota(6.0, 6.0))
     fleet.configure(BOTH)
     flood_through(fleet, 15.0)
     raised = [at for at in fleet.runs["large"] if at > fleet.now - 10.0]
--- a/tests/test_quotas_gateway.py
+++ b/tests/test_quotas_gateway.py
@@ -22,7 +22,7 @@
         await made.ready(app)
 
     def whole():
-        parts = [app.gateway.quotas.keeper.part("school") for app in apps]
+        parts = [app.gateway.quotas.keeper.lent_share("school") for app in apps]
         return abs(sum(parts) - 1.0) < 1e-6
 
     await until(whole)
@@ -50,7 +50,7 @@
         assert refused
         assert all(float(header(r, "retry-after")) > 0 for r in refused)
         assert len(server.requests) == sum(r.status == 200 for r in responses)
-        assert len(server.requests) <= Bounds().quotas.most(
+        assert len(server.requests) <= Bounds().quotas.max_per_window(
             made.apps[0].gateway.steering.table.config.accounts.by_name["school"].quota
         )
 
@@ -88,7 +88,7 @@
     app = await made.add_host()
     await until(lambda: app.gateway.steering.table is not None)
     await until(lambda: app.entry.server.listening)
-    await until(lambda: app.gateway.quotas.keeper.part("school") == 1.0)
+    await until(lambda: app.gateway.quotas.keeper.lent_share("school") == 1.0)
     return [app]
 
 
--- a/tests/test_soak_ledger.py
+++ b/tests/test_soak_ledger.py
@@ -258,15 +258,15 @@
 
 
 def test_more_than_the_quota_within_a_window_is_found():
-    most = int(BOUND.most(QUOTA))
+    max_per_window = int(BOUND.max_per_window(QUOTA))
     made = ledger()
-    flooded(made, most, over_s=4.0)
+    flooded(made, max_per_window, over_s=4.0)
     assert rules(made) == []
     made = ledger()
-    flooded(made, most + 2, over_s=4.0)
+    flooded(made, max_per_window + 2, over_s=4.0)
     assert rules(made) == ["QUOTA"]
     made = ledger()
-    flooded(made, 2 * most, over_s=20.0)
+    flooded(made, 2 * max_per_window, over_s=20.0)
     assert rules(made) == []
 
 
--- a/tests/test_watch_election.py
+++ b/tests/test_watch_election.py
@@ -2,7 +2,7 @@
 
 from lacewingcross.core.replica import Kind
 from lacewingcross.core.watch_election import (
-    PATIENCE_MAX_S,
+    MAX_SILENCE_TIMEOUT_S,
     PATIENCE_S,
     QUARANTINE_WATCH_S,
     TURNED_AWAY_S,
@@ -44,8 +44,10 @@
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     for rank in (1, 5, 4500):
-        assert election.should_watch(Kind.CONFIG, rank, 10.0 + PATIENCE_MAX_S + 0.01)
-    assert PATIENCE_MAX_S + 0.3 < IN_FORCE_S
+        assert election.should_watch(
+            Kind.CONFIG, rank, 10.0 + MAX_SILENCE_TIMEOUT_S + 0.01
+        )
+    assert MAX_SILENCE_TIMEOUT_S + 0.3 < IN_FORCE_S
 
 
 def test_a_host_that_has_stepped_in_goes_on_until_somebody_tells_it_something():
@@ -101,5 +103,5 @@
     election.note_peer_update(Kind.QUARANTINE, 10.0)
     assert not election.should_watch(Kind.QUARANTINE, 1, 10.0 + QUARANTINE_WATCH_S)
     assert election.should_watch(
-        Kind.QUARANTINE, 1, 10.0 + QUARANTINE_WATCH_S + PATIENCE_MAX_S
+        Kind.QUARANTINE, 1, 10.0 + QUARANTINE_WATCH_S + MAX_SILENCE_TIMEOUT_S
     )
