--- a/lacewingcross/core/fixed_share.py
+++ b/lacewingcross/core/fixed_share.py
@@ -10,10 +10,10 @@
 class FixedShare:
     """Slots that this host may use without a keeper's permit.
 
-    Failure: the keeper is frozen and not yet found out. Waiting would refuse
-    everything of the region for a second or more. The shares of all hosts together
-    stay under the region's slots, and what the silent keeper had granted besides is
-    shed by the backend servers, which say "not run".
+    Guards against a keeper that is frozen but not yet detected as failed: waiting would
+    refuse all requests of the region for a second or more. The shares of all hosts
+    together stay under the region's slots. What the silent keeper had granted besides
+    is shed by the backend servers, which answer "not run".
 
     Parameters
     ----------
@@ -21,11 +21,11 @@
         Shared state.
     """
 
-    __slots__ = ("_next_number", "_view")
+    __slots__ = ("_last_number", "_view")
 
     def __init__(self, view: View) -> None:
         self._view = view
-        self._next_number = 0
+        self._last_number = 0
 
     def take(
         self, state: RequestState, in_use: list[tuple[str, int]], now: float
@@ -37,9 +37,9 @@
         state : RequestState
             A request of this host's own region.
         in_use : list of (str, int)
-            Backend server and permit of every slot this host uses there.
+            Backend server and permit of every slot that this host uses there.
         now : float
-            Seconds on a monotonic clock.
+            Monotonic time in seconds.
         """
         service = state.req.service
         if state.region != self._view.own.region:
@@ -49,8 +49,8 @@
         server_id = self._least_used(state, Counter(server for server, _ in in_use))
         if server_id is None:
             return None
-        self._next_number += 1
-        number = (self._view.incarnation << 32) + self._next_number
+        self._last_number += 1
+        number = (self._view.incarnation << 32) + self._last_number
         return HeldPermit(number, server_id, state.keeper)
 
     def _size(self, service: str, region: str, now: float) -> int:
@@ -60,9 +60,9 @@
 
     def _least_used(self, state: RequestState, in_use: Counter[str]) -> str | None:
         service = state.req.service
-        passed_over = self._view.leaving_servers(service) | state.exclude
+        skipped = self._view.leaving_servers(service) | state.exclude
         servers = self._view.region_servers(service, state.region)
-        usable = [srv.server_id for srv in servers if srv.server_id not in passed_over]
+        usable = [srv.server_id for srv in servers if srv.server_id not in skipped]
         key = state.req.request_id
         return min(
             usable,
--- a/lacewingcross/core/neighbours.py
+++ b/lacewingcross/core/neighbours.py
@@ -1,19 +1,23 @@
-"""Which hosts exchange heartbeats, so that their number stays small at any size."""
+"""Selects which hosts exchange heartbeats, so that each has few peers at any size."""
 
 from collections import defaultdict
 from collections.abc import Iterable
 
 from .rendezvous import ranked
 
+# From this many other hosts on, a fleet counts as large.
 FULL_MESH_MAX = 64
-SMALL_BEAT_S = 0.4
-NEAR_BEAT_S = 1.0
-FAR_BEAT_S = 5.0
+# Heartbeat intervals in seconds: between all hosts of a small fleet, within a failure
+# domain, and between relays.
+SMALL_FLEET_INTERVAL_S = 0.4
+DOMAIN_INTERVAL_S = 1.0
+RELAY_INTERVAL_S = 5.0
+# Number of relays of each failure domain and each region.
 RELAYS = 2
 
 
 class Place:
-    """Where a host is; all that decides on its neighbours."""
+    """The location of a host, which alone decides on its neighbours."""
 
     __slots__ = ("failure_domain", "host_id", "region")
 
@@ -24,17 +28,17 @@
 
 
 def relays(key: str, host_ids: Iterable[str]) -> list[str]:
-    """Return the hosts that speak for a failure domain or a region."""
+    """Return the hosts that represent a failure domain or a region to other hosts."""
     return ranked(f"relay/{key}", host_ids)[:RELAYS]
 
 
 def neighbours(own: Place, places: Iterable[Place]) -> dict[str, float]:
     """Return the hosts to send heartbeats to, and how often, in seconds.
 
-    In a small fleet everybody beats everybody. In a large one a host beats its own
-    failure domain; relays of failure domains beat each other within a region, and
-    relays of regions beat each other over all regions. The rule is symmetric: both
-    sides come to the same result from the same list.
+    In a small fleet, all hosts exchange heartbeats with each other. In a large fleet, a
+    host exchanges them within its own failure domain; relays of failure domains do so
+    within a region, and relays of regions over all regions. The rule is symmetric: both
+    sides derive the same result from the same list.
 
     Parameters
     ----------
@@ -50,9 +54,9 @@
     """
     others = [place for place in places if place.host_id != own.host_id]
     if len(others) < FULL_MESH_MAX:
-        return {place.host_id: SMALL_BEAT_S for place in others}
+        return {place.host_id: SMALL_FLEET_INTERVAL_S for place in others}
     result = {
-        place.host_id: NEAR_BEAT_S
+        place.host_id: DOMAIN_INTERVAL_S
         for place in others
         if place.failure_domain == own.failure_domain
     }
@@ -64,10 +68,10 @@
     if own.host_id in relays(own.failure_domain, domains[_domain(own)]):
         for (region, domain), host_ids in domains.items():
             if region == own.region:
-                _add(result, own, relays(domain, host_ids))
+                _add_relays(result, own, relays(domain, host_ids))
     if own.host_id in relays(own.region, regions[own.region]):
         for region, host_ids in regions.items():
-            _add(result, own, relays(region, host_ids))
+            _add_relays(result, own, relays(region, host_ids))
     return result
 
 
@@ -75,7 +79,7 @@
     return place.region, place.failure_domain
 
 
-def _add(result: dict[str, float], own: Place, host_ids: list[str]) -> None:
+def _add_relays(result: dict[str, float], own: Place, host_ids: list[str]) -> None:
     for host_id in host_ids:
         if host_id != own.host_id:
-            result.setdefault(host_id, FAR_BEAT_S)
+            result.setdefault(host_id, RELAY_INTERVAL_S)
--- a/lacewingcross/gateway/attempt_feedback.py
+++ b/lacewingcross/gateway/attempt_feedback.py
@@ -89,7 +89,7 @@
         if result.failure_reason == REFUSED:
             gateway.crashes.refused(server.entry)
     elif ending is Ending.CONNECT_FAILED or result.caller_gone:
-        health.forgotten(result.attempt_id)
+        health.abandoned(result.attempt_id)
     elif ending in (Ending.TIMED_OUT, Ending.CANCELLED):
         health.timed_out(result.attempt_id, now)
     else:
--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -1,4 +1,4 @@
-"""Hosts in virtual time that keep to the rate which one server names."""
+"""Hosts in virtual time that keep to the rate that one server states."""
 
 import heapq
 import itertools
@@ -7,20 +7,22 @@
 
 SERVER = ("i-1", 0)
 STEP_S = 0.05
-ANSWER_S = 0.1
-WAY_S = 0.04
-# A host is bound from so long after it has passed on a naming answer, in seconds.
-HEARD_S = 0.5
-# The bound counts from so long after the first such answer; a restart excuses as long.
+RESPONSE_DELAY_S = 0.1
+NETWORK_DELAY_S = 0.04
+# A host is bound from this long after it has passed on a response with a rate, in
+# seconds.
+BOUND_AFTER_S = 0.5
+# The bound applies from this long after the first such response, in seconds. A host is
+# exempt for as long after a restart.
 STABLE_S = 3.0
-# Answers that are held up come so much later, in seconds.
+# Extra delay of responses that are held up, in seconds.
 LATE_S = 1.2
 
 
 class LimitFleet:
-    """Hosts, their views of each other, and what the server got.
+    """Hosts, their views of each other, and the requests that the server got.
 
-    `cut` holds hosts that hear no other host; they reach the server all the same.
+    `cut` holds hosts that reach no other host; they still reach the server.
     """
 
     def __init__(self, count, rate, *, gated=True):
@@ -28,90 +30,90 @@
         self.gated = gated
         self.rate = rate
         self.cut = set()
-        self.heard = {}
-        self.named_at = None
+        self.responses = {}
+        self.first_rate_at = None
         self._worst = -RateBound().most(0.0)
         self.started_at = {}
         self.arrivals = []
         self.hosts = {}
         self.views = {}
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._events = []
         names = [f"h{number}" for number in range(count)]
         for name in names:
             self.start(name, names)
 
     def start(self, name, view):
-        """Start a host, or start it again: it remembers nothing."""
+        """Start or restart a host, which then remembers nothing."""
         self.hosts[name] = RateLimits(name)
         self.hosts[name].set_hosts(frozenset(view), self.now)
         self.views[name] = set(view)
-        self.heard[name] = []
+        self.responses[name] = []
         self.started_at[name] = self.now
         for other in self.hosts:
-            self.tell(other, name)
+            self.gossip(other, name)
 
     def join(self):
-        """Add a host; the others hear of it a way later."""
+        """Add a host; the others learn of it after a network delay."""
         name = f"h{len(self.hosts)}"
         self.start(name, [*self.hosts, name])
         for other in self.hosts:
-            self.later(WAY_S, self._see, other, name)
+            self.later(NETWORK_DELAY_S, self._learn_host, other, name)
 
-    def _see(self, other, name):
+    def _learn_host(self, other, name):
         if other in self.cut or name in self.cut:
-            self.later(1.0, self._see, other, name)
+            self.later(1.0, self._learn_host, other, name)
             return
         self.views[other].add(name)
         self.hosts[other].set_hosts(frozenset(self.views[other]), self.now)
 
-    def name_rate(self, rate):
-        """Let the server name another rate, None for no limit."""
+    def set_rate(self, rate):
+        """Set the rate that the server states, None for no limit."""
         self.rate = rate
 
     def later(self, delay_s, action, *args):
         heapq.heappush(
-            self._events, (self.now + delay_s, next(self._numbers), action, args)
+            self._events, (self.now + delay_s, next(self._sequence), action, args)
         )
 
-    def tell(self, sender, receiver):
+    def gossip(self, sender, receiver):
         for server, limit in list(self.hosts[sender].own_observations()):
-            word = (server, limit.rate, limit.at)
-            self.later(WAY_S, self._told, sender, receiver, word)
+            statement = (server, limit.rate, limit.at)
+            self.later(NETWORK_DELAY_S, self._receive, sender, receiver, statement)
 
-    def _told(self, sender, receiver, word):
+    def _receive(self, sender, receiver, statement):
         if sender not in self.cut and receiver not in self.cut:
-            self.hosts[receiver].learn_from_peer(*word, self.now)
+            self.hosts[receiver].learn_from_peer(*statement, self.now)
 
     def send(self, name, *, late_s=0.0):
-        """Let a host have a request; its answer may be held up on its way."""
+        """Let a host send a request; its response may be delayed. Return if it did."""
         limits = self.hosts[name]
         if self.gated and not limits.may_send(SERVER, self.now, urgent=True):
             return False
         limits.sent(SERVER, self.now)
         bound_by = self._bound_by(name)
-        calm = self.now - self.started_at[name] > STABLE_S
-        if calm and bound_by is not None:
+        settled = self.now - self.started_at[name] > STABLE_S
+        if settled and bound_by is not None:
             self.arrivals.append((self.now, bound_by))
-        word = (self.rate, self.now, self.hosts[name])
-        self.later(ANSWER_S + late_s, self._answer, name, word)
+        statement = (self.rate, self.now, self.hosts[name])
+        self.later(RESPONSE_DELAY_S + late_s, self._answer, name, statement)
         return True
 
-    def _answer(self, name, word):
-        rate, asked_at, limits = word
+    def _answer(self, name, statement):
+        rate, asked_at, limits = statement
         if self.hosts[name] is not limits:
             return
-        self.heard[name].append((self.now, rate))
-        if rate is not None and self.named_at is None:
-            self.named_at = self.now
+        self.responses[name].append((self.now, rate))
+        if rate is not None and self.first_rate_at is None:
+            self.first_rate_at = self.now
         version = limits.version
         limits.observe(SERVER, rate, asked_at, self.now)
         if limits.version != version:
             for other in self.hosts:
-                self.tell(name, other)
+                self.gossip(name, other)
 
     def play(self, seconds, *, tries=2, senders=None, late_s=0.0):
-        """Have each host ask more of the server than it takes."""
+        """Have each host request more of the server than it accepts."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             while self._events and self._events[0][0] <= self.now:
@@ -122,25 +124,25 @@
                     self.send(name, late_s=late_s)
 
     def _bound_by(self, name):
-        """Return the rate that binds a host, by what it has passed on; None for none.
+        """Return the rate that binds a host by what it has passed on; None for none.
 
-        What it has passed on within half a second need not be kept to yet.
+        A statement that it passed on within the last half second need not be kept yet.
         """
-        words = self.heard[name]
-        while len(words) > 1 and words[1][0] <= self.now - HEARD_S:
-            words.pop(0)
-        known = [rate for at, rate in words[:1] if at <= self.now - HEARD_S]
-        rates = [rate for _, rate in words]
+        statements = self.responses[name]
+        while len(statements) > 1 and statements[1][0] <= self.now - BOUND_AFTER_S:
+            statements.pop(0)
+        known = [rate for at, rate in statements[:1] if at <= self.now - BOUND_AFTER_S]
+        rates = [rate for _, rate in statements]
         return None if not known or None in rates else max(rates)
 
     def excess(self):
-        """Return by how much the worst window lies above the bound; 0 keeps it."""
+        """Return how far the worst window exceeds the bound; 0 or less keeps it."""
         bound = RateBound()
-        if self.named_at is None:
+        if self.first_rate_at is None:
             return self._worst
-        first = self.named_at + STABLE_S
+        first = self.first_rate_at + STABLE_S
         counted = [(at, rate) for at, rate in self.arrivals if at >= first]
-        # Windows that began earlier are over and were looked at.
+        # Windows that began earlier have been checked.
         self.arrivals = [item for item in counted if item[0] > self.now - 20.0]
         for since, _ in counted:
             until = since + bound.window_s
--- a/tests/test_placement_load.py
+++ b/tests/test_placement_load.py
@@ -1,4 +1,8 @@
-"""What callers get under loads: few objects, long work, servers that slow or shed."""
+"""What callers get under load: few objects, long runs, servers that slow or shed.
+
+The homes of a key are the servers that rendezvous hashing gives the key. A server is
+warm for an object that it has handled recently, and cold otherwise.
+"""
 
 from collections import Counter
 from math import pi, sin
@@ -7,8 +11,8 @@
 
 from .load_player import Kind, LoadPlayer, Outcome
 
-# The heaviest day of a fleet that dispatches tankers: 24 objects of each kind, work of
-# 256 to 1,600 ms that takes 0.3 of that at a server that knows the object.
+# The busiest day of a fleet that dispatches tankers: 24 objects of each kind. Service
+# times are 256 to 1,600 ms, and 0.3 of that at a server that is warm for the object.
 KINDS = [
     Kind("route-sheet", "dispatch", 89.0, 0.64, 0.4),
     Kind("assignment", "dispatch", 31.0, 0.84, 0.6, urgent=True),
@@ -25,19 +29,19 @@
 }
 HOSTS = {"n": 3, "c": 3, "s": 3}
 PHASES = {"n": 0.1, "c": 0.43, "s": 0.77}
-# Most of a region's requests that may run elsewhere from one span of 2 s to the next.
-SHIFT_MOST = 0.15
+# Largest share of a region's requests that may move elsewhere between spans of 2 s.
+MAX_SHIFT = 0.15
 
 
 def wave(region, now):
-    """Return how much more or less a region asks while the wave passes."""
+    """Return the factor on a region's request rate while the wave passes over it."""
     return 1 + 0.55 * sin(2 * pi * (now / 36 + PHASES[region]))
 
 
-def test_objects_are_warm_soon_and_stay_so():
-    # With a home in each region and spilling, 0.3 to 0.6 of the requests of such a day
-    # were answered in time. Two homes for the whole fleet make some two hundred cold
-    # runs, one for each object and home, of five thousand requests.
+def test_objects_become_warm_soon_and_stay_warm():
+    # With a home in each region and spilling over to others, 0.3 to 0.6 of the requests
+    # of such a day were answered in time. Two homes for the whole fleet make some two
+    # hundred cold runs, one for each object and home, of five thousand requests.
     player = LoadPlayer(SERVERS, HOSTS)
     out = player.play(KINDS, 30, wave)
     assert player.cold_runs < 250
@@ -46,8 +50,8 @@
         assert out.share(kind.name, since=8) > 0.85
 
 
-def moved(rate, seconds=20, plays=8):
-    """Return each region's largest shift, over plays so that chance is small."""
+def largest_shifts(rate, seconds=20, plays=8):
+    """Return each region's largest shift, over several runs to reduce chance."""
     ran_in = {}
     for seed in range(plays):
         out = LoadPlayer(SERVERS, HOSTS, seed=seed).play(KINDS, seconds, rate)
@@ -58,72 +62,77 @@
 
 
 def test_a_burst_of_one_region_does_not_move_its_requests_elsewhere():
-    # Two thirds more callers wake in one region and go again. Bulk moves land on cold
-    # servers, so operators cap what may move from one span to the next.
-    shifts = moved(lambda region, now: 1.7 if region == "c" and 10 <= now < 14 else 0.8)
-    assert max(shifts.values()) <= SHIFT_MOST
+    # Two thirds more callers become active in one region and then leave. Requests that
+    # move in bulk land on cold servers, so operators cap what may move between spans.
+    shifts = largest_shifts(
+        lambda region, now: 1.7 if region == "c" and 10 <= now < 14 else 0.8
+    )
+    assert max(shifts.values()) <= MAX_SHIFT
 
 
 def test_a_burst_everywhere_does_not_move_requests_between_regions():
-    shifts = moved(lambda _, now: 1.9 if 10 <= now < 14 else 0.8)
-    assert max(shifts.values()) <= SHIFT_MOST
+    shifts = largest_shifts(lambda _, now: 1.9 if 10 <= now < 14 else 0.8)
+    assert max(shifts.values()) <= MAX_SHIFT
 
 
-def test_callers_that_leave_a_region_do_not_pull_requests_there():
-    # Two thirds of a region's callers move away within a second. Its servers have
-    # room, and what was served elsewhere would come home within two seconds.
-    shifts = moved(lambda region, now: 0.33 if region == "s" and now >= 10 else 1.0)
-    assert max(shifts.values()) <= SHIFT_MOST
+def test_callers_that_leave_a_region_do_not_move_requests_there():
+    # Two thirds of a region's callers leave within a second. Its servers then have
+    # room, and requests that were served elsewhere would return within two seconds.
+    shifts = largest_shifts(
+        lambda region, now: 0.33 if region == "s" and now >= 10 else 1.0
+    )
+    assert max(shifts.values()) <= MAX_SHIFT
 
 
-def test_a_wave_that_passes_over_the_regions_moves_little():
-    assert max(moved(wave, seconds=36).values()) <= SHIFT_MOST
+def test_a_load_wave_over_the_regions_moves_few_requests():
+    assert max(largest_shifts(wave, seconds=36).values()) <= MAX_SHIFT
 
 
-# A fifth of all requests are of an account that is bound to the smallest region, which
-# has a tenth of the slots. Servers keep ten objects at hand, there are 160 of them.
+# A fifth of all requests belong to an account that is bound to the smallest region,
+# which has a tenth of the slots. Servers keep ten objects warm, and there are 160.
 SPACIOUS = {"dispatch@n": 4, "dispatch@c": 18, "dispatch@s": 18}
 NORTH = frozenset("n")
 BOUND_KINDS = [
-    Kind("free", "dispatch", 90.0, 0.8, 0.6, things=160),
-    Kind("bound", "dispatch", 22.0, 0.8, 0.6, things=160, regions=NORTH, like="free"),
+    Kind("free", "dispatch", 90.0, 0.8, 0.6, objects=160),
+    Kind("bound", "dispatch", 22.0, 0.8, 0.6, objects=160, regions=NORTH, like="free"),
 ]
 
 
-def with_bound(policy=None, seconds=40, seed=1):
+def play_bound(policy=None, seconds=40, seed=1):
     player = LoadPlayer(SPACIOUS, HOSTS, slots=6, keeps=10, policy=policy, seed=seed)
     return player.play(BOUND_KINDS, seconds)
 
 
-def refused(out, kind, since):
+def refused_share(out, kind, since):
     asked = sum(n for (k, s), n in out.asked.items() if k == kind and s >= since)
     gone = sum(n for (k, s), n in out.refused.items() if k == kind and s >= since)
     return gone / asked
 
 
-def test_requests_that_may_go_anywhere_leave_a_region_to_those_that_may_not():
-    # Objects of all accounts came to the few servers of the small region and pushed one
-    # another out; cold work filled the slots. In time before 0.893 of the requests that
-    # may go anywhere and 0.984 now; refused before 0.023 of the bound ones, now none.
-    before = with_bound(Policy(reserve_regions=False))
-    after = with_bound()
+def test_unbound_requests_avoid_a_region_with_many_bound_requests():
+    # Guards against objects of all accounts on the few servers of the small region,
+    # where they displaced each other and cold runs filled the slots. Without
+    # reservations, 0.893 of the requests that may go anywhere are in time, and 0.984
+    # with them; of the bound ones, 0.023 are refused without them, and none with them.
+    before = play_bound(Policy(reserve_regions=False))
+    after = play_bound()
     assert after.share("free", 15) > before.share("free", 15) + 0.05
-    assert refused(after, "bound", 15) < 0.01 < refused(before, "bound", 15)
+    assert refused_share(after, "bound", 15) < 0.01 < refused_share(before, "bound", 15)
     assert after.share("bound", 15) > before.share("bound", 15) - 0.02
 
 
-def test_a_region_is_left_to_others_without_a_jump():
-    # What leaves a region lands on servers that do not know it: little at a time.
+def test_requests_leave_a_reserved_region_gradually():
+    # What leaves a region lands on cold servers, so it must move in small steps.
     ran_in = {}
     for seed in range(8):
-        for span, counts in with_bound(seconds=24, seed=seed).ran_in.items():
+        for span, counts in play_bound(seconds=24, seed=seed).ran_in.items():
             ran_in.setdefault(span, Counter()).update(counts)
     total = Outcome(ran_in=ran_in)
-    assert max(total.worst_shift(r, since=2) for r in HOSTS) <= SHIFT_MOST
+    assert max(total.worst_shift(r, since=2) for r in HOSTS) <= MAX_SHIFT
 
 
-def accounts(flooding, seconds=24):
-    """Play accounts; one may flood, and its quota lets 1.6 times its usual by."""
+def play_accounts(flooding, seconds=24):
+    """Play accounts; one may flood, and its quota admits 1.6 times its usual rate."""
     times = 1.6 if flooding else 1.0
     kinds = [
         Kind("others", "dispatch", 80.0, 0.64, 0.4),
@@ -132,28 +141,29 @@
     return LoadPlayer(SERVERS, HOSTS).play(kinds, seconds, wave)
 
 
-def test_an_account_that_floods_costs_the_others_next_to_nothing():
-    # One account sends eight times its usual. Its quota is all that reaches servers.
-    before = accounts(flooding=False).share("others", since=8)
-    assert accounts(flooding=True).share("others", since=8) > before - 0.01
+def test_an_account_that_floods_hardly_affects_the_others():
+    # One account sends eight times its usual rate. Only its quota reaches the servers.
+    before = play_accounts(flooding=False).share("others", since=8)
+    assert play_accounts(flooding=True).share("others", since=8) > before - 0.01
 
 
-def test_no_account_is_left_behind_when_all_send_twice_what_is_borne():
+def test_no_account_is_starved_when_all_send_twice_the_capacity():
     # Requests of urgent accounts may wait where others are refused. The others must
-    # still get a fair part of the slots: a quarter of what all get at the least.
+    # still get a fair share of the slots: at least a quarter of what any account gets.
     kinds = [
         Kind("urgent", "dispatch", 60.0, 0.64, 0.4, urgent=True, like="usual"),
         Kind("usual", "dispatch", 540.0, 0.64, 0.4),
     ]
     out = LoadPlayer(SERVERS, HOSTS).play(kinds, 16)
-    served = {kind: 1 - refused(out, kind, 4) for kind in ("urgent", "usual")}
+    served = {kind: 1 - refused_share(out, kind, 4) for kind in ("urgent", "usual")}
     assert served["usual"] < 0.9
     assert min(served.values()) > max(served.values()) / 4
 
 
 def test_servers_that_all_shed_keep_their_keys():
-    # For eight seconds each server sheds half of what it gets though it has room.
-    # Passed over for that, every key wandered over all servers and was cold on each.
+    # For eight seconds each server sheds half of its requests although it has free
+    # slots. If servers were skipped for that, every key would wander over all servers
+    # and be cold on each.
     player = LoadPlayer(SERVERS, HOSTS)
     player.at(8.0, lambda: [setattr(m, "shed", 0.55) for m in player.models.values()])
     player.at(16.0, lambda: [setattr(m, "shed", 0.0) for m in player.models.values()])
@@ -162,9 +172,9 @@
     assert out.share("route-sheet", since=17) > 0.85
 
 
-def test_a_few_slow_servers_cost_little():
-    # Three of sixteen servers take eight times as long for some seconds. Nobody is told
-    # so; their slots stay taken, and what finds them full goes elsewhere.
+def test_a_few_slow_servers_have_little_effect():
+    # Three of sixteen servers take eight times as long for some seconds. No host is
+    # told; their slots stay taken, and requests that find them full go elsewhere.
     player = LoadPlayer(SERVERS, HOSTS)
     slow = [player.models[f"dispatch-s-{number}"] for number in range(3)]
     player.at(8.0, lambda: [setattr(model, "slow", 8.0) for model in slow])
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,11 +1,11 @@
-"""The rates that servers name, kept to by hosts that may not hear of each other."""
+"""The rates that servers state, kept by hosts that may not reach each other."""
 
 import pytest
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from lacewingcross.core.rate_limits import (
-    BELIEVED_S,
+    RATE_VALID_S,
     REMEMBERED_S,
     RateBound,
     RateLimits,
@@ -16,7 +16,7 @@
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Five hosts and some more, a server whose rate changes, cuts, restarts."""
+    """Five or more hosts, a server whose rate changes, partitions and restarts."""
 
     @initialize(rate=RATES)
     def start(self, rate):
@@ -51,7 +51,7 @@
 
     @rule(rate=RATES)
     def change(self, rate):
-        self.fleet.name_rate(rate)
+        self.fleet.set_rate(rate)
 
     @invariant()
     def server_gets_no_more(self):
@@ -78,16 +78,17 @@
     assert len(times) >= 0.8 * rate * (times[-1] - times[0])
 
 
-def test_a_limit_that_is_named_no_more_ends_at_all_hosts():
-    # One host hears of it; the others sent nothing meanwhile and must not keep to it.
+def test_a_limit_that_is_no_longer_stated_ends_at_all_hosts():
+    # One host receives the update. The others sent nothing meanwhile and must drop the
+    # limit too.
     fleet = flooded(6.0)
-    fleet.name_rate(None)
+    fleet.set_rate(None)
     fleet.play(3.0, senders=["h0"])
     for limits in fleet.hosts.values():
         assert not list(limits.in_force())
 
 
-def test_an_answer_from_before_the_limit_does_not_end_it():
+def test_a_response_from_before_the_limit_does_not_end_it():
     limits = RateLimits("h0")
     limits.set_hosts(frozenset({"h0"}), 0.0)
     assert limits.observe(SERVER, 6.0, 9.9, 10.0)
@@ -96,7 +97,7 @@
     assert limits.observe(SERVER, None, 10.5, 11.0)
 
 
-def test_old_news_of_another_host_does_not_undo_what_was_heard():
+def test_an_old_report_of_another_host_does_not_undo_a_statement():
     limits = RateLimits("h0")
     limits.observe(SERVER, 6.0, 9.9, 10.0)
     assert not limits.learn_from_peer(SERVER, 30.0, 9.0, 10.1)
@@ -104,26 +105,26 @@
     assert limits.learn_from_peer(SERVER, 3.0, 10.05, 10.1)
 
 
-def test_hosts_without_a_share_pass_the_server_over_and_ask_again_by_turns():
+def test_hosts_without_a_share_skip_the_server_and_probe_in_rotation():
     names = frozenset(f"h{number}" for number in range(12))
     sent = []
     for name in sorted(names):
         limits = RateLimits(name)
         limits.set_hosts(names, 0.0)
         limits.observe(SERVER, 0.0, 0.0, 0.0)
-        for second in range(int(BELIEVED_S) + 60):
+        for second in range(int(RATE_VALID_S) + 60):
             if limits.share_of(SERVER) or not limits.may_send(
                 SERVER, second, urgent=True
             ):
                 continue
             limits.sent(SERVER, second)
             sent.append(second)
-    assert min(sent) > BELIEVED_S
+    assert min(sent) > RATE_VALID_S
     assert len(sent) >= 10
     assert all(sum(at <= t < at + 4 for t in sent) <= 2 for at in sent)
 
 
-def test_a_host_that_stands_by_sends_nothing_to_a_server_with_a_limit():
+def test_a_standby_host_sends_nothing_to_a_server_with_a_limit():
     limits = RateLimits("stands-by")
     limits.set_hosts(frozenset({"h0", "h1"}), 0.0)
     limits.observe(SERVER, 6.0, 0.0, 0.0)
@@ -142,18 +143,18 @@
     assert limits.may_send(SERVER, soon + 0.001, urgent=False)
 
 
-def test_no_more_hosts_share_a_small_rate_than_may_save_up_for_it():
+def test_only_hosts_that_may_save_up_credit_share_a_small_rate():
     bound = RateBound()
     hosts = [RateLimits(f"h{number}") for number in range(40)]
     for limits in hosts:
         limits.set_hosts(frozenset(f"h{number}" for number in range(40)), 0.0)
         limits.observe(SERVER, 0.5, 0.0, 0.0)
     shares = [limits.share_of(SERVER) for limits in hosts]
-    assert sum(share > 0 for share in shares) <= bound.sharers_most(0.5)
+    assert sum(share > 0 for share in shares) <= bound.max_sharers(0.5)
     assert sum(shares) == pytest.approx(0.5)
 
 
-def test_limits_of_servers_that_are_gone_are_forgotten():
+def test_limits_of_servers_that_are_gone_are_dropped():
     limits = RateLimits("h0")
     limits.observe(SERVER, 6.0, 0.0, 0.0)
     limits.forget_old(REMEMBERED_S + 1.0, {SERVER[0]})
@@ -162,7 +163,7 @@
     assert not list(limits.in_force())
 
 
-def test_a_server_that_names_a_large_limit_is_passed_over_by_no_burst():
+def test_a_server_that_states_a_large_limit_is_not_skipped_in_a_burst():
     # Three requests come at once; the server takes 1,000 a second.
     limits = RateLimits("h0")
     limits.set_hosts(frozenset({"h0", "h1"}), 0.0)
@@ -172,7 +173,7 @@
         limits.sent(SERVER, 1.0)
 
 
-def test_a_server_that_has_just_named_a_limit_is_asked_on():
+def test_a_server_that_has_just_stated_a_limit_still_gets_requests():
     limits = RateLimits("h0")
     limits.set_hosts(frozenset({"h0"}), 0.0)
     limits.observe(SERVER, 1.0, 0.0, 0.0)
--- a/tests/test_server_backoffs.py
+++ b/tests/test_server_backoffs.py
@@ -1,9 +1,13 @@
-"""Servers that ask a host for rest."""
+"""Servers that request a back-off from a host."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lacewingcross.core.server_backoffs import REST_MOST_S, TRIAL_S, ServerBackoffs
+from lacewingcross.core.server_backoffs import (
+    MAX_BACKOFF_S,
+    TRIAL_TIMEOUT_S,
+    ServerBackoffs,
+)
 
 SERVER = ("i-1", 0)
 
@@ -11,20 +15,20 @@
 @given(
     answers=st.lists(st.tuples(st.floats(0.01, 0.5), st.floats(0.0, 5.0)), max_size=60)
 )
-def test_no_request_goes_to_a_resting_server_however_it_asks(answers):
+def test_no_request_goes_to_a_server_during_its_back_off(answers):
     backoffs = ServerBackoffs()
     now = 0.0
-    rests_until = 0.0
-    for passed_s, rest_s in answers:
-        now += passed_s
+    backoff_until = 0.0
+    for elapsed_s, backoff_s in answers:
+        now += elapsed_s
         if backoffs.may_send(SERVER, now):
-            assert now >= rests_until
+            assert now >= backoff_until
             backoffs.sent(SERVER, now)
-            backoffs.observe(SERVER, rest_s, now)
-            rests_until = max(rests_until, now + rest_s)
+            backoffs.observe(SERVER, backoff_s, now)
+            backoff_until = max(backoff_until, now + backoff_s)
 
 
-def test_a_longer_rest_that_is_asked_for_meanwhile_counts():
+def test_a_longer_back_off_requested_meanwhile_counts():
     backoffs = ServerBackoffs()
     assert backoffs.observe(SERVER, 2.0, 0.0)
     assert not backoffs.observe(SERVER, 3.0, 0.1)
@@ -32,14 +36,14 @@
     assert backoffs.wait_s(SERVER, 1.1) == 2.0
 
 
-def test_an_answer_from_before_the_rest_does_not_end_it():
+def test_a_response_from_before_the_back_off_does_not_end_it():
     backoffs = ServerBackoffs()
     backoffs.observe(SERVER, 2.0, 0.0)
     backoffs.observe(SERVER, 0.0, 0.1)
     assert not backoffs.may_send(SERVER, 1.9)
 
 
-def test_after_a_rest_one_request_goes_first():
+def test_after_a_back_off_one_request_goes_first():
     backoffs = ServerBackoffs()
     backoffs.observe(SERVER, 2.0, 0.0)
     assert backoffs.may_send(SERVER, 2.0)
@@ -49,17 +53,17 @@
     assert backoffs.may_send(SERVER, 2.2)
 
 
-def test_a_first_request_that_is_never_answered_blocks_for_a_moment_only():
+def test_a_first_request_without_a_response_blocks_for_a_short_time_only():
     backoffs = ServerBackoffs()
     backoffs.observe(SERVER, 2.0, 0.0)
     backoffs.sent(SERVER, 2.0)
-    assert not backoffs.may_send(SERVER, 2.0 + TRIAL_S / 2)
-    assert backoffs.may_send(SERVER, 2.0 + TRIAL_S)
+    assert not backoffs.may_send(SERVER, 2.0 + TRIAL_TIMEOUT_S / 2)
+    assert backoffs.may_send(SERVER, 2.0 + TRIAL_TIMEOUT_S)
 
 
-def test_an_absurd_rest_ends():
+def test_an_absurdly_long_back_off_is_limited():
     backoffs = ServerBackoffs()
     backoffs.observe(SERVER, 1e12, 0.0)
-    assert backoffs.wait_s(SERVER, 0.0) == REST_MOST_S
-    backoffs.forget_old(3 * REST_MOST_S)
-    assert backoffs.may_send(SERVER, 3 * REST_MOST_S)
+    assert backoffs.wait_s(SERVER, 0.0) == MAX_BACKOFF_S
+    backoffs.forget_old(3 * MAX_BACKOFF_S)
+    assert backoffs.may_send(SERVER, 3 * MAX_BACKOFF_S)
