--- a/lacewingcross/core/messages.py
+++ b/lacewingcross/core/messages.py
@@ -1,35 +1,37 @@
 """Messages between entry hosts, as typed values that a codec can carry.
 
-On the wire each is an array that starts with the tag of its class. A tag is not used
-again for another message.
+On the wire, each message is an array that starts with the tag of its class. The tag of
+a removed message is never reused for another message.
 """
 
 from typing import Annotated
 
 from msgspec import Meta, Struct
 
-# Larger figures, infinity and what is no number are errors of the sender.
+# Largest magnitude of a float in a message. Larger values, infinity and NaN are errors
+# of the sender.
 MOST = 1e15
 Number = Annotated[float, Meta(ge=-MOST, le=MOST)]
-# Requests that one message names at most; a server runs and queues some ten.
+# A backend server runs and queues about ten requests at a time.
 MAX_REQUESTS_PER_MESSAGE = 256
-# Accounts that one message names at most; more go into further ones.
+# A sender with more accounts sends further messages.
 MAX_ACCOUNTS_PER_MESSAGE = 256
-# Servers that one message names at most; more go into further ones.
+# A sender with more servers sends further messages.
 MAX_SERVERS_PER_MESSAGE = 256
-# A sum, a mask or milliseconds; larger ones are errors of the sender.
+# A running total, a bit mask or a time in milliseconds. Larger values are errors of the
+# sender.
 Sum = Annotated[int, Meta(ge=0, le=2**53)]
 Fingerprint = Annotated[str, Meta(min_length=1, max_length=32)]
-# A host: id, region, failure domain, entry address, peer address, cores.
+# An entry host: id, region, failure domain, entry address, peer address, cores.
 HostFields = tuple[str, str, str, str, str, Number]
 
 
 class _Message(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A message; its fields are exactly those of its class, in order."""
+    """A message that carries exactly the fields of its class, in order."""
 
 
 class Hello(_Message, tag=1):
-    """First message on a connection: who speaks, and in which incarnation."""
+    """First message on a connection: the sending host and its incarnation."""
 
     host_id: str
     incarnation: int
@@ -44,9 +46,11 @@
 class Heartbeat(_Message, tag=2):
     """Liveness, state and the highest configuration version of the sender.
 
-    `behind` counts the buckets that its own cap still holds back; `leaving` gives
-    the requests in flight at each leaving backend server that the sender keeps;
-    `loads` gives in flight, queued and limit of each service and region it keeps.
+    `behind` is the number of buckets that the sender's shift cap still keeps from
+    moving to their planned region. `leaving` gives the requests in flight at each
+    leaving backend server whose slots the sender keeps, as ``service/server``. `loads`
+    gives, for each ``service/region`` whose slots the sender keeps, the requests in
+    flight, the queued requests and the limit.
     """
 
     state: str
@@ -57,13 +61,13 @@
 
 
 class Members(_Message, tag=14):
-    """Hosts known to the sender: id, region, failure domain, entry, peer, cores."""
+    """Hosts known to the sender, each with the fields of `HostFields`."""
 
     hosts: list[HostFields]
 
 
 class ConfigPull(_Message, tag=3):
-    """Ask for every configuration entry above a version."""
+    """Requests every configuration entry above a version."""
 
     above: int
 
@@ -77,7 +81,7 @@
 
 
 class Acquire(_Message, tag=5):
-    """Ask a slot keeper for a permit."""
+    """Requests a permit from a slot keeper."""
 
     service: str
     region: str
@@ -87,7 +91,7 @@
 
 
 class Grant(_Message, tag=6):
-    """A permit: one slot of one backend server, leased."""
+    """Grants a permit: the lease of one slot of one backend server."""
 
     service: str
     region: str
@@ -98,7 +102,7 @@
 
 
 class Denied(_Message, tag=7):
-    """The keeper refuses a request, with the time to come back."""
+    """Refuses a permit, with the time after which the sender may ask again."""
 
     service: str
     region: str
@@ -108,7 +112,7 @@
 
 
 class Release(_Message, tag=8):
-    """A permit is given back, with what the attempt showed."""
+    """Returns a permit, with the result and the service time of the attempt."""
 
     service: str
     region: str
@@ -119,7 +123,7 @@
 
 
 class Reuse(_Message, tag=15):
-    """A permit goes on to another waiting request of the same host."""
+    """Passes a permit on to another waiting request of the same host."""
 
     service: str
     region: str
@@ -130,7 +134,7 @@
 
 
 class Renew(_Message, tag=9):
-    """Keep the leases of permits whose requests still run."""
+    """Renews the leases of permits whose requests still run."""
 
     service: str
     region: str
@@ -138,7 +142,7 @@
 
 
 class Withdraw(_Message, tag=10):
-    """The caller has gone: forget a queued request."""
+    """Removes a queued request whose caller has disconnected."""
 
     service: str
     region: str
@@ -146,7 +150,7 @@
 
 
 class HeldQuery(_Message, tag=11):
-    """A new keeper asks which slots the receiver's requests occupy."""
+    """Asks, as a new keeper, which slots the receiver's requests occupy."""
 
     service: str
     region: str
@@ -154,7 +158,7 @@
 
 
 class HeldReport(_Message, tag=12):
-    """Answer to a query: backend server and number of slots held there."""
+    """Answers a `HeldQuery`: backend servers and the number of slots held at each."""
 
     service: str
     region: str
@@ -163,7 +167,7 @@
 
 
 class Claim(_Message, tag=16):
-    """Ask the owner of a key's shard to claim an idempotency key."""
+    """Asks the owner of an idempotency key's shard to claim the key."""
 
     service: str
     request_id: str
@@ -172,7 +176,7 @@
 
 
 class ClaimEnded(_Message, tag=17):
-    """Answer to a claim: ``ok``, ``conflict`` or ``unavailable``."""
+    """Answers a `Claim`; `outcome` is ``ok``, ``conflict`` or ``unavailable``."""
 
     service: str
     request_id: str
@@ -181,7 +185,7 @@
 
 
 class Unclaim(_Message, tag=18):
-    """Give a key back: its request is proved not to have run."""
+    """Gives up the claim of a key whose request is proved not to have run."""
 
     service: str
     key_hash: str
@@ -189,7 +193,7 @@
 
 
 class RegionLoad(_Message, tag=13):
-    """A keeper's figures on one region, for the planner."""
+    """Load of one service in one region, sent by its slot keeper to the planner."""
 
     service: str
     region: str
@@ -200,15 +204,17 @@
 
 
 class Alive(_Message, tag=19):
-    """The sender lives, and what it has in flight at backend servers.
-
-    `starting` says that it cannot serve yet, `store_unreachable` that the store does
-    not answer it, and `subscribes` that it asks to be told what the receiver knows.
-    `revisions` holds the store's revision up to which it misses nothing, for each kind
-    in order. `counts` holds server ids and requests: if `whole`, of all servers, and
-    one that is missing has none; else of those where that has changed since the last
-    message. `handled` holds server ids and keys that they have handled for the first
-    time since then. Both are told to active hosts only.
+    """Heartbeat with the sender's state and its requests in flight at backend servers.
+
+    `starting` means that the sender cannot serve yet, `store_unreachable` that the
+    store does not answer the sender, and `subscribes` that the sender requests updates
+    from the receiver. `revisions` holds, for each kind of object in order, the store
+    revision up to which the sender has every change. `counts` holds server ids and
+    numbers of requests in flight. If `whole`, it covers all servers, and a server that
+    is missing has no requests; otherwise it covers the servers whose number has changed
+    since the last message. `handled` holds pairs of a server id and a key that the
+    server has handled for the first time since the last message. `counts` and `handled`
+    are sent to active hosts only.
     """
 
     leaving: bool
@@ -222,11 +228,11 @@
 
 
 class KnownHosts(_Message, tag=22):
-    """Hosts that the sender knows to live, in place of what it told before.
+    """Hosts that the sender considers alive; replaces its previous message.
 
-    If `active`, all active hosts, as told to a host that stands by; else the hosts that
-    speak to the sender, as told to an active one. Fields of a host as in `Members`;
-    `starting` holds the ids of those that cannot serve yet.
+    If `active`, `hosts` are all active hosts; this form is sent to standby hosts. Else
+    `hosts` are those that send messages to the sender; this form is sent to active
+    hosts. `starting` holds the ids of the hosts that cannot serve yet.
     """
 
     active: bool
@@ -235,12 +241,13 @@
 
 
 class StoreChanges(_Message, tag=20):
-    """Everything of one kind that changed in the store between two revisions.
+    """All objects of one kind that changed in the store between two revisions.
 
-    Each document is its name, its revision and its JSON text, empty when deleted. If
-    `whole`, the documents are all that exist. `fresh` tells that the sender has just
-    had this from the store; an answer to a pull may be as old as its sender's copy.
-    `hops` counts the hosts that passed it on.
+    Each document is its name, its revision and its JSON text, which is empty for a
+    deleted object. If `whole`, the documents are all that exist. `fresh` means that the
+    changes have just come from the store; the answer to a `StorePull` may be as old as
+    the copy of the host that answers. `hops` counts the hosts that passed the message
+    on.
     """
 
     kind: int
@@ -253,16 +260,17 @@
 
 
 class StorePull(_Message, tag=21):
-    """Ask for everything of one kind that changed after a revision."""
+    """Requests all objects of one kind that changed after a revision."""
 
     kind: int
     above: int
 
 
 class ServerEnded(_Message, tag=23):
-    """A run of a backend server has ended; `requests` are fingerprints of those there.
+    """Reports the crash of a backend server and the requests that ran on it.
 
-    Told again when more requests are known. `born_ms` tells the runs of a server apart.
+    `requests` holds the fingerprints of these requests; the message is sent again when
+    more of them are known. `born_ms` distinguishes the runs of a server.
     """
 
     server_id: str
@@ -271,11 +279,12 @@
 
 
 class QuotaLease(_Message, tag=25):
-    """The sender lends its shares of quotas, of accounts that the receiver keeps.
+    """Lends the sender's quota shares to the receiver, for the accounts it keeps.
 
-    `key` names the sender's view of the holders, `live` holds those that it sees;
-    0 lends nothing. `sent_ms` is the sender's clock, `echo_ms` the receiver's as the
-    sender heard it last: the lease runs from then.
+    `key` identifies the sender's view of the quota holders. `live` is a bit mask of the
+    holders that the sender can reach; 0 lends nothing. `sent_ms` is the sender's
+    clock, `echo_ms` the receiver's clock in the last message that the sender received
+    from it. The lease runs from `echo_ms`.
     """
 
     key: str
@@ -285,9 +294,10 @@
 
 
 class QuotaCharges(_Message, tag=26):
-    """What the sender runs for accounts that the receiver keeps.
+    """Charges of the sender to the accounts that the receiver keeps.
 
-    Account, and the sums charged, returned and paid since the sender started.
+    A charge is a request run. Each item is the account and the totals of the charges
+    made, returned and paid since the sender started.
     """
 
     items: Annotated[
@@ -296,7 +306,11 @@
 
 
 class QuotaReceipts(_Message, tag=27):
-    """What of it is paid: account, returned, paid, and seconds until the next is."""
+    """Acknowledges paid charges of the receiver.
+
+    Each item is the account, the totals of the charges returned and paid, and the
+    seconds until the keeper pays the next charge.
+    """
 
     items: Annotated[
         list[tuple[str, Sum, Sum, Number]], Meta(max_length=MAX_ACCOUNTS_PER_MESSAGE)
@@ -304,16 +318,16 @@
 
 
 class RequestAnswered(_Message, tag=24):
-    """A request under which servers had ended was answered by one."""
+    """Reports that a server answered a request that had been running during crashes."""
 
     request: Fingerprint
 
 
 class ServerLimits(_Message, tag=28):
-    """What the sender has heard of servers that name a limit, or do so no longer.
+    """Rate limits that backend servers advertised to the sender, or withdrew.
 
-    Server id, `born_ms`, requests a second (negative for no limit), and how long ago
-    that was known to hold, in seconds.
+    Each item is the server id, `born_ms` of its run, the limit in requests a second
+    (negative for no limit), and how many seconds ago the limit was last known to hold.
     """
 
     items: Annotated[
@@ -322,7 +336,10 @@
 
 
 class ServersLeaving(_Message, tag=29):
-    """Runs of servers that have said to the sender that they leave: id, `born_ms`."""
+    """Server runs that announced to the sender that they are shutting down.
+
+    Each item is the server id and `born_ms` of the run.
+    """
 
     servers: Annotated[list[tuple[str, Sum]], Meta(max_length=MAX_SERVERS_PER_MESSAGE)]
 
