--- a/lacewingcross/core/messages.py
+++ b/lacewingcross/core/messages.py
@@ -10,8 +10,8 @@
 
 # Largest magnitude of a float in a message. Larger values, infinity and NaN are errors
 # of the sender.
-MOST = 1e15
-Number = Annotated[float, Meta(ge=-MOST, le=MOST)]
+MAX_FLOAT = 1e15
+BoundedFloat = Annotated[float, Meta(ge=-MAX_FLOAT, le=MAX_FLOAT)]
 # A backend server runs and queues about ten requests at a time.
 MAX_REQUESTS_PER_MESSAGE = 256
 # A sender with more accounts sends further messages.
@@ -20,10 +20,10 @@
 MAX_SERVERS_PER_MESSAGE = 256
 # A running total, a bit mask or a time in milliseconds. Larger values are errors of the
 # sender.
-Sum = Annotated[int, Meta(ge=0, le=2**53)]
+UnsignedInt = Annotated[int, Meta(ge=0, le=2**53)]
 Fingerprint = Annotated[str, Meta(min_length=1, max_length=32)]
 # An entry host: id, region, failure domain, entry address, peer address, cores.
-HostFields = tuple[str, str, str, str, str, Number]
+HostFields = tuple[str, str, str, str, str, BoundedFloat]
 
 
 class _Message(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -40,7 +40,7 @@
     failure_domain: str
     entry: str
     peer: str
-    cores: Number = 1.0
+    cores: BoundedFloat = 1.0
 
 
 class Heartbeat(_Message, tag=2):
@@ -57,7 +57,7 @@
     revision: int
     behind: int
     leaving: list[tuple[str, int]]
-    loads: list[tuple[str, int, int, Number]]
+    loads: list[tuple[str, int, int, BoundedFloat]]
 
 
 class Members(_Message, tag=14):
@@ -86,7 +86,7 @@
     service: str
     region: str
     request_id: str
-    remaining_s: Number
+    remaining_s: BoundedFloat
     exclude: list[str]
 
 
@@ -98,7 +98,7 @@
     request_id: str
     permit: int
     server_id: str
-    lease_s: Number
+    lease_s: BoundedFloat
 
 
 class Denied(_Message, tag=7):
@@ -108,7 +108,7 @@
     region: str
     request_id: str
     reason: str
-    retry_after_s: Number
+    retry_after_s: BoundedFloat
 
 
 class Release(_Message, tag=8):
@@ -119,7 +119,7 @@
     permit: int
     server_id: str
     result: str
-    service_s: Number
+    service_s: BoundedFloat
 
 
 class Reuse(_Message, tag=15):
@@ -129,7 +129,7 @@
     region: str
     permit: int
     server_id: str
-    service_s: Number
+    service_s: BoundedFloat
     request_id: str
 
 
@@ -199,8 +199,8 @@
     region: str
     in_flight: int
     queued: int
-    limit: Number
-    demand_rate: Number
+    limit: BoundedFloat
+    demand_rate: BoundedFloat
 
 
 class Alive(_Message, tag=19):
@@ -288,9 +288,9 @@
     """
 
     key: str
-    live: Sum
-    sent_ms: Sum
-    echo_ms: Sum
+    live: UnsignedInt
+    sent_ms: UnsignedInt
+    echo_ms: UnsignedInt
 
 
 class QuotaCharges(_Message, tag=26):
@@ -301,7 +301,8 @@
     """
 
     items: Annotated[
-        list[tuple[str, Sum, Sum, Sum]], Meta(max_length=MAX_ACCOUNTS_PER_MESSAGE)
+        list[tuple[str, UnsignedInt, UnsignedInt, UnsignedInt]],
+        Meta(max_length=MAX_ACCOUNTS_PER_MESSAGE),
     ]
 
 
@@ -313,7 +314,8 @@
     """
 
     items: Annotated[
-        list[tuple[str, Sum, Sum, Number]], Meta(max_length=MAX_ACCOUNTS_PER_MESSAGE)
+        list[tuple[str, UnsignedInt, UnsignedInt, BoundedFloat]],
+        Meta(max_length=MAX_ACCOUNTS_PER_MESSAGE),
     ]
 
 
@@ -331,7 +333,8 @@
     """
 
     items: Annotated[
-        list[tuple[str, Sum, Number, Number]], Meta(max_length=MAX_SERVERS_PER_MESSAGE)
+        list[tuple[str, UnsignedInt, BoundedFloat, BoundedFloat]],
+        Meta(max_length=MAX_SERVERS_PER_MESSAGE),
     ]
 
 
@@ -341,7 +344,9 @@
     Each item is the server id and `born_ms` of the run.
     """
 
-    servers: Annotated[list[tuple[str, Sum]], Meta(max_length=MAX_SERVERS_PER_MESSAGE)]
+    servers: Annotated[
+        list[tuple[str, UnsignedInt]], Meta(max_length=MAX_SERVERS_PER_MESSAGE)
+    ]
 
 
 QuotaMessage = QuotaLease | QuotaCharges | QuotaReceipts
--- a/tests/naive_wire.py
+++ b/tests/naive_wire.py
@@ -48,7 +48,7 @@
         return whole and all(map(_matches, value, inner))
     if hint is float:
         good = isinstance(value, float) or _is_int(value)
-        return good and abs(value) <= msg.MOST
+        return good and abs(value) <= msg.MAX_FLOAT
     if hint is int:
         return _is_int(value)
     return isinstance(value, hint)
