--- a/lacewingcross/core/roster.py
+++ b/lacewingcross/core/roster.py
@@ -1,12 +1,13 @@
-"""Which entry hosts exist, which live, and which of them callers should use.
+"""Which entry hosts exist, which are alive, and which of them callers should use.
 
-Hosts name themselves in the store when they start; whether one lives is judged by what
-hosts say on the streams between them, never by the store, which may be away.
+Each host writes its own entry to the store when it starts. Whether a host is alive is
+judged only by the messages on the streams between hosts, never by the store, which may
+be unreachable.
 
-Active hosts (see `active`) speak to each other. Each of the others, which stand by,
-speaks to two active ones, its *relays*; they tell it what changes, and they tell the
-other active hosts that it lives. So what a standby host hears and tells is the same in
-a fleet of any size.
+Active hosts (see `active`) exchange messages with each other. Each standby host
+exchanges messages with two active hosts only, its *relays*: the relays send it all
+changes and report to the other active hosts that it is alive. The traffic of a standby
+host is therefore the same in a fleet of any size.
 """
 
 from dataclasses import dataclass
@@ -14,19 +15,21 @@
 from .active import active_hosts
 from .membership import HostInfo
 
-# Hosts that speak to each other do so at least this often, in seconds.
+# Longest interval between two messages on a stream between hosts.
 ALIVE_EVERY_S = 0.5
-# Silence after which a host is no longer named to callers: four missed messages, so
-# that one lost packet (resent after about a second) does not take a host out.
+# Silence timeout after which look-ups stop naming a host to callers. It is four missed
+# messages, so that one lost packet (resent after about a second) does not cause it.
 SILENT_AFTER_S = 2.0
-# A host that has been silent for so long is no longer dialled, in seconds. A host that
-# comes back names itself again.
+# Silence timeout after which this host stops connecting to another host and forgets it.
+# A host that comes back writes its entry to the store again.
 FORGET_AFTER_S = 60.0
-# A host that was named by others, but not heard yet, is taken to live for so long, in
-# seconds: a fleet that starts knows all names at once, and has yet to speak.
+# A host that is listed in the store or by another host, but has not yet sent a message,
+# is presumed alive for this long: when a fleet starts, all hosts are listed at once,
+# before any of them has sent a message.
 PRESUMED_S = 2.0
-# When all relays of a host fall silent together, what they told last counts for this
-# long after their last word, in seconds; the host finds other relays among it.
+# When all relays of a host fall silent together, the hosts that they reported last stay
+# valid for this long after the relays' last message. The host finds other relays among
+# the reported hosts.
 TOLD_COUNTS_S = 4.0
 
 
@@ -34,9 +37,10 @@
 class Entry:
     """One other entry host.
 
-    `subscribes` says that it asked to be told what this host knows. `active_at` is when
-    it was last among the active hosts, `sought_at` when it was first wanted as a relay,
-    and `refused_at` when nothing listened at its address for other hosts.
+    `subscribes` means that the host requested updates from this one. `active_at` is the
+    last time at which it was among the active hosts, `sought_at` the time at which it
+    was first chosen as a relay, and `refused_at` the time at which no process listened
+    at its peer address.
     """
 
     info: HostInfo
@@ -52,24 +56,25 @@
     refused_at: float = float("-inf")
 
     def live(self, now: float) -> bool:
-        """Tell whether the host has spoken to this one lately."""
+        """Return whether the host has sent a message within the silence timeout."""
         return now - self.last_heard_at < SILENT_AFTER_S
 
     def ended(self) -> bool:
-        """Tell whether the host's process has ended since it spoke last."""
+        """Return whether the host's process has ended since its last message."""
         return self.refused_at > self.last_heard_at
 
     def last_sign(self) -> float:
-        """Return when the host was last heard, or first named."""
+        """Return when the host sent its last message, or was first listed."""
         return max(self.last_heard_at, self.known_since)
 
 
 @dataclass(slots=True, frozen=True)
 class PeerView:
-    """What another host says of the hosts that it knows to live.
+    """The hosts that another host reports as alive.
 
-    `active` tells that these are the active hosts, as told to a standby host; active
-    hosts tell each other whom they hear. Those in `starting` cannot serve yet.
+    If `active`, `hosts` are all active hosts; this form is sent to standby hosts. Else
+    `hosts` are those that send messages to the reporting host; this form is exchanged
+    between active hosts. The hosts in `starting` cannot serve yet.
     """
 
     active: bool
@@ -78,7 +83,7 @@
 
 
 class Roster:
-    """All entry hosts that this one knows of.
+    """All entry hosts that this host knows.
 
     Parameters
     ----------
@@ -105,8 +110,8 @@
         self.own = own
         self.leaving = False
         self.listed = False
-        # Whether this host found itself in the list at its start, so that the others
-        # have counted it all along.
+        # Whether this host found its own entry in the store's list at its start. If so,
+        # the other hosts have counted it all along.
         self.was_listed = False
         self.starting = True
         self.store_unreachable = False
@@ -120,29 +125,27 @@
 
     @property
     def out_of_service(self) -> bool:
-        """Tell whether callers should use other hosts.
+        """Return whether callers should use other hosts.
 
-        Failure: a host that has just started is named to callers before it has read
-        the configuration; it could only refuse them.
+        Guards against naming a host to callers when it has just started and has not yet
+        read the configuration. It could only refuse their requests.
         """
         return self.leaving or self.starting
 
     @property
     def is_active(self) -> bool:
-        """Tell whether this host is one of those that callers are named."""
+        """Return whether this host is one of those that look-ups name to callers."""
         return self.own.host_id in self.active
 
-    # What others say
-
     def learn(self, info: HostInfo, now: float) -> bool:
-        """Take in a host's addresses; return whether they are new."""
+        """Add a host from the store or another host; return whether it is new."""
         if info.host_id == self.own.host_id:
             return False
         known = self.entries.get(info.host_id)
         if known is not None and known.info == info:
             return False
         if known is not None and known.live(now):
-            # The store's copy may be older than what the host itself says.
+            # The store's copy may be older than what the host itself has sent.
             return False
         self.entries[info.host_id] = Entry(info, now)
         return True
@@ -158,7 +161,7 @@
         store_unreachable: bool = False,
         subscribes: bool = True,
     ) -> bool:
-        """Note that a host has spoken itself; return whether that changes anything."""
+        """Record a message of a host about itself; return whether its state changed."""
         known = self.entries.get(info.host_id)
         if known is None or known.info != info:
             known = Entry(info, now)
@@ -173,17 +176,18 @@
         return before != (True, leaving, starting, subscribes)
 
     def take_peer_view(self, sender: str, told: PeerView, now: float) -> None:
-        """Take over whom another host knows to live, in place of what it said before.
+        """Replace the hosts that another host reports as alive.
 
-        Failure: a host that nobody has named in the store starts while that is away.
-        Only those that it speaks to would know of it.
+        Guards against an unknown host: a host without an entry in the store starts
+        while the store is unreachable. Only the hosts that it sends messages to would
+        know it.
         """
         self._told[sender] = told
         for info in told.hosts.values():
             self.learn(info, now)
 
     def forget_silent(self, now: float) -> list[str]:
-        """Drop hosts that have given no sign for long; return their ids."""
+        """Remove hosts silent for `FORGET_AFTER_S` and not alive; return their ids."""
         live = self.live_ids(now)
         gone = [
             host_id
@@ -195,10 +199,12 @@
             self._told.pop(host_id, None)
         return gone
 
-    # Who lives
-
     def live_ids(self, now: float) -> set[str]:
-        """Return the hosts that this one, or one that it hears, has heard lately."""
+        """Return the other hosts that are alive.
+
+        A host is alive if this host, or another host that sends messages to this one,
+        has received a message from it within the silence timeout.
+        """
         heard = {host_id for host_id, e in self.entries.items() if e.live(now)}
         live = set(heard)
         for sender in heard & self._told.keys():
@@ -207,26 +213,24 @@
         return live & self.entries.keys()
 
     def live(self, now: float) -> list[HostInfo]:
-        """Return the hosts that live, this one first."""
+        """Return the hosts that are alive, this one first."""
         live = self.live_ids(now)
         others = (e.info for host_id, e in self.entries.items() if host_id in live)
         return [self.own, *others]
 
     def heard_hosts(self, now: float) -> list[HostInfo]:
-        """Return the hosts that speak to this one and do not leave."""
+        """Return the hosts that send messages to this one and do not shut down."""
         entries = self.entries.values()
         return [e.info for e in entries if e.live(now) and not e.leaving]
 
-    # Who is active
-
     def review(self, now: float) -> bool:
-        """Work out anew who is active; return whether that has changed."""
+        """Determine the active hosts again; return whether they have changed."""
         was_active = self.is_active
         before = self.active.keys()
         live = self.live_ids(now)
         self.active = self._chosen(live, now)
         if not self.is_active:
-            # Active hosts know of all others, this one only of some.
+            # Active hosts know all other hosts; a standby host knows only some.
             self.active = self._active_as_told(live, now) or self.active
         for host_id in self.active.keys() & self.entries.keys():
             self.entries[host_id].active_at = now
@@ -238,7 +242,7 @@
         return before != self.active.keys()
 
     def _chosen(self, live: set[str], now: float) -> dict[str, HostInfo]:
-        """Return the active hosts by what this host knows itself."""
+        """Choose the active hosts from the hosts that this host itself knows."""
         known = live or self._told_ids(live, now)
         may_be = [
             entry.info
@@ -258,10 +262,10 @@
         }
 
     def _told_ids(self, live: set[str], now: float) -> set[str]:
-        """Return the active hosts as relays tell them, or told them last.
+        """Return the active hosts as relays report them, or reported them last.
 
-        Failure: the relays of a host are lost together. It would take itself for the
-        only host that is left, and be named to callers.
+        Guards against the loss of all relays of a host at once. The host would consider
+        itself the only one left and be named to callers.
         """
         told = self._tellers(now, SILENT_AFTER_S)
         told = [t for t in told if t.active] or self._tellers(now, TOLD_COUNTS_S)
@@ -285,12 +289,12 @@
         return unheard and now - entry.known_since < PRESUMED_S
 
     def has_live_relay(self, now: float) -> bool:
-        """Tell whether a standby host is told of changes by an active one."""
+        """Return whether this is a standby host with a relay that is alive."""
         if self.is_active:
             return False
         return any(told.active for told in self._tellers(now, SILENT_AFTER_S))
 
     def reported_starting(self, now: float) -> set[str]:
-        """Return the hosts of which others say that they cannot serve yet."""
+        """Return the hosts that other hosts report as unable to serve yet."""
         tellers = self._tellers(now, SILENT_AFTER_S)
         return {host_id for told in tellers for host_id in told.starting}
