--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -37,7 +37,7 @@
 TOLD_DIRECTLY = 24
 
 
-def counts_every_s(roster: Roster) -> float:
+def counts_interval_s(roster: Roster) -> float:
     """Return how often a host tells what it has in flight, in seconds."""
     return COUNTS_EVERY_S * max(1.0, len(roster.active) / COUNTS_HOSTS)
 
@@ -123,7 +123,7 @@
         return list(roster.active.values())
     if not roster.is_active:
         return []
-    heard = roster.heard_hosts(now)
+    heard = roster.direct_peers(now)
     if receiver in told_all:
         return heard
     return [info for info in heard if info.host_id not in roster.active]
@@ -167,8 +167,8 @@
     chosen = order[:1]
     chosen.extend(_second(order))
     for entry in chosen:
-        if now - entry.sought_at > RELAY_AVOIDED_S and not entry.live(now):
-            entry.sought_at = now
+        if now - entry.relay_chosen_at > RELAY_AVOIDED_S and not entry.live(now):
+            entry.relay_chosen_at = now
     return [entry.info.host_id for entry in chosen]
 
 
@@ -189,5 +189,5 @@
 
 
 def _may_relay(entry: Entry, now: float) -> bool:
-    sought_s = now - entry.sought_at
+    sought_s = now - entry.relay_chosen_at
     return entry.live(now) or not RELAY_ANSWERS_S < sought_s < RELAY_AVOIDED_S
--- a/lacewingcross/core/roster.py
+++ b/lacewingcross/core/roster.py
@@ -16,7 +16,7 @@
 from .membership import HostInfo
 
 # Longest interval between two messages on a stream between hosts.
-ALIVE_EVERY_S = 0.5
+ALIVE_INTERVAL_S = 0.5
 # Silence timeout after which look-ups stop naming a host to callers. It is four missed
 # messages, so that one lost packet (resent after about a second) does not cause it.
 SILENT_AFTER_S = 2.0
@@ -26,11 +26,11 @@
 # A host that is listed in the store or by another host, but has not yet sent a message,
 # is presumed alive for this long: when a fleet starts, all hosts are listed at once,
 # before any of them has sent a message.
-PRESUMED_S = 2.0
+PRESUMED_ALIVE_S = 2.0
 # When all relays of a host fall silent together, the hosts that they reported last stay
 # valid for this long after the relays' last message. The host finds other relays among
 # the reported hosts.
-TOLD_COUNTS_S = 4.0
+PEER_VIEW_VALID_S = 4.0
 
 
 @dataclass(slots=True)
@@ -38,34 +38,34 @@
     """One other entry host.
 
     `subscribes` means that the host requested updates from this one. `active_at` is the
-    last time at which it was among the active hosts, `sought_at` the time at which it
-    was first chosen as a relay, and `refused_at` the time at which no process listened
-    at its peer address.
+    last time at which it was among the active hosts, `relay_chosen_at` the time at
+    which it was first chosen as a relay, and `refused_at` the time at which no process
+    listened at its peer address.
     """
 
     info: HostInfo
     known_since: float
-    last_heard_at: float = float("-inf")
+    last_message_at: float = float("-inf")
     incarnation: int = 0
     leaving: bool = False
     starting: bool = False
     store_unreachable: bool = False
     subscribes: bool = False
     active_at: float = float("-inf")
-    sought_at: float = float("-inf")
+    relay_chosen_at: float = float("-inf")
     refused_at: float = float("-inf")
 
     def live(self, now: float) -> bool:
         """Return whether the host has sent a message within the silence timeout."""
-        return now - self.last_heard_at < SILENT_AFTER_S
+        return now - self.last_message_at < SILENT_AFTER_S
 
     def ended(self) -> bool:
         """Return whether the host's process has ended since its last message."""
-        return self.refused_at > self.last_heard_at
+        return self.refused_at > self.last_message_at
 
-    def last_sign(self) -> float:
+    def last_contact_at(self) -> float:
         """Return when the host sent its last message, or was first listed."""
-        return max(self.last_heard_at, self.known_since)
+        return max(self.last_message_at, self.known_since)
 
 
 @dataclass(slots=True, frozen=True)
@@ -92,7 +92,7 @@
     """
 
     __slots__ = (
-        "_told",
+        "_peer_views",
         "active",
         "active_since",
         "entries",
@@ -121,7 +121,7 @@
         self.active: dict[str, HostInfo] = {own.host_id: own}
         self.active_since = float("-inf")
         self.last_active_at = float("-inf")
-        self._told: dict[str, PeerView] = {}
+        self._peer_views: dict[str, PeerView] = {}
 
     @property
     def out_of_service(self) -> bool:
@@ -167,7 +167,7 @@
             known = Entry(info, now)
             self.entries[info.host_id] = known
         before = (known.live(now), known.leaving, known.starting, known.subscribes)
-        known.last_heard_at = now
+        known.last_message_at = now
         known.incarnation = incarnation
         known.leaving = leaving
         known.starting = starting
@@ -175,29 +175,29 @@
         known.subscribes = subscribes
         return before != (True, leaving, starting, subscribes)
 
-    def take_peer_view(self, sender: str, told: PeerView, now: float) -> None:
+    def take_peer_view(self, sender: str, view: PeerView, now: float) -> None:
         """Replace the hosts that another host reports as alive.
 
         Guards against an unknown host: a host without an entry in the store starts
         while the store is unreachable. Only the hosts that it sends messages to would
         know it.
         """
-        self._told[sender] = told
-        for info in told.hosts.values():
+        self._peer_views[sender] = view
+        for info in view.hosts.values():
             self.learn(info, now)
 
     def forget_silent(self, now: float) -> list[str]:
         """Remove hosts silent for `FORGET_AFTER_S` and not alive; return their ids."""
         live = self.live_ids(now)
-        gone = [
+        forgotten = [
             host_id
             for host_id, entry in self.entries.items()
-            if now - entry.last_sign() > FORGET_AFTER_S and host_id not in live
+            if now - entry.last_contact_at() > FORGET_AFTER_S and host_id not in live
         ]
-        for host_id in gone:
+        for host_id in forgotten:
             del self.entries[host_id]
-            self._told.pop(host_id, None)
-        return gone
+            self._peer_views.pop(host_id, None)
+        return forgotten
 
     def live_ids(self, now: float) -> set[str]:
         """Return the other hosts that are alive.
@@ -205,10 +205,10 @@
         A host is alive if this host, or another host that sends messages to this one,
         has received a message from it within the silence timeout.
         """
-        heard = {host_id for host_id, e in self.entries.items() if e.live(now)}
-        live = set(heard)
-        for sender in heard & self._told.keys():
-            live.update(self._told[sender].hosts)
+        direct = {host_id for host_id, e in self.entries.items() if e.live(now)}
+        live = set(direct)
+        for sender in direct & self._peer_views.keys():
+            live.update(self._peer_views[sender].hosts)
         live.discard(self.own.host_id)
         return live & self.entries.keys()
 
@@ -218,8 +218,8 @@
         others = (e.info for host_id, e in self.entries.items() if host_id in live)
         return [self.own, *others]
 
-    def heard_hosts(self, now: float) -> list[HostInfo]:
-        """Return the hosts that send messages to this one and do not shut down."""
+    def direct_peers(self, now: float) -> list[HostInfo]:
+        """Return the hosts that send messages to this one and are not shutting down."""
         entries = self.entries.values()
         return [e.info for e in entries if e.live(now) and not e.leaving]
 
@@ -228,10 +228,10 @@
         was_active = self.is_active
         before = self.active.keys()
         live = self.live_ids(now)
-        self.active = self._chosen(live, now)
+        self.active = self._choose_active(live, now)
         if not self.is_active:
             # Active hosts know all other hosts; a standby host knows only some.
-            self.active = self._active_as_told(live, now) or self.active
+            self.active = self._reported_active(live, now) or self.active
         for host_id in self.active.keys() & self.entries.keys():
             self.entries[host_id].active_at = now
         if self.is_active:
@@ -241,60 +241,63 @@
                 self.active_since = now
         return before != self.active.keys()
 
-    def _chosen(self, live: set[str], now: float) -> dict[str, HostInfo]:
+    def _choose_active(self, live: set[str], now: float) -> dict[str, HostInfo]:
         """Choose the active hosts from the hosts that this host itself knows."""
-        known = live or self._told_ids(live, now)
-        may_be = [
+        known = live or self._reported_active_ids(live, now)
+        candidates = [
             entry.info
             for host_id, entry in self.entries.items()
-            if not entry.leaving and (host_id in known or self._presumed(entry, now))
+            if not entry.leaving
+            and (host_id in known or self._presumed_alive(entry, now))
         ]
         if not self.leaving:
-            may_be.append(self.own)
-        return {info.host_id: info for info in active_hosts(may_be, self.needed)}
+            candidates.append(self.own)
+        return {info.host_id: info for info in active_hosts(candidates, self.needed)}
 
-    def _active_as_told(self, live: set[str], now: float) -> dict[str, HostInfo]:
-        named = self._told_ids(live, now)
+    def _reported_active(self, live: set[str], now: float) -> dict[str, HostInfo]:
+        named = self._reported_active_ids(live, now)
         return {
             host_id: entry.info
             for host_id, entry in self.entries.items()
             if host_id in named and not entry.leaving
         }
 
-    def _told_ids(self, live: set[str], now: float) -> set[str]:
+    def _reported_active_ids(self, live: set[str], now: float) -> set[str]:
         """Return the active hosts as relays report them, or reported them last.
 
         Guards against the loss of all relays of a host at once. The host would consider
         itself the only one left and be named to callers.
         """
-        told = self._tellers(now, SILENT_AFTER_S)
-        told = [t for t in told if t.active] or self._tellers(now, TOLD_COUNTS_S)
-        named = {host_id for item in told if item.active for host_id in item.hosts}
+        views = self._recent_peer_views(now, SILENT_AFTER_S)
+        views = [view for view in views if view.active] or self._recent_peer_views(
+            now, PEER_VIEW_VALID_S
+        )
+        named = {host_id for view in views if view.active for host_id in view.hosts}
         return {
             host_id
             for host_id in named & self.entries.keys()
-            if host_id in live or self.entries[host_id].last_heard_at == float("-inf")
+            if host_id in live or self.entries[host_id].last_message_at == float("-inf")
         }
 
-    def _tellers(self, now: float, within_s: float) -> list[PeerView]:
+    def _recent_peer_views(self, now: float, within_s: float) -> list[PeerView]:
         return [
-            told
-            for sender, told in self._told.items()
+            view
+            for sender, view in self._peer_views.items()
             if sender in self.entries
-            and now - self.entries[sender].last_heard_at < within_s
+            and now - self.entries[sender].last_message_at < within_s
         ]
 
-    def _presumed(self, entry: Entry, now: float) -> bool:
-        unheard = entry.last_heard_at == float("-inf")
-        return unheard and now - entry.known_since < PRESUMED_S
+    def _presumed_alive(self, entry: Entry, now: float) -> bool:
+        never_heard = entry.last_message_at == float("-inf")
+        return never_heard and now - entry.known_since < PRESUMED_ALIVE_S
 
     def has_live_relay(self, now: float) -> bool:
         """Return whether this is a standby host with a relay that is alive."""
         if self.is_active:
             return False
-        return any(told.active for told in self._tellers(now, SILENT_AFTER_S))
+        return any(view.active for view in self._recent_peer_views(now, SILENT_AFTER_S))
 
     def reported_starting(self, now: float) -> set[str]:
         """Return the hosts that other hosts report as unable to serve yet."""
-        tellers = self._tellers(now, SILENT_AFTER_S)
-        return {host_id for told in tellers for host_id in told.starting}
+        views = self._recent_peer_views(now, SILENT_AFTER_S)
+        return {host_id for view in views for host_id in view.starting}
--- a/lacewingcross/gateway/gossip_receiver.py
+++ b/lacewingcross/gateway/gossip_receiver.py
@@ -8,7 +8,7 @@
 from ..core.catch_up import CatchUp
 from ..core.membership import HostInfo, member_info
 from ..core.replica import Kind
-from ..core.roster import ALIVE_EVERY_S, PeerView
+from ..core.roster import ALIVE_INTERVAL_S, PeerView
 from ..errors import FrameError
 from ..greeting import host_of
 from ..sockets import watch_silence
@@ -20,7 +20,7 @@
 
 # A stream that brings nothing for this long has gone silent, in seconds; its sender
 # dials again.
-QUIET_S = 3 * ALIVE_EVERY_S
+QUIET_S = 3 * ALIVE_INTERVAL_S
 
 # Beginning of the counters of messages from other hosts; the message's name follows.
 HEARD = "peers.heard."
--- a/lacewingcross/gateway/gossip_sender.py
+++ b/lacewingcross/gateway/gossip_sender.py
@@ -9,7 +9,7 @@
 from ..core.membership import member_fields
 from ..core.peer_selection import full_view_peers, hosts_to_advertise, subscriptions
 from ..core.replica import Kind
-from ..core.roster import ALIVE_EVERY_S
+from ..core.roster import ALIVE_INTERVAL_S
 from ..core.send_gate import SendGate
 from ..wire import PROTOCOL, encode
 from .context import Gateway
@@ -78,7 +78,7 @@
         for host_id, link in self._links.items():
             active = host_id in gateway.roster.active
             news = active and (counts != link.told or bool(handled))
-            if not news and now - link.told_at < ALIVE_EVERY_S:
+            if not news and now - link.told_at < ALIVE_INTERVAL_S:
                 continue
             if not active or now - link.whole_at >= COUNTS_WHOLE_S:
                 link.told = None
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -9,7 +9,7 @@
 from ..core import messages as msg
 from ..core.membership import HostInfo
 from ..core.peer_selection import (
-    counts_every_s,
+    counts_interval_s,
     first_hops,
     next_hops,
     subscriptions,
@@ -91,7 +91,7 @@
         while True:
             self._gossip_sender.tell_counts()
             self.tell_news()
-            await asyncio.sleep(counts_every_s(self.gateway.roster))
+            await asyncio.sleep(counts_interval_s(self.gateway.roster))
 
     def tell_news(self) -> None:
         """Tell each host what it does not know yet of servers."""
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -426,7 +426,9 @@
         leaving = await made.ready(await made.add_host())
         other = await made.ready(await made.add_host(domain="a2"))
         entries = other.gateway.roster.entries
-        await until(lambda: "host-0" in entries and entries["host-0"].last_heard_at > 0)
+        await until(
+            lambda: "host-0" in entries and entries["host-0"].last_message_at > 0
+        )
         asking = asyncio.ensure_future(
             ask(leaving, "/unsafe/a", method="POST", body=b"x")
         )
--- a/tests/test_peer_selection.py
+++ b/tests/test_peer_selection.py
@@ -264,7 +264,7 @@
 
 def test_without_what_was_told_last_a_host_would_think_itself_alone(monkeypatch):
     # The guard taken out: what relays told ends with their silence.
-    monkeypatch.setattr(roster, "TOLD_COUNTS_S", SILENT_AFTER_S)
+    monkeypatch.setattr(roster, "PEER_VIEW_VALID_S", SILENT_AFTER_S)
     with pytest.raises(AssertionError):
         test_a_host_that_loses_all_near_active_ones_does_not_think_itself_alone()
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -255,10 +255,10 @@
 
 def test_holders_by_who_lives_would_break_the_promise_in_a_cut(monkeypatch):
     def living(self, others):
-        live = [e.info for e in self._roster.entries.values() if e.last_heard_at > 0]
-        now = max((e.last_heard_at for e in self._roster.entries.values()), default=0)
+        live = [e.info for e in self._roster.entries.values() if e.last_message_at > 0]
+        now = max((e.last_message_at for e in self._roster.entries.values()), default=0)
         entries = self._roster.entries
-        near = [i for i in live if now - entries[i.host_id].last_heard_at < 2.0]
+        near = [i for i in live if now - entries[i.host_id].last_message_at < 2.0]
         chosen = active_hosts([self._roster.own, *near], 0.0)
         self.holders = quota_holders.Holders(info.host_id for info in chosen)
         self._rivals = frozenset()
