--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -1,9 +1,10 @@
-"""Which other entry hosts a host speaks to, and which of them tell it everything.
+"""Selects the other entry hosts that a host exchanges messages with.
 
-Answers this load: fleets of hundreds of hosts. If each spoke to each, streams and
-messages would grow with the square of the fleet, nearly all of them to hosts that serve
-nobody. An active host speaks to the other active ones; one that stands by speaks
-to two of them, its relays.
+Designed for fleets of hundreds of hosts. If every host sent messages to every other
+one, streams and messages would grow with the square of the fleet, and nearly all of
+them would go to hosts that serve no callers. An active host sends messages to the other
+active hosts; a standby host sends messages to two active hosts, its relays, and
+receives all updates from them.
 """
 
 import math
@@ -14,57 +15,65 @@
 from .rendezvous import hash64
 from .roster import FORGET_AFTER_S, Entry, Roster
 
-# Active hosts that a standby host hears of changes from: one may die at any moment.
+# Active hosts that send changes to a standby host. There are two because either may
+# crash at any moment.
 RELAYS = 2
-# A relay that was not heard for so long after it was first wanted cannot be reached;
-# another one is taken, and it is not tried again for a while. In seconds.
+# A relay that has sent nothing within `RELAY_ANSWERS_S` after it was chosen is
+# considered unreachable. The host chooses another relay, and does not try the
+# unreachable one again until `RELAY_AVOIDED_S` after it was chosen.
 RELAY_ANSWERS_S = 1.0
 RELAY_AVOIDED_S = 5.0
-# A host that is no longer active goes on telling what it has in flight for so long, in
-# seconds: callers keep an answer that names it for up to three times its 1.5 s, and
-# their last requests take a few more.
+# A host that is no longer active goes on sending its requests in flight for this long:
+# callers keep a look-up answer that names it for up to three times its lifetime of
+# 1.5 s, and their last requests take a few seconds more.
 LINGER_S = 10.0
-# How often changed counts of requests in flight are told to all active hosts, in
-# seconds. Requests take about 70 ms at a warm server, so older counts say little.
+# Interval at which changed counts of requests in flight are sent to all active hosts.
+# Requests take about 70 ms at a warm server (one that has handled the object recently),
+# so older counts say little.
 COUNTS_EVERY_S = 0.03
-# Up to this many active hosts get counts at that pace, more of them as much less
-# often as they are more, so that what each host tells and hears in a second is bounded.
+# Up to this many active hosts are sent counts at that interval. With more of them the
+# interval grows in proportion, so that the messages that each host sends and receives
+# in a second are bounded.
 COUNTS_HOSTS = 8
-# Active hosts that tell another one of all whom they hear. It knows so from many places
-# whether somebody hears a host that it does not hear itself.
+# Active hosts that send their full view of the other hosts to each active host. The
+# receiver so learns from many places whether any host receives messages from a host
+# that is silent for the receiver itself.
 TELLERS = 12
-# Up to so many active hosts hear changes from the one that follows the store itself.
+# In a fleet of up to this many active hosts, all of them receive changes directly from
+# the host that watches the store.
 TOLD_DIRECTLY = 24
 
 
 def counts_interval_s(roster: Roster) -> float:
-    """Return how often a host tells what it has in flight, in seconds."""
+    """Return the interval at which a host sends its requests in flight, in seconds."""
     return COUNTS_EVERY_S * max(1.0, len(roster.active) / COUNTS_HOSTS)
 
 
 def full_view_peers(roster: Roster) -> frozenset[str]:
-    """Return the active hosts that this one tells of all whom it hears.
+    """Return the active hosts that this one sends its full view of other hosts to.
 
-    Answers this load: an even fleet of 300 hosts, all active, that starts. If each told
-    each of all others whenever one more was heard, what a host sends would grow with
-    the square of the fleet.
+    Designed for the start of a fleet of 300 hosts of equal size, which are all active.
+    If each host sent its full view to every other one whenever another host became
+    alive, the bytes that a host sends would grow with the square of the fleet.
     """
     own = roster.own.host_id
     if len(roster.active) <= TELLERS + 1 or own not in roster.active:
         return frozenset(roster.active)
     ring = _ring(roster)
-    # Negative places wrap around: the ring has no beginning.
+    # Negative indexes wrap around the ring.
     place = ring.index(own)
     return frozenset(ring[place - count] for count in range(1, TELLERS + 1))
 
 
 def first_hops(roster: Roster, now: float) -> frozenset[str]:
-    """Return the active hosts that the one that follows the store tells of changes.
-
-    Answers this load: an even fleet of 100 hosts and 1,000 servers. If one host told
-    all others of each change, it would send ten times what the others do. Each of a few
-    that it tells passes it on to the hosts beside it on the ring. One that dies before
-    it has done so is made up for: whoever is behind sees it from signs of life.
+    """Return the active hosts that the host that watches the store sends changes to.
+
+    Designed for a fleet of 100 hosts of equal size and 1,000 servers. If one host sent
+    each change to all others, it would send ten times as much as the others do. It
+    sends the change to a few hosts instead, and each of these passes the change on to
+    the hosts in its group on the ring. If such a host crashes before it has done so,
+    the hosts of its group find from `Alive` messages that they are behind and pull
+    the change.
     """
     if len(roster.active) <= TOLD_DIRECTLY:
         return frozenset(roster.active)
@@ -75,7 +84,7 @@
 
 
 def next_hops(roster: Roster) -> frozenset[str]:
-    """Return the active hosts that this one passes changes on to."""
+    """Return the active hosts that this host passes changes on to."""
     own = roster.own.host_id
     if len(roster.active) <= TOLD_DIRECTLY:
         return frozenset()
@@ -84,7 +93,7 @@
 
 
 def _groups(roster: Roster) -> Iterator[list[str]]:
-    """Yield the active hosts in groups, as many as a group has members."""
+    """Yield the active hosts in about as many groups as each group has members."""
     ring = _ring(roster)
     size = math.isqrt(len(ring) - 1) + 1
     for first in range(0, len(ring), size):
@@ -109,15 +118,16 @@
 def hosts_to_advertise(
     roster: Roster, receiver: str, now: float, told_all: frozenset[str]
 ) -> list[HostInfo]:
-    """Return the hosts that another one is told of.
+    """Return the hosts to report to another host.
 
-    A host that stands by is told who is active, also by another one that stands by.
-    Failure: a host takes itself or another one for active at its start, when it has
-    read a list in which the larger hosts are missing yet. Whoever it speaks to tells
-    it better.
+    A standby host is sent the active hosts, also by other standby hosts. Guards against
+    a wrong view at the start of a host: if the larger hosts were still missing from the
+    list that the host has read, it considers itself or another small host active. Any
+    host that it sends messages to corrects this view.
 
-    Active hosts tell each other whom they hear: `told_all` of all, the others only of
-    those that speak to nobody else, the hosts that stand by.
+    Active hosts report to each other the hosts that send them messages. Receivers in
+    `told_all` are sent all of these, the other receivers only the standby hosts, which
+    send messages to no other host than their relays.
     """
     if receiver not in roster.active:
         return list(roster.active.values())
@@ -130,7 +140,7 @@
 
 
 def subscriptions(roster: Roster, now: float) -> set[str]:
-    """Return the hosts that a host wants to be told by."""
+    """Return the hosts from which a host requests updates."""
     if not roster.is_active and now - roster.last_active_at > LINGER_S:
         return set(_relays(roster, now))
     found = set(roster.active) - {roster.own.host_id}
@@ -140,10 +150,11 @@
 
 
 def _lost_active(roster: Roster, now: float) -> Iterator[str]:
-    """Yield active hosts that fell silent.
+    """Yield recently active hosts that have fallen silent.
 
-    Failure: two parts of a fleet are cut from each other. Each takes the other's hosts
-    for dead, and nobody would dial them again when the cut has healed.
+    Guards against a lasting split after a network partition. Each side considers the
+    hosts of the other side dead, and no host would connect to them again when the
+    partition has healed.
     """
     for host_id, entry in roster.entries.items():
         if now - entry.active_at < FORGET_AFTER_S and not entry.live(now):
@@ -151,9 +162,10 @@
 
 
 def _relays(roster: Roster, now: float) -> list[str]:
-    """Return active hosts to be told by, near ones of two failure domains if any.
+    """Return the active hosts to use as relays.
 
-    Notes when each was first wanted, so that one that never answers is passed over.
+    Hosts of the own region come first, in two failure domains if it has two. Records
+    when each relay was first chosen, so that one that never answers is skipped.
     """
     own = roster.own
     known = (roster.entries.get(host_id) for host_id in roster.active)
@@ -173,10 +185,10 @@
 
 
 def _second(order: list[Entry]) -> list[Entry]:
-    """Return the other relays: of another failure domain of the region if there is one.
+    """Return the second relay, of another failure domain in the region if there is one.
 
-    Failure: a failure domain is lost. A host whose relays were both in it would hear
-    nothing until it has noticed their silence.
+    Guards against the loss of a failure domain. A host with both relays in that domain
+    would receive no updates until the relays' silence timeout.
     """
     if len(order) < RELAYS:
         return order[1:]
