--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -18,11 +18,11 @@
 # Active hosts that send changes to a standby host. There are two because either may
 # crash at any moment.
 RELAYS = 2
-# A relay that has sent nothing within `RELAY_ANSWERS_S` after it was chosen is
+# A relay that has sent nothing within `RELAY_ANSWER_TIMEOUT_S` after it was chosen is
 # considered unreachable. The host chooses another relay, and does not try the
-# unreachable one again until `RELAY_AVOIDED_S` after it was chosen.
-RELAY_ANSWERS_S = 1.0
-RELAY_AVOIDED_S = 5.0
+# unreachable one again until `RELAY_RETRY_AFTER_S` after it was chosen.
+RELAY_ANSWER_TIMEOUT_S = 1.0
+RELAY_RETRY_AFTER_S = 5.0
 # A host that is no longer active goes on sending its requests in flight for this long:
 # callers keep a look-up answer that names it for up to three times its lifetime of
 # 1.5 s, and their last requests take a few seconds more.
@@ -30,23 +30,23 @@
 # Interval at which changed counts of requests in flight are sent to all active hosts.
 # Requests take about 70 ms at a warm server (one that has handled the object recently),
 # so older counts say little.
-COUNTS_EVERY_S = 0.03
+COUNTS_INTERVAL_S = 0.03
 # Up to this many active hosts are sent counts at that interval. With more of them the
 # interval grows in proportion, so that the messages that each host sends and receives
 # in a second are bounded.
-COUNTS_HOSTS = 8
+MAX_FULL_RATE_HOSTS = 8
 # Active hosts that send their full view of the other hosts to each active host. The
 # receiver so learns from many places whether any host receives messages from a host
 # that is silent for the receiver itself.
-TELLERS = 12
+FULL_VIEW_SENDERS = 12
 # In a fleet of up to this many active hosts, all of them receive changes directly from
 # the host that watches the store.
-TOLD_DIRECTLY = 24
+MAX_DIRECT_RECEIVERS = 24
 
 
 def counts_interval_s(roster: Roster) -> float:
     """Return the interval at which a host sends its requests in flight, in seconds."""
-    return COUNTS_EVERY_S * max(1.0, len(roster.active) / COUNTS_HOSTS)
+    return COUNTS_INTERVAL_S * max(1.0, len(roster.active) / MAX_FULL_RATE_HOSTS)
 
 
 def full_view_peers(roster: Roster) -> frozenset[str]:
@@ -57,12 +57,14 @@
     alive, the bytes that a host sends would grow with the square of the fleet.
     """
     own = roster.own.host_id
-    if len(roster.active) <= TELLERS + 1 or own not in roster.active:
+    if len(roster.active) <= FULL_VIEW_SENDERS + 1 or own not in roster.active:
         return frozenset(roster.active)
     ring = _ring(roster)
     # Negative indexes wrap around the ring.
-    place = ring.index(own)
-    return frozenset(ring[place - count] for count in range(1, TELLERS + 1))
+    own_index = ring.index(own)
+    return frozenset(
+        ring[own_index - count] for count in range(1, FULL_VIEW_SENDERS + 1)
+    )
 
 
 def first_hops(roster: Roster, now: float) -> frozenset[str]:
@@ -75,7 +77,7 @@
     the hosts of its group find from `Alive` messages that they are behind and pull
     the change.
     """
-    if len(roster.active) <= TOLD_DIRECTLY:
+    if len(roster.active) <= MAX_DIRECT_RECEIVERS:
         return frozenset(roster.active)
     return frozenset(
         next((host for host in group if _may_pass_on(roster, host, now)), group[0])
@@ -86,10 +88,10 @@
 def next_hops(roster: Roster) -> frozenset[str]:
     """Return the active hosts that this host passes changes on to."""
     own = roster.own.host_id
-    if len(roster.active) <= TOLD_DIRECTLY:
+    if len(roster.active) <= MAX_DIRECT_RECEIVERS:
         return frozenset()
-    beside = next((group for group in _groups(roster) if own in group), [])
-    return frozenset(beside) - {own}
+    own_group = next((group for group in _groups(roster) if own in group), [])
+    return frozenset(own_group) - {own}
 
 
 def _groups(roster: Roster) -> Iterator[list[str]]:
@@ -107,16 +109,16 @@
 
 def _ring(roster: Roster) -> list[str]:
     """Return the active hosts in an order that is the same for all hosts."""
-    return sorted(roster.active, key=_place_on_ring)
+    return sorted(roster.active, key=_ring_position)
 
 
 @lru_cache(maxsize=8192)
-def _place_on_ring(host_id: str) -> int:
+def _ring_position(host_id: str) -> int:
     return hash64("ring", host_id)
 
 
 def hosts_to_advertise(
-    roster: Roster, receiver: str, now: float, told_all: frozenset[str]
+    roster: Roster, receiver: str, now: float, full_view_receivers: frozenset[str]
 ) -> list[HostInfo]:
     """Return the hosts to report to another host.
 
@@ -126,27 +128,27 @@
     host that it sends messages to corrects this view.
 
     Active hosts report to each other the hosts that send them messages. Receivers in
-    `told_all` are sent all of these, the other receivers only the standby hosts, which
-    send messages to no other host than their relays.
+    `full_view_receivers` are sent all of these, the other receivers only the standby
+    hosts, which send messages to no other host than their relays.
     """
     if receiver not in roster.active:
         return list(roster.active.values())
     if not roster.is_active:
         return []
-    heard = roster.direct_peers(now)
-    if receiver in told_all:
-        return heard
-    return [info for info in heard if info.host_id not in roster.active]
+    direct = roster.direct_peers(now)
+    if receiver in full_view_receivers:
+        return direct
+    return [info for info in direct if info.host_id not in roster.active]
 
 
 def subscriptions(roster: Roster, now: float) -> set[str]:
     """Return the hosts from which a host requests updates."""
     if not roster.is_active and now - roster.last_active_at > LINGER_S:
         return set(_relays(roster, now))
-    found = set(roster.active) - {roster.own.host_id}
-    if roster.is_active or not found:
-        found.update(_lost_active(roster, now))
-    return found
+    peers = set(roster.active) - {roster.own.host_id}
+    if roster.is_active or not peers:
+        peers.update(_lost_active(roster, now))
+    return peers
 
 
 def _lost_active(roster: Roster, now: float) -> Iterator[str]:
@@ -177,14 +179,14 @@
         ),
     )
     chosen = order[:1]
-    chosen.extend(_second(order))
+    chosen.extend(_second_relay(order))
     for entry in chosen:
-        if now - entry.relay_chosen_at > RELAY_AVOIDED_S and not entry.live(now):
+        if now - entry.relay_chosen_at > RELAY_RETRY_AFTER_S and not entry.live(now):
             entry.relay_chosen_at = now
     return [entry.info.host_id for entry in chosen]
 
 
-def _second(order: list[Entry]) -> list[Entry]:
+def _second_relay(order: list[Entry]) -> list[Entry]:
     """Return the second relay, of another failure domain in the region if there is one.
 
     Guards against the loss of a failure domain. A host with both relays in that domain
@@ -201,5 +203,8 @@
 
 
 def _may_relay(entry: Entry, now: float) -> bool:
-    sought_s = now - entry.relay_chosen_at
-    return entry.live(now) or not RELAY_ANSWERS_S < sought_s < RELAY_AVOIDED_S
+    since_chosen_s = now - entry.relay_chosen_at
+    return (
+        entry.live(now)
+        or not RELAY_ANSWER_TIMEOUT_S < since_chosen_s < RELAY_RETRY_AFTER_S
+    )
--- a/tests/test_peer_selection.py
+++ b/tests/test_peer_selection.py
@@ -10,9 +10,9 @@
 from lacewingcross.core.membership import HostInfo
 from lacewingcross.core.named_hosts import addresses_for
 from lacewingcross.core.peer_selection import (
+    FULL_VIEW_SENDERS,
     LINGER_S,
     RELAYS,
-    TELLERS,
     first_hops,
     full_view_peers,
     hosts_to_advertise,
@@ -62,20 +62,22 @@
         played = Played(even(count), needed=1e9)
         played.play(1.0)
         made = next(iter(played.rosters.values()))
-        told_all = full_view_peers(made)
+        full_view_receivers = full_view_peers(made)
         others = made.active.keys() - {made.own.host_id}
         now = played.now
-        return sum(len(hosts_to_advertise(made, o, now, told_all)) for o in others)
+        return sum(
+            len(hosts_to_advertise(made, o, now, full_view_receivers)) for o in others
+        )
 
-    assert told(100) <= TELLERS * 100
-    assert told(40) <= TELLERS * 40
+    assert told(100) <= FULL_VIEW_SENDERS * 100
+    assert told(40) <= FULL_VIEW_SENDERS * 40
 
 
 def test_each_active_host_hears_from_enough_tellers():
     played = Played(even(40), needed=1e9)
     played.play(1.0)
     tellers = Counter(h for r in played.living() for h in full_view_peers(r))
-    assert set(tellers.values()) == {TELLERS}
+    assert set(tellers.values()) == {FULL_VIEW_SENDERS}
     assert len(tellers) == 40
 
 
@@ -91,8 +93,8 @@
     for name in told:
         reached |= next_hops(played.rosters[name])
     assert reached == set(played.rosters)
-    assert len(told) <= max(peer_selection.TOLD_DIRECTLY, 2 * count**0.5)
-    if count > peer_selection.TOLD_DIRECTLY:
+    assert len(told) <= max(peer_selection.MAX_DIRECT_RECEIVERS, 2 * count**0.5)
+    if count > peer_selection.MAX_DIRECT_RECEIVERS:
         passed_on = [len(next_hops(r)) for r in played.living()]
         assert max(passed_on) <= count**0.5 + 1
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -3,7 +3,7 @@
 from lacewingcross.core.fleet_shares import fleet_share, rank, region_share
 from lacewingcross.core.membership import HostInfo
 from lacewingcross.core.named_hosts import addresses_for
-from lacewingcross.core.peer_selection import COUNTS_EVERY_S, counts_interval_s
+from lacewingcross.core.peer_selection import COUNTS_INTERVAL_S, counts_interval_s
 from lacewingcross.core.roster import Roster
 
 
@@ -168,7 +168,7 @@
         made.listed = True
         return (hosts - 1) / counts_interval_s(made)
 
-    assert counts_interval_s(roster(host(1))) == COUNTS_EVERY_S
+    assert counts_interval_s(roster(host(1))) == COUNTS_INTERVAL_S
     assert messages_a_second(5) < messages_a_second(9) < messages_a_second(80) < 270
 
 
