--- a/lacewingcross/core/active.py
+++ b/lacewingcross/core/active.py
@@ -1,14 +1,16 @@
-"""Which entry hosts callers are named: as many as the load needs, the largest first.
+"""Selects the active hosts: the entry hosts that look-ups name to callers.
 
-Answers this load: fleets of a few large hosts and many small ones, of which a tenth
-could carry all requests. Callers choose at random among the hosts that they are named.
-If that were all of them, the small ones (a fifth of a large one's processor time and
-less of a link) would be full first, hardly any two requests for a server would share a
-connection, and what each of 195 hosts knows of a server with five slots would always be
-old.
+There are as many active hosts as the load needs, the largest first.
 
-The others stand by: they know the configuration, the servers and the active hosts, and
-become active when some of these are lost.
+Designed for fleets of a few large hosts and many small ones, in which a tenth of the
+hosts could carry all requests. Callers choose at random among the hosts that they are
+given. If they were given all hosts, the small ones (a fifth of a large host's processor
+time and less of a network link) would be overloaded first, hardly any two requests for
+a server would share a connection, and the information that each of 195 hosts has on a
+server with five slots would always be stale.
+
+The other hosts are standby hosts: they know the configuration, the servers and the
+active hosts, and become active when some of the active hosts are lost.
 """
 
 from collections import Counter
@@ -21,42 +23,46 @@
 from .routes import Configuration
 from .work_times import WARM_OF_TARGET
 
-# Processor time that an entry host spends on a request, in seconds of an ordinary core.
+# Processor time that an entry host spends on a request, on an ordinary core.
 REQUEST_CPU_S = 0.003
-# Target reckoned with for a service that no route names, in seconds.
+# Target latency assumed for a service that no route names.
 UNKNOWN_TARGET_S = 1.0
-# Times the processor time that requests take when all slots of all servers are busy.
-# Twice leaves the hosts half idle then, and bears the loss of one region of three.
+# Multiple of the processor time that requests take when all slots of all servers are
+# busy. Twice that time leaves the hosts half idle under this load, and tolerates the
+# loss of one region of three.
 HEADROOM = 2.0
-# Part of a region's processor time beyond which no more hosts are named, whatever the
-# servers could bear: the small hosts that would follow are full before the large ones.
+# Fraction of a region's processor time at which no smaller host becomes active, even if
+# the servers could take more load: the smaller hosts would be overloaded before the
+# large ones.
 MOST_PART = 0.5
-# Hosts of each failure domain that are named at least, where it has so many of the
-# larger ones: when a domain is lost, those of the others are known and warm already.
+# Minimum number of active hosts in each failure domain, where the domain has that many
+# large hosts. When a domain is lost, the active hosts of the other domains are already
+# known and warm.
 DOMAIN_LEAST = 2
-# A host with less than this part of the processor time of its region's largest one is
-# named only for the load.
+# A host is large if it has at least this fraction of the processor time of the largest
+# host of its region. Other hosts become active only if the load needs them.
 LARGE_PART = 0.5
 
 
 def cores_needed(config: Configuration | None, servers: Iterable[Server]) -> float:
-    """Return what entry hosts must have to carry all that the servers can answer.
+    """Return the processor time that entry hosts need for all requests of the servers.
 
-    That is most when all slots are at warm work, which takes a part of the target.
-    All hosts know the same servers, so they reckon alike, and the figure does not move
-    with the load. It is 0 while nothing is known.
+    The request rate of the servers is highest when all slots run requests for objects
+    that the server has handled recently (warm requests); these take a fraction of the
+    target latency. All hosts know the same servers, so they compute the same value, and
+    it does not change with the load. It is 0 while no configuration or server is known.
 
     Parameters
     ----------
     config : Configuration or None
-        The operators' configuration, for the targets of its routes.
+        The operators' configuration, for the target latencies of its routes.
     servers : iterable of Server
         Known backend servers.
 
     Returns
     -------
     cores : float
-        In seconds of an ordinary core a second.
+        Processor time in seconds of an ordinary core per second.
     """
     if config is None:
         return 0.0
@@ -69,7 +75,7 @@
 
 
 def _mean_targets(config: Configuration) -> dict[str, float]:
-    """Return the mean target of the routes to each service, in seconds."""
+    """Return the mean target latency of the routes to each service, in seconds."""
     found: dict[str, list[float]] = {}
     for route in config.routes:
         if route.target_s > 0:
@@ -79,12 +85,12 @@
 
 
 def active_hosts(hosts: Iterable[HostInfo], needed: float) -> list[HostInfo]:
-    """Return the hosts that callers are named, of all regions.
+    """Return the active hosts of all regions.
 
     Parameters
     ----------
     hosts : iterable of HostInfo
-        Hosts that may be named.
+        Hosts that may be active.
     needed : float
         Processor time that all regions together need, in cores.
     """
@@ -96,14 +102,15 @@
 
 
 def _of_region(hosts: list[HostInfo], needed: float) -> list[HostInfo]:
-    """Return the first hosts, by size, that bear the load.
+    """Return the first hosts by size that together carry the load.
 
-    Chosen at random, each of `n` hosts gets the same share; together they bear `n`
-    times what the smallest of them does.
+    Callers choose among `n` hosts at random, so each gets the same share of requests.
+    Together the hosts therefore carry `n` times what the smallest of them can.
     """
     order = list(in_order(hosts))
     least = _spread_count(order)
-    # The same sum in any order: hosts list each other differently and must agree.
+    # `fsum` gives the same sum in any order. Hosts know the hosts in different orders
+    # and must choose the same active hosts.
     half = MOST_PART * fsum(info.cores for info in hosts)
     taken = 0.0
     smallest = 0.0
@@ -114,13 +121,14 @@
         if count >= least and count * info.cores >= needed:
             return order[:count]
         if taken >= half:
-            # Hosts of one size stay together, so an even fleet names all under load.
+            # Hosts of the same size are all active or none is, so that under load all
+            # hosts of a fleet of equal sizes are active.
             smallest = info.cores
     return order
 
 
 def in_order(hosts: list[HostInfo]) -> Iterator[HostInfo]:
-    """Yield hosts, the largest first; those of one size by turns of their domains."""
+    """Yield the largest hosts first; equal ones round robin by failure domain."""
     turns: Counter[tuple[float, str]] = Counter()
     keyed = []
     for info in sorted(hosts, key=lambda info: hash64("active", info.host_id)):
@@ -132,7 +140,7 @@
 
 
 def _spread_count(order: list[HostInfo]) -> int:
-    """Return how many hosts at the head give each domain its least number."""
+    """Return how many of the first hosts give each domain `DOMAIN_LEAST` large ones."""
     if not order:
         return 0
     large = order[0].cores * LARGE_PART
--- a/lacewingcross/core/named_hosts.py
+++ b/lacewingcross/core/named_hosts.py
@@ -1,4 +1,4 @@
-"""The entry hosts that a caller's look-up is answered with."""
+"""The entry hosts that the answer to a caller's look-up names."""
 
 from collections.abc import Iterator
 
@@ -6,7 +6,7 @@
 from .rendezvous import ranked
 from .roster import Roster
 
-# Hosts that an answer may name, as the users' callers take them.
+# Maximum number of hosts in an answer; callers take a longer answer for a failure.
 MOST_NAMED = 64
 
 
@@ -15,10 +15,10 @@
 ) -> list[str]:
     """Return the entry addresses for callers of a region; never an empty list.
 
-    Callers are sent to the active hosts of their own region. If none lives there, they
-    go to the regions to which their requests are bound, or to any when they are not
-    bound. Of more than `MOST_NAMED` hosts each domain of callers is sent to others,
-    always the same ones.
+    Callers are sent to the active hosts of their own region. If none of these is alive,
+    callers are sent to the regions to which their requests are bound, or to any region
+    if the requests are not bound. If there are more than `MOST_NAMED` hosts, each
+    domain of callers gets a different selection of them, and always the same one.
     """
     serving = list(_serving(roster, now)) or roster.live(now)
     in_homes = [info for info in serving if info.region in homes]
@@ -29,7 +29,7 @@
 
 
 def _serving(roster: Roster, now: float) -> Iterator[HostInfo]:
-    """Yield the active hosts that live and serve."""
+    """Yield the active hosts that are alive and serve callers."""
     if roster.is_active and not roster.out_of_service:
         yield roster.own
     live = roster.live_ids(now)
