--- a/lacewingcross/core/active.py
+++ b/lacewingcross/core/active.py
@@ -26,7 +26,7 @@
 # Processor time that an entry host spends on a request, on an ordinary core.
 REQUEST_CPU_S = 0.003
 # Target latency assumed for a service that no route names.
-UNKNOWN_TARGET_S = 1.0
+DEFAULT_TARGET_S = 1.0
 # Multiple of the processor time that requests take when all slots of all servers are
 # busy. Twice that time leaves the hosts half idle under this load, and tolerates the
 # loss of one region of three.
@@ -34,14 +34,14 @@
 # Fraction of a region's processor time at which no smaller host becomes active, even if
 # the servers could take more load: the smaller hosts would be overloaded before the
 # large ones.
-MOST_PART = 0.5
+MAX_ACTIVE_FRACTION = 0.5
 # Minimum number of active hosts in each failure domain, where the domain has that many
 # large hosts. When a domain is lost, the active hosts of the other domains are already
 # known and warm.
-DOMAIN_LEAST = 2
+MIN_ACTIVE_PER_DOMAIN = 2
 # A host is large if it has at least this fraction of the processor time of the largest
 # host of its region. Other hosts become active only if the load needs them.
-LARGE_PART = 0.5
+LARGE_HOST_FRACTION = 0.5
 
 
 def cores_needed(config: Configuration | None, servers: Iterable[Server]) -> float:
@@ -69,19 +69,19 @@
     targets = _mean_targets(config)
     requests_a_second = 0.0
     for server in servers:
-        target_s = targets.get(server.entry.service, UNKNOWN_TARGET_S)
+        target_s = targets.get(server.entry.service, DEFAULT_TARGET_S)
         requests_a_second += server.entry.slots / (WARM_OF_TARGET * target_s)
     return requests_a_second * REQUEST_CPU_S * HEADROOM
 
 
 def _mean_targets(config: Configuration) -> dict[str, float]:
     """Return the mean target latency of the routes to each service, in seconds."""
-    found: dict[str, list[float]] = {}
+    targets_s: dict[str, list[float]] = {}
     for route in config.routes:
         if route.target_s > 0:
             for part in route.parts:
-                found.setdefault(part.service, []).append(route.target_s)
-    return {service: sum(times) / len(times) for service, times in found.items()}
+                targets_s.setdefault(part.service, []).append(route.target_s)
+    return {service: sum(times) / len(times) for service, times in targets_s.items()}
 
 
 def active_hosts(hosts: Iterable[HostInfo], needed: float) -> list[HostInfo]:
@@ -97,59 +97,63 @@
     by_region: dict[str, list[HostInfo]] = {}
     for info in hosts:
         by_region.setdefault(info.region, []).append(info)
-    each = needed / max(1, len(by_region))
-    return [info for found in by_region.values() for info in _of_region(found, each)]
+    needed_per_region = needed / max(1, len(by_region))
+    return [
+        info
+        for region_hosts in by_region.values()
+        for info in _active_in_region(region_hosts, needed_per_region)
+    ]
 
 
-def _of_region(hosts: list[HostInfo], needed: float) -> list[HostInfo]:
+def _active_in_region(hosts: list[HostInfo], needed: float) -> list[HostInfo]:
     """Return the first hosts by size that together carry the load.
 
     Callers choose among `n` hosts at random, so each gets the same share of requests.
     Together the hosts therefore carry `n` times what the smallest of them can.
     """
     order = list(in_order(hosts))
-    least = _spread_count(order)
+    min_count = _min_active(order)
     # `fsum` gives the same sum in any order. Hosts know the hosts in different orders
     # and must choose the same active hosts.
-    half = MOST_PART * fsum(info.cores for info in hosts)
-    taken = 0.0
-    smallest = 0.0
+    max_cores = MAX_ACTIVE_FRACTION * fsum(info.cores for info in hosts)
+    total_cores = 0.0
+    min_cores = 0.0
     for count, info in enumerate(order, 1):
-        if info.cores < smallest:
+        if info.cores < min_cores:
             return order[: count - 1]
-        taken += info.cores
-        if count >= least and count * info.cores >= needed:
+        total_cores += info.cores
+        if count >= min_count and count * info.cores >= needed:
             return order[:count]
-        if taken >= half:
-            # Hosts of the same size are all active or none is, so that under load all
+        if total_cores >= max_cores:
+            # From here on only hosts of this size are added, so that under load all
             # hosts of a fleet of equal sizes are active.
-            smallest = info.cores
+            min_cores = info.cores
     return order
 
 
 def in_order(hosts: list[HostInfo]) -> Iterator[HostInfo]:
     """Yield the largest hosts first; equal ones round robin by failure domain."""
-    turns: Counter[tuple[float, str]] = Counter()
+    positions: Counter[tuple[float, str]] = Counter()
     keyed = []
     for info in sorted(hosts, key=lambda info: hash64("active", info.host_id)):
-        turn = turns[info.cores, info.failure_domain]
-        turns[info.cores, info.failure_domain] += 1
-        keyed.append((-info.cores, turn, len(keyed), info))
+        position = positions[info.cores, info.failure_domain]
+        positions[info.cores, info.failure_domain] += 1
+        keyed.append((-info.cores, position, len(keyed), info))
     for *_, info in sorted(keyed, key=lambda item: item[:3]):
         yield info
 
 
-def _spread_count(order: list[HostInfo]) -> int:
-    """Return how many of the first hosts give each domain `DOMAIN_LEAST` large ones."""
+def _min_active(order: list[HostInfo]) -> int:
+    """Return how many of the first hosts cover `MIN_ACTIVE_PER_DOMAIN` everywhere."""
     if not order:
         return 0
-    large = order[0].cores * LARGE_PART
-    seen: Counter[str] = Counter()
-    least = 1
+    min_large_cores = order[0].cores * LARGE_HOST_FRACTION
+    large_hosts: Counter[str] = Counter()
+    min_count = 1
     for count, info in enumerate(order, 1):
-        if info.cores < large:
+        if info.cores < min_large_cores:
             break
-        seen[info.failure_domain] += 1
-        if seen[info.failure_domain] <= DOMAIN_LEAST:
-            least = count
-    return least
+        large_hosts[info.failure_domain] += 1
+        if large_hosts[info.failure_domain] <= MIN_ACTIVE_PER_DOMAIN:
+            min_count = count
+    return min_count
--- a/lacewingcross/core/named_hosts.py
+++ b/lacewingcross/core/named_hosts.py
@@ -7,7 +7,7 @@
 from .roster import Roster
 
 # Maximum number of hosts in an answer; callers take a longer answer for a failure.
-MOST_NAMED = 64
+MAX_NAMED_HOSTS = 64
 
 
 def addresses_for(
@@ -17,7 +17,7 @@
 
     Callers are sent to the active hosts of their own region. If none of these is alive,
     callers are sent to the regions to which their requests are bound, or to any region
-    if the requests are not bound. If there are more than `MOST_NAMED` hosts, each
+    if the requests are not bound. If there are more than `MAX_NAMED_HOSTS` hosts, each
     domain of callers gets a different selection of them, and always the same one.
     """
     serving = list(_serving(roster, now)) or roster.live(now)
@@ -25,7 +25,7 @@
     elsewhere = in_homes if homes else serving
     here = [info for info in serving if info.region == region]
     chosen = here or elsewhere or [roster.own]
-    return [info.entry for info in _at_most(chosen, domain)]
+    return [info.entry for info in _limit_hosts(chosen, domain)]
 
 
 def _serving(roster: Roster, now: float) -> Iterator[HostInfo]:
@@ -43,8 +43,8 @@
             yield entry.info
 
 
-def _at_most(hosts: list[HostInfo], domain: str) -> list[HostInfo]:
-    if len(hosts) <= MOST_NAMED:
+def _limit_hosts(hosts: list[HostInfo], domain: str) -> list[HostInfo]:
+    if len(hosts) <= MAX_NAMED_HOSTS:
         return hosts
-    chosen = set(ranked(domain, (info.host_id for info in hosts))[:MOST_NAMED])
+    chosen = set(ranked(domain, (info.host_id for info in hosts))[:MAX_NAMED_HOSTS])
     return [info for info in hosts if info.host_id in chosen]
