--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -1,4 +1,8 @@
-"""Which entry hosts are live, leaving or down, from the list and own evidence."""
+"""Which entry hosts are live, leaving or down, from the platform's list and heartbeats.
+
+A host sends heartbeats only to its neighbours (see `neighbours`); the platform's list
+decides for the other hosts.
+"""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -7,8 +11,12 @@
 from .messages import Heartbeat, HostFields
 from .neighbours import SMALL_BEAT_S, Place, neighbours
 
+# Silence timeout of a neighbour, in heartbeat intervals.
 SUSPECT_BEATS = 3.75
+# Time after the first sight of a neighbour in which it is live without a heartbeat.
 LIST_GRACE_S = 3.0
+# Time after a broken connection from which the list decides again for a host that is
+# not a neighbour.
 RETRUST_S = 5.0
 
 LIVE = "live"
@@ -18,9 +26,10 @@
 
 @dataclass(slots=True, frozen=True)
 class HostInfo:
-    """An entry host as the platform's list names it.
+    """An entry host as the platform's list describes it.
 
-    `cores` is the processor time that it gets, in seconds of an ordinary core a second.
+    `cores` is the processor time that the host gets, in seconds of an ordinary core per
+    second.
     """
 
     host_id: str
@@ -33,7 +42,7 @@
 
 
 def member_fields(info: HostInfo) -> HostFields:
-    """Return a host as `messages.Members` carries it."""
+    """Return the fields of a host as `messages.Members` carries them."""
     return (
         info.host_id,
         info.region,
@@ -52,7 +61,7 @@
 
 @dataclass(slots=True)
 class HostState:
-    """What is known of one entry host."""
+    """State of one entry host, from the list and from its heartbeats."""
 
     info: HostInfo
     first_seen: float
@@ -74,9 +83,10 @@
 class Membership:
     """The entry hosts as this host sees them.
 
-    The platform's list says which hosts exist; it lags. What this host hears
-    itself counts more: a heartbeat proves life, a broken connection or silence
-    takes a host out of look-ups at once, whatever the list says.
+    The platform's list says which hosts exist, but it lags behind. What this host
+    observes itself has precedence: a heartbeat proves that a host is alive, and a
+    broken connection or a silence timeout removes it from look-ups at once, whatever
+    the list says.
 
     Parameters
     ----------
@@ -105,19 +115,19 @@
 
     @property
     def own_state(self) -> str:
-        """Return whether this host is live or leaving."""
+        """Return the state of this host, `LIVE` or `LEAVING`."""
         return self._own_state
 
     def leave(self) -> None:
-        """Start to leave; there is no way back."""
+        """Set the state of this host to leaving, for good."""
         self._own_state = LEAVING
         self._kept = None
 
     def on_list(self, hosts: list[HostInfo], now: float) -> list[str]:
-        """Take over the platform's list; return the ids that vanished from it.
+        """Apply the platform's list; return the ids of the members removed by it.
 
-        A host that the list no longer names stays a member while its heartbeats
-        arrive: the list lags behind, and may be stale for long.
+        A host that is no longer listed stays a member while its heartbeats arrive: the
+        list lags behind, and may be stale for long.
         """
         listed = {info.host_id: info for info in hosts}
         listed.pop(self.own.host_id, None)
@@ -150,14 +160,14 @@
         self._neighbours = [st for st in self._states.values() if st.neighbour]
 
     def due_beats(self, now: float, *, all_now: bool) -> list[HostState]:
-        """Return the neighbours whose next heartbeat is due, and plan the next."""
+        """Return the neighbours with a heartbeat due, and schedule their next one."""
         due = [state for state in self._neighbours if all_now or now >= state.next_beat]
         for state in due:
             state.next_beat = now + state.beat_s
         return due
 
     def on_heartbeat(self, host_id: str, beat: Heartbeat, now: float) -> None:
-        """Note a sign of life."""
+        """Record a heartbeat of a host."""
         state = self._states.get(host_id)
         if state is None:
             return
@@ -172,7 +182,7 @@
         state.broken = False
 
     def on_hello(self, info: HostInfo, incarnation: int, now: float) -> None:
-        """Note a connection, also of a host that the lagging list does not name."""
+        """Record a connection of a host, which the lagging list may not contain yet."""
         if info.host_id == self.own.host_id:
             return
         self.learn([info], now)
@@ -188,11 +198,11 @@
         state.broken = False
 
     def learn(self, hosts: list[HostInfo], now: float) -> None:
-        """Add hosts that a peer knows, when the platform cannot be asked."""
+        """Add hosts that a peer knows, for when the platform cannot be reached."""
         known = len(self._states)
         for info in hosts:
             new = info.host_id != self.own.host_id and info.host_id not in self._states
-            # An address that cannot be dialled must not end up in look-ups.
+            # An invalid address must not appear in the answers to look-ups.
             if new and is_address(info.entry) and is_address(info.peer):
                 self._states[info.host_id] = self._new(info, now)
         if len(self._states) != known:
@@ -200,7 +210,7 @@
             self._kept = None
 
     def on_broken(self, host_id: str, now: float) -> None:
-        """Note that the last connection to a host broke or was refused."""
+        """Record that the last connection to a host broke or was refused."""
         state = self._states.get(host_id)
         if state is not None:
             state.broken = True
@@ -208,7 +218,7 @@
             self._kept = None
 
     def set_drained(self, host_ids: set[str]) -> None:
-        """Take over which hosts operators drain."""
+        """Set the hosts that operators drain."""
         for host_id in host_ids ^ self._drained:
             state = self._states.get(host_id)
             if state is not None:
@@ -221,10 +231,10 @@
         return not state.broken and silence <= SUSPECT_BEATS * state.beat_s
 
     def _trusted(self, state: HostState, now: float) -> bool:
-        """Tell whether the list is believed about a host that is not heard.
+        """Return whether a host is live by the list, without a recent heartbeat.
 
-        Hosts that are no neighbours send no heartbeats; a neighbour that was never
-        heard may just be starting.
+        Hosts that are not neighbours send no heartbeats. A neighbour that has not sent
+        one yet may just be starting.
         """
         if not state.neighbour:
             return not state.broken or now - state.broken_at > RETRUST_S
@@ -234,7 +244,10 @@
         return never_heard and now - state.first_seen <= LIST_GRACE_S
 
     def silence(self, host_id: str, now: float) -> float:
-        """Return the seconds since a host was last heard; 0 for this host."""
+        """Return the seconds since the last heartbeat of a host; 0 for this host.
+
+        Counts from when the host became known if it has not sent one yet.
+        """
         if host_id == self.own.host_id:
             return 0.0
         state = self._states.get(host_id)
@@ -273,10 +286,10 @@
         return state.info if state else None
 
     def _groups(self, now: float) -> "_Groups":
-        """Return the members by state, kept until a state can have changed.
+        """Return the members by state, cached until a state may have changed.
 
-        Every request asks for live hosts; walking thousands of states each time
-        would cost more than the request.
+        Every request needs the live hosts. To go through thousands of states each time
+        would take longer than the request itself.
         """
         kept = self._kept
         if kept is None or now >= kept.valid_until or now < kept.made_at:
@@ -292,7 +305,7 @@
         return kept
 
     def _next_turn(self, state: HostState, now: float) -> float:
-        """Return when time alone could change a host's state."""
+        """Return the next time at which a host's state may change without an event."""
         turns = (
             state.last_heartbeat + SUSPECT_BEATS * state.beat_s,
             state.first_seen + LIST_GRACE_S,
@@ -301,10 +314,11 @@
         return min((turn for turn in turns if turn > now), default=float("inf"))
 
     def derived(self, now: float) -> dict[str, str]:
-        """Return a store for what follows from the live and leaving members alone.
+        """Return a cache for values that depend only on the live and leaving members.
 
-        It is a new, empty one whenever these change. Choosing an owner among thousands
-        of hosts takes milliseconds, and each is asked for again and again.
+        It is replaced by an empty one whenever these members change. To choose an owner
+        among thousands of hosts takes milliseconds, and the same owners are needed many
+        times.
         """
         return self._groups(now).derived
 
@@ -327,7 +341,7 @@
 
 
 class _Groups:
-    """Members by state at one moment."""
+    """Members by state, valid from `made_at` until `valid_until`."""
 
     __slots__ = (
         "by_domain",
@@ -349,7 +363,7 @@
         self.by_region: dict[str, list[HostInfo]] = {}
 
     def add(self, info: HostInfo, state: str) -> None:
-        """Put a member in its place."""
+        """Add a member to the groups of its state."""
         if state == LIVE:
             self.live.append(info)
             self.by_region.setdefault(info.region, []).append(info)
@@ -358,7 +372,7 @@
             self.leaving.append(info)
 
     def or_same(self, earlier: "_Groups | None") -> "_Groups":
-        """Return `earlier` with new times if it has the same members, else this."""
+        """Return `earlier` with new times if its members are the same, else `self`."""
         if earlier is None:
             return self
         if (earlier.live, earlier.leaving) != (self.live, self.leaving):
--- a/lacewingcross/core/view.py
+++ b/lacewingcross/core/view.py
@@ -1,4 +1,4 @@
-"""What all parts of a host's core share: configuration, members, plans in force."""
+"""State shared by the components of a host's core: configuration, members and plans."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class View:
-    """State read by every part; each field has one part that writes it."""
+    """State that every component of the core reads; one component writes each field."""
 
     members: Membership
     incarnation: int
@@ -33,9 +33,10 @@
     def keeper_of(self, service: str, region: str, now: float) -> str:
         """Return the host that should keep the slots of a service in a region.
 
-        A live host of the region; if it has none, a leaving one; if it has none at
-        all, a live host of another region, so that backend servers whose entry
-        hosts have all gone can still be used.
+        This is a live host of the region. If the region has no live host, it is a
+        leaving host of the region, and if it has no leaving host either, a live host of
+        another region, so that backend servers of a region without entry hosts can
+        still be used.
         """
         key = f"keeper/{service}/{region}"
         known = self.members.derived(now).get(key)
@@ -49,7 +50,10 @@
         return candidates or self.members.live(now)
 
     def _choose(self, key: str, candidates: list[HostInfo], now: float) -> str:
-        """Choose by rendezvous, this host if there are no candidates; keep it."""
+        """Choose an owner by rendezvous hashing and cache it.
+
+        Without candidates the owner is this host.
+        """
         chosen = owner(key, [info.host_id for info in candidates])
         result = chosen or self.own.host_id
         self.members.derived(now)[key] = result
@@ -73,10 +77,11 @@
         return self._choose(key, self.members.live_in_domain(failure_domain, now), now)
 
     def should_watch(self, now: float) -> bool:
-        """Tell whether this host watches the platform itself.
+        """Return whether this host watches the platform itself.
 
-        A waiting watch counts as a call, so in a large failure domain only a few
-        hosts watch and the others pull from peers; in a small one all do.
+        A waiting watch counts as a call, so in a large failure domain only a few hosts
+        watch the platform and the others pull changes from peers. In a small failure
+        domain all hosts watch it.
         """
         domain = self.own.failure_domain
         live = self.members.live_in_domain(domain, now)
@@ -84,7 +89,7 @@
         return self.own.host_id in chosen or len(chosen) < RELAYS
 
     def behind(self) -> int:
-        """Return the buckets of all services that still differ from their plans."""
+        """Return the number of buckets that differ from the plan, over all services."""
         return sum(plan.behind() for plan in self.plans.values())
 
     def region_of(self, service: str, address: int | None, caller: str) -> str | None:
@@ -96,7 +101,7 @@
         return plan.region(group, bucket_of(service, caller))
 
     def leaving_servers(self, service: str) -> set[str]:
-        """Return servers that leave by drain, by the list or by their own word."""
+        """Return the servers that are drained, listed as leaving, or announce it."""
         drained = self.config.leaving_servers(service)
         return drained | self.signalled | set(self.listed_leaving)
 
