--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -12,7 +12,7 @@
 from .neighbours import SMALL_BEAT_S, Place, neighbours
 
 # Silence timeout of a neighbour, in heartbeat intervals.
-SUSPECT_BEATS = 3.75
+SUSPECT_HEARTBEATS = 3.75
 # Time after the first sight of a neighbour in which it is live without a heartbeat.
 LIST_GRACE_S = 3.0
 # Time after a broken connection from which the list decides again for a host that is
@@ -66,7 +66,7 @@
     info: HostInfo
     first_seen: float
     last_heartbeat: float = float("-inf")
-    said: str = LIVE
+    reported_state: str = LIVE
     incarnation: int = 0
     revision: int = 0
     behind: int = 0
@@ -75,9 +75,9 @@
     broken: bool = False
     broken_at: float = float("-inf")
     drained: bool = False
-    beat_s: float = SMALL_BEAT_S
+    heartbeat_s: float = SMALL_BEAT_S
     neighbour: bool = True
-    next_beat: float = float("-inf")
+    next_heartbeat_at: float = float("-inf")
 
 
 class Membership:
@@ -95,9 +95,9 @@
     """
 
     __slots__ = (
+        "_cached_groups",
         "_drained",
-        "_kept",
-        "_latest",
+        "_latest_groups",
         "_neighbours",
         "_own_state",
         "_states",
@@ -107,8 +107,8 @@
     def __init__(self, own: HostInfo) -> None:
         self.own = own
         self._own_state = LIVE
-        self._kept: _Groups | None = None
-        self._latest: _Groups | None = None
+        self._cached_groups: _Groups | None = None
+        self._latest_groups: _Groups | None = None
         self._neighbours: list[HostState] = []
         self._drained: set[str] = set()
         self._states: dict[str, HostState] = {}
@@ -121,7 +121,7 @@
     def leave(self) -> None:
         """Set the state of this host to leaving, for good."""
         self._own_state = LEAVING
-        self._kept = None
+        self._cached_groups = None
 
     def on_list(self, hosts: list[HostInfo], now: float) -> list[str]:
         """Apply the platform's list; return the ids of the members removed by it.
@@ -140,45 +140,49 @@
         vanished = [
             host_id
             for host_id, state in self._states.items()
-            if host_id not in listed and not self._heard(state, now)
+            if host_id not in listed and not self._is_alive(state, now)
         ]
         for host_id in vanished:
             del self._states[host_id]
         self._choose_neighbours()
-        self._kept = None
+        self._cached_groups = None
         return vanished
 
     def _new(self, info: HostInfo, now: float) -> HostState:
         return HostState(info, now, drained=info.host_id in self._drained)
 
     def _choose_neighbours(self) -> None:
-        own = _place(self.own)
-        chosen = neighbours(own, (_place(st.info) for st in self._states.values()))
+        own = _place_of(self.own)
+        chosen = neighbours(own, (_place_of(st.info) for st in self._states.values()))
         for host_id, state in self._states.items():
             state.neighbour = host_id in chosen
-            state.beat_s = chosen.get(host_id, state.beat_s)
+            state.heartbeat_s = chosen.get(host_id, state.heartbeat_s)
         self._neighbours = [st for st in self._states.values() if st.neighbour]
 
-    def due_beats(self, now: float, *, all_now: bool) -> list[HostState]:
+    def due_heartbeats(self, now: float, *, all_now: bool) -> list[HostState]:
         """Return the neighbours with a heartbeat due, and schedule their next one."""
-        due = [state for state in self._neighbours if all_now or now >= state.next_beat]
+        due = [
+            state
+            for state in self._neighbours
+            if all_now or now >= state.next_heartbeat_at
+        ]
         for state in due:
-            state.next_beat = now + state.beat_s
+            state.next_heartbeat_at = now + state.heartbeat_s
         return due
 
-    def on_heartbeat(self, host_id: str, beat: Heartbeat, now: float) -> None:
+    def on_heartbeat(self, host_id: str, heartbeat: Heartbeat, now: float) -> None:
         """Record a heartbeat of a host."""
         state = self._states.get(host_id)
         if state is None:
             return
-        if state.said != beat.state or not self._heard(state, now):
-            self._kept = None
+        if state.reported_state != heartbeat.state or not self._is_alive(state, now):
+            self._cached_groups = None
         state.last_heartbeat = now
-        state.said = beat.state
-        state.revision = beat.revision
-        state.behind = beat.behind
-        state.leaving = beat.leaving
-        state.loads = beat.loads
+        state.reported_state = heartbeat.state
+        state.revision = heartbeat.revision
+        state.behind = heartbeat.behind
+        state.leaving = heartbeat.leaving
+        state.loads = heartbeat.loads
         state.broken = False
 
     def on_hello(self, info: HostInfo, incarnation: int, now: float) -> None:
@@ -186,13 +190,13 @@
         if info.host_id == self.own.host_id:
             return
         self.learn([info], now)
-        self._kept = None
+        self._cached_groups = None
         state = self._states.get(info.host_id)
         if state is None:
             return
         if incarnation != state.incarnation:
             state.info = info
-            state.said = LIVE
+            state.reported_state = LIVE
         state.incarnation = incarnation
         state.last_heartbeat = now
         state.broken = False
@@ -207,7 +211,7 @@
                 self._states[info.host_id] = self._new(info, now)
         if len(self._states) != known:
             self._choose_neighbours()
-            self._kept = None
+            self._cached_groups = None
 
     def on_broken(self, host_id: str, now: float) -> None:
         """Record that the last connection to a host broke or was refused."""
@@ -215,7 +219,7 @@
         if state is not None:
             state.broken = True
             state.broken_at = now
-            self._kept = None
+            self._cached_groups = None
 
     def set_drained(self, host_ids: set[str]) -> None:
         """Set the hosts that operators drain."""
@@ -223,14 +227,14 @@
             state = self._states.get(host_id)
             if state is not None:
                 state.drained = host_id in host_ids
-                self._kept = None
+                self._cached_groups = None
         self._drained = set(host_ids)
 
-    def _heard(self, state: HostState, now: float) -> bool:
+    def _is_alive(self, state: HostState, now: float) -> bool:
         silence = now - state.last_heartbeat
-        return not state.broken and silence <= SUSPECT_BEATS * state.beat_s
+        return not state.broken and silence <= SUSPECT_HEARTBEATS * state.heartbeat_s
 
-    def _trusted(self, state: HostState, now: float) -> bool:
+    def _live_by_list(self, state: HostState, now: float) -> bool:
         """Return whether a host is live by the list, without a recent heartbeat.
 
         Hosts that are not neighbours send no heartbeats. A neighbour that has not sent
@@ -240,8 +244,8 @@
             return not state.broken or now - state.broken_at > RETRUST_S
         if state.broken:
             return False
-        never_heard = state.last_heartbeat == float("-inf")
-        return never_heard and now - state.first_seen <= LIST_GRACE_S
+        no_heartbeat_yet = state.last_heartbeat == float("-inf")
+        return no_heartbeat_yet and now - state.first_seen <= LIST_GRACE_S
 
     def silence(self, host_id: str, now: float) -> float:
         """Return the seconds since the last heartbeat of a host; 0 for this host.
@@ -262,9 +266,9 @@
         state = self._states.get(host_id)
         if state is None:
             return DOWN
-        if not self._heard(state, now) and not self._trusted(state, now):
+        if not self._is_alive(state, now) and not self._live_by_list(state, now):
             return DOWN
-        if LEAVING in (state.said, state.info.listed) or state.drained:
+        if LEAVING in (state.reported_state, state.info.listed) or state.drained:
             return LEAVING
         return LIVE
 
@@ -291,27 +295,30 @@
         Every request needs the live hosts. To go through thousands of states each time
         would take longer than the request itself.
         """
-        kept = self._kept
-        if kept is None or now >= kept.valid_until or now < kept.made_at:
-            kept = _Groups(now)
+        current = self._cached_groups
+        if current is None or now >= current.valid_until or now < current.made_at:
+            current = _Groups(now)
             for info in self.hosts():
-                kept.add(info, self.state_of(info.host_id, now))
+                current.add(info, self.state_of(info.host_id, now))
             for state in self._states.values():
                 if state.neighbour or state.broken:
-                    turn = self._next_turn(state, now)
-                    kept.valid_until = min(kept.valid_until, turn)
-            self._kept = kept = kept.or_same(self._latest)
-            self._latest = kept
-        return kept
+                    change_at = self._next_change_at(state, now)
+                    current.valid_until = min(current.valid_until, change_at)
+            self._cached_groups = current = current.reuse_if_equal(self._latest_groups)
+            self._latest_groups = current
+        return current
 
-    def _next_turn(self, state: HostState, now: float) -> float:
+    def _next_change_at(self, state: HostState, now: float) -> float:
         """Return the next time at which a host's state may change without an event."""
-        turns = (
-            state.last_heartbeat + SUSPECT_BEATS * state.beat_s,
+        changes = (
+            state.last_heartbeat + SUSPECT_HEARTBEATS * state.heartbeat_s,
             state.first_seen + LIST_GRACE_S,
             state.broken_at + RETRUST_S,
         )
-        return min((turn for turn in turns if turn > now), default=float("inf"))
+        return min(
+            (change_at for change_at in changes if change_at > now),
+            default=float("inf"),
+        )
 
     def derived(self, now: float) -> dict[str, str]:
         """Return a cache for values that depend only on the live and leaving members.
@@ -371,7 +378,7 @@
         elif state == LEAVING:
             self.leaving.append(info)
 
-    def or_same(self, earlier: "_Groups | None") -> "_Groups":
+    def reuse_if_equal(self, earlier: "_Groups | None") -> "_Groups":
         """Return `earlier` with new times if its members are the same, else `self`."""
         if earlier is None:
             return self
@@ -382,5 +389,5 @@
         return earlier
 
 
-def _place(info: HostInfo) -> Place:
+def _place_of(info: HostInfo) -> Place:
     return Place(info.host_id, info.region, info.failure_domain)
--- a/lacewingcross/core/node.py
+++ b/lacewingcross/core/node.py
@@ -179,7 +179,7 @@
 
     def _heartbeats(self, now: float, *, all_now: bool) -> Iterator[Action]:
         view = self.view
-        due = view.members.due_beats(now, all_now=all_now)
+        due = view.members.due_heartbeats(now, all_now=all_now)
         if not due:
             return
         beat = msg.Heartbeat(
@@ -389,10 +389,10 @@
         yield from self.requests.attempt_ended(event, now)
 
     def _probed(self, event: ServerProbed, now: float) -> Iterator[Action]:
-        signalled = self.view.signalled
-        before = event.server_id in signalled
+        announced = self.view.announced_leaving
+        before = event.server_id in announced
         if event.draining != before and event.reachable:
-            (signalled.add if event.draining else signalled.discard)(event.server_id)
+            (announced.add if event.draining else announced.discard)(event.server_id)
             yield Log(
                 "server-signal",
                 {"server": event.server_id, "draining": event.draining},
--- a/lacewingcross/core/view.py
+++ b/lacewingcross/core/view.py
@@ -22,7 +22,7 @@
     rng: RandomSource
     config: Config = field(default_factory=Config)
     plans: dict[str, EffectivePlan] = field(default_factory=dict)
-    signalled: set[str] = field(default_factory=set)
+    announced_leaving: set[str] = field(default_factory=set)
     listed_leaving: frozenset[str] = frozenset()
 
     @property
@@ -40,7 +40,9 @@
         """
         key = f"keeper/{service}/{region}"
         known = self.members.derived(now).get(key)
-        return known or self._choose(key, self._keeper_candidates(region, now), now)
+        return known or self._choose_owner(
+            key, self._keeper_candidates(region, now), now
+        )
 
     def _keeper_candidates(self, region: str, now: float) -> list[HostInfo]:
         candidates = self.members.live(now, region)
@@ -49,7 +51,7 @@
             candidates = [info for info in leaving if info.region == region]
         return candidates or self.members.live(now)
 
-    def _choose(self, key: str, candidates: list[HostInfo], now: float) -> str:
+    def _choose_owner(self, key: str, candidates: list[HostInfo], now: float) -> str:
         """Choose an owner by rendezvous hashing and cache it.
 
         Without candidates the owner is this host.
@@ -62,7 +64,7 @@
     def owner_among_live(self, key: str, now: float) -> str:
         """Return the live host that owns `key`."""
         known = self.members.derived(now).get(key)
-        return known or self._choose(key, self.members.live(now), now)
+        return known or self._choose_owner(key, self.members.live(now), now)
 
     def planner_of(self, service: str, now: float) -> str:
         """Return the host that should plan a service."""
@@ -74,7 +76,9 @@
         known = self.members.derived(now).get(key)
         if known:
             return known
-        return self._choose(key, self.members.live_in_domain(failure_domain, now), now)
+        return self._choose_owner(
+            key, self.members.live_in_domain(failure_domain, now), now
+        )
 
     def should_watch(self, now: float) -> bool:
         """Return whether this host watches the platform itself.
@@ -103,7 +107,7 @@
     def leaving_servers(self, service: str) -> set[str]:
         """Return the servers that are drained, listed as leaving, or announce it."""
         drained = self.config.leaving_servers(service)
-        return drained | self.signalled | set(self.listed_leaving)
+        return drained | self.announced_leaving | set(self.listed_leaving)
 
     def region_servers(self, service: str, region: str) -> Iterator[BackendServer]:
         """Yield the declared backend servers of a service in a region."""
