--- a/lacewingcross/core/__init__.py
+++ b/lacewingcross/core/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions, free of I/O: events with the time go in, actions come out."""
+"""Decision logic of a host, free of I/O: takes timed events and returns actions."""
--- a/lacewingcross/core/actions.py
+++ b/lacewingcross/core/actions.py
@@ -1,4 +1,4 @@
-"""What a host's core asks its driver to do."""
+"""Actions that a host's core returns for its driver to carry out."""
 
 from dataclasses import dataclass
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Send a request to a backend server."""
+    """Send an attempt of a request to a backend server."""
 
     request_id: str
     attempt: int
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finish:
-    """Give the caller its final answer now.
+    """Send the caller the final response of this host.
 
     Attributes
     ----------
@@ -45,7 +45,7 @@
     reason : str
         Stable reason code, also the name of a counter.
     retry_after_s : float
-        When to come back; 0 when coming back makes no sense.
+        Time in seconds after which the caller may retry; 0 if a retry makes no sense.
     """
 
     request_id: str
@@ -57,14 +57,14 @@
 
 @dataclass(slots=True, frozen=True)
 class AbortAnswer:
-    """Break off an answer that was already begun, so that it cannot pass as whole."""
+    """Abort a response that has begun, so that it cannot be taken for complete."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop an attempt, close its connection and report `ending`."""
+    """Stop an attempt, close its connection and report `ending` for it."""
 
     request_id: str
     attempt: int
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CreateObject:
-    """Create an object in the platform; fails if it exists."""
+    """Create an object in the platform; fails if the object exists."""
 
     call_id: int
     key: str
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UpdateObject:
-    """Replace an object in the platform if its version is still `if_version`."""
+    """Replace an object in the platform if the stored version is still `if_version`."""
 
     call_id: int
     key: str
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DeleteObject:
-    """Delete an object that nobody needs any more; nobody waits for the end."""
+    """Delete an object that is no longer needed; no event reports the result."""
 
     key: str
 
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Count:
-    """Count something."""
+    """Increment the counter `name`."""
 
     name: str
 
--- a/lacewingcross/core/events.py
+++ b/lacewingcross/core/events.py
@@ -1,4 +1,4 @@
-"""What can happen to a host's core: events in, actions out."""
+"""Events that a host's core processes; see `actions` for what it returns."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerConnected:
-    """A host said hello."""
+    """Another host connected and sent its `messages.Hello`."""
 
     info: HostInfo
     incarnation: int
@@ -23,14 +23,14 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerBroken:
-    """The connection to a host broke, or none could be made."""
+    """The connection to another host broke, or could not be established."""
 
     host_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A message from a host."""
+    """A message from another host arrived."""
 
     host_id: str
     message: Message
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigSeen:
-    """Entries from the platform, complete up to `revision`."""
+    """The platform returned configuration entries, complete up to `revision`."""
 
     entries: list[Entry]
     revision: int
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HostsListed:
-    """The platform's list of hosts."""
+    """The platform returned its list of hosts and the servers listed as leaving."""
 
     hosts: list[HostInfo]
     leaving_servers: frozenset[str] = frozenset()
@@ -54,7 +54,13 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteEnded:
-    """A conditional write ended: ``ok``, ``conflict`` or ``unavailable``."""
+    """A conditional write ended; `outcome` is ``ok``, ``conflict`` or ``unavailable``.
+
+    Attributes
+    ----------
+    version : int
+        Version of the object in the platform; 0 if unknown.
+    """
 
     call_id: int
     outcome: str
@@ -64,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoredSpec:
-    """One stored object: name, version and what its writer stored."""
+    """A stored object: its name, its version and the spec that its writer stored."""
 
     name: str
     version: int
@@ -73,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ObjectsLoaded:
-    """All objects of a kind; None when they could not be read."""
+    """All objects of a kind were read; `objects` is None if they could not be."""
 
     call_id: int
     objects: list[StoredSpec] | None
@@ -81,16 +87,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A caller's request, its head read.
+    """The head of a caller's request was read.
 
     Attributes
     ----------
     remaining_s : float
         Time to the deadline in seconds; 0 when the caller gave none.
     caller : str
-        Stable identity of the caller, for its bucket.
+        Stable identity of the caller, which determines its bucket.
     address : int or None
-        Client address as a number, for its group.
+        Client address as a number, which determines the client group.
     key : str
         Idempotency key, empty if none.
     """
@@ -107,14 +113,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestCancelled:
-    """The caller has gone."""
+    """The caller of a request disconnected."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class FirstByteWritten:
-    """The first byte of an attempt was handed to a connection."""
+    """The first byte of an attempt was written to a connection."""
 
     request_id: str
     attempt: int
@@ -122,7 +128,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HeadForwarded:
-    """The head of the answer went to the caller."""
+    """The head of the response was forwarded to the caller."""
 
     request_id: str
     attempt: int
@@ -130,7 +136,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt is over."""
+    """An attempt ended."""
 
     request_id: str
     attempt: int
@@ -142,7 +148,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerProbed:
-    """A health probe ended: could it be reached, and does it say it is draining."""
+    """A health probe of a backend server ended.
+
+    `draining` is whether the server announced that it is draining.
+    """
 
     service: str
     server_id: str
@@ -152,7 +161,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ShutdownAsked:
-    """The host is to stop: leave look-ups, finish what it has."""
+    """The host was asked to stop: it leaves look-ups and finishes its requests."""
 
 
 Event = (
--- a/lacewingcross/core/lookup.py
+++ b/lacewingcross/core/lookup.py
@@ -1,4 +1,4 @@
-"""Look-up: which entry hosts a caller should use, and for how long."""
+"""Look-ups: which entry hosts a caller should use, and for how long."""
 
 from dataclasses import dataclass
 
@@ -10,13 +10,15 @@
 from .resources import SteeringPolicy
 from .slew import EffectivePlan
 
+# Maximum number of entry hosts in an answer.
 MAX_HOSTS = 4
+# Largest deviation of an answer's lifetime from the policy's, as a fraction.
 JITTER = 0.3
 
 
 @dataclass(slots=True, frozen=True)
 class LookupAnswer:
-    """Entry hosts in order of preference, with a lifetime in seconds."""
+    """Entry hosts in order of preference, and how many seconds to use them."""
 
     service: str
     region: str
@@ -27,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LookupRefusal:
-    """Why there is no answer."""
+    """HTTP status and reason of a look-up that cannot be answered."""
 
     status: int
     reason: str
@@ -46,9 +48,9 @@
 ) -> LookupAnswer | LookupRefusal:
     """Return the entry hosts for a caller.
 
-    The region comes from the plan in force, as for requests, so that a caller that
-    follows the answer needs no second region. The lifetime is jittered, so that
-    refreshes do not synchronise on the hour.
+    The region comes from the plan in force, as it does for requests, so that a request
+    to a host in the answer is not sent on to another region. The lifetime is jittered,
+    so that the refreshes of callers do not synchronise.
     """
     if not config.complete:
         return LookupRefusal(503, "no-config", rng.uniform(0.2, 0.6))
@@ -73,7 +75,7 @@
 
 
 def lifetime(policy: SteeringPolicy, rng: RandomSource) -> float:
-    """Return a jittered lifetime of a look-up's answer, in seconds."""
+    """Return the jittered lifetime of a look-up's answer, in seconds."""
     return policy.lookup_ttl_s * rng.uniform(1.0 - JITTER, 1.0 + JITTER)
 
 
--- a/lacewingcross/core/node.py
+++ b/lacewingcross/core/node.py
@@ -1,4 +1,4 @@
-"""The core of a host: one place where every event goes in and actions come out."""
+"""The core of a host: takes in every event and returns the actions to carry out."""
 
 from collections.abc import Iterator
 
@@ -36,33 +36,35 @@
 from .slew import EffectivePlan
 from .view import View
 
+# Shortest interval between two requests to peers for newer configuration.
 PULL_S = 0.3
+# Interval at which the core checks for due heartbeats and reviews the slot keepers.
 REVIEW_S = 0.4
 
 
 class HostCore:
-    """All decisions of one host.
+    """Takes all decisions of one host.
 
-    Any driver can run it: feed every event with the time of a monotonic clock to
-    `handle` and carry out the actions in order. It does no I/O, reads no clock and
-    draws random numbers only from the source passed in.
+    Any driver can run the core: it passes every event to `handle`, with the time of a
+    monotonic clock, and carries out the returned actions in order. The core does no
+    I/O, reads no clock and draws random numbers only from the source passed in.
 
     Parameters
     ----------
     own : HostInfo
         This host.
     incarnation : int
-        Random 24-bit number of this run of the process.
+        Random 24-bit number that identifies this run of the process.
     rng : RandomSource
-        Source for spreads and jitter.
+        Source of random numbers, such as for jitter.
     policy : KeeperPolicy, optional
         Admission settings.
 
     Attributes
     ----------
     epoch : int
-        Rises with every change that a look-up's answer could show; answers
-        prepared in an earlier epoch are no longer used.
+        Version of the state that look-ups depend on. It rises with every change that an
+        answer could show; answers prepared in an earlier epoch are no longer used.
     """
 
     __slots__ = (
@@ -99,7 +101,7 @@
         self.epoch = 0
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event and return what to do, in order.
+        """Process one event and return the actions to carry out, in order.
 
         Parameters
         ----------
@@ -132,16 +134,16 @@
         )
 
     def idle(self) -> bool:
-        """Tell whether no request is left on this host."""
+        """Return whether no request is left on this host."""
         return not self.requests.requests
 
     def busy(self) -> bool:
-        """Tell whether somebody waits here for time to pass."""
+        """Return whether requests or claims wait here, so that ticks are urgent."""
         queued = any(keeper.queue for keeper in self.keepers.keepers.values())
         return queued or self.claims.busy() or not self.idle()
 
     def _resolve(self, actions: Iterator[Action], now: float) -> Iterator[Action]:
-        """Deliver messages to this host itself at once; pass the rest on."""
+        """Deliver messages to this host itself at once; yield all other actions."""
         own = self.view.own.host_id
         for action in actions:
             if isinstance(action, SendPeer) and action.host_id == own:
@@ -151,13 +153,11 @@
             else:
                 yield action
 
-    # Time
-
     def _note_membership(self, now: float) -> None:
         """Start a new epoch when the live hosts have changed."""
         live = self.view.members.live(now)
         if live is not self._seen_live:
-            # The list is another one only when its members are.
+            # `Membership` returns the same list object while its members are the same.
             self._seen_live = live
             self.epoch += 1
 
@@ -197,8 +197,6 @@
             if plan.advance(self.view.config.cap(service), now):
                 self.epoch += 1
 
-    # Peers
-
     def _connected(self, event: PeerConnected, now: float) -> Iterator[Action]:
         self.view.members.on_hello(event.info, event.incarnation, now)
         self._changed = True
@@ -282,8 +280,9 @@
             self._changed = True
         own = self.view.config.revision
         if beat.revision > own and now - self._pulled_at > PULL_S:
-            # A peer is ahead: the platform is down or slow for us. Its entries
-            # carry versions, so taking them can never put an older one in force.
+            # The peer has newer configuration: the platform is down or slow for this
+            # host. Entries carry versions, so an entry from a peer never replaces a
+            # newer one.
             self._pulled_at = now
             yield Count("config.pulls")
             yield SendPeer(host_id, msg.ConfigPull(own))
@@ -299,8 +298,6 @@
         ]
         yield SendPeer(host_id, msg.ConfigPush(config.revision, entries, True))
 
-    # Platform
-
     def _config_seen(self, event: ConfigSeen, now: float) -> Iterator[Action]:
         yield from self._merge(event.entries, event.revision, True, now)
 
@@ -369,8 +366,6 @@
         if self.claims.owns_call(event.call_id):
             yield from self.claims.loaded(event, now)
 
-    # Requests
-
     def _request(self, event: RequestArrived, now: float) -> Iterator[Action]:
         yield from self.requests.arrived(event, now)
 
