--- a/lacewingcross/core/lookup.py
+++ b/lacewingcross/core/lookup.py
@@ -13,7 +13,7 @@
 # Maximum number of entry hosts in an answer.
 MAX_HOSTS = 4
 # Largest deviation of an answer's lifetime from the policy's, as a fraction.
-JITTER = 0.3
+MAX_JITTER = 0.3
 
 
 @dataclass(slots=True, frozen=True)
@@ -65,18 +65,18 @@
     if not live:
         return LookupRefusal(503, "no-hosts", rng.uniform(0.5, 1.5))
     key = f"{service}/{caller}"
-    home = members.live(now, region) if region else []
-    ordered = _ranked_hosts(key, home)
-    if len(ordered) < MAX_HOSTS:
-        ordered += _ranked_hosts(key, [info for info in live if info.region != region])
-    hosts = tuple(ordered[:MAX_HOSTS])
+    in_region = members.live(now, region) if region else []
+    chosen = _ranked_hosts(key, in_region)
+    if len(chosen) < MAX_HOSTS:
+        chosen += _ranked_hosts(key, [info for info in live if info.region != region])
+    hosts = tuple(chosen[:MAX_HOSTS])
     ttl = lifetime(policy, rng)
     return LookupAnswer(service, region or "", hosts, ttl, config.revision)
 
 
 def lifetime(policy: SteeringPolicy, rng: RandomSource) -> float:
     """Return the jittered lifetime of a look-up's answer, in seconds."""
-    return policy.lookup_ttl_s * rng.uniform(1.0 - JITTER, 1.0 + JITTER)
+    return policy.lookup_ttl_s * rng.uniform(1.0 - MAX_JITTER, 1.0 + MAX_JITTER)
 
 
 def _ranked_hosts(key: str, hosts: list[HostInfo]) -> list[HostInfo]:
--- a/lacewingcross/core/node.py
+++ b/lacewingcross/core/node.py
@@ -37,9 +37,9 @@
 from .view import View
 
 # Shortest interval between two requests to peers for newer configuration.
-PULL_S = 0.3
+PULL_INTERVAL_S = 0.3
 # Interval at which the core checks for due heartbeats and reviews the slot keepers.
-REVIEW_S = 0.4
+REVIEW_INTERVAL_S = 0.4
 
 
 class HostCore:
@@ -68,10 +68,10 @@
     """
 
     __slots__ = (
-        "_beat_at",
-        "_changed",
+        "_last_live",
         "_pulled_at",
-        "_seen_live",
+        "_review_due",
+        "_reviewed_at",
         "claims",
         "epoch",
         "keepers",
@@ -94,10 +94,10 @@
         self.keepers = KeeperSet(self.view, policy or KeeperPolicy())
         self.planners = PlannerSet(self.view)
         self.reporter = Reporter(self.view, self.requests, self.keepers)
-        self._beat_at = float("-inf")
+        self._reviewed_at = float("-inf")
         self._pulled_at = float("-inf")
-        self._changed = True
-        self._seen_live: list[HostInfo] = []
+        self._review_due = True
+        self._last_live: list[HostInfo] = []
         self.epoch = 0
 
     def handle(self, event: Event, now: float) -> list[Action]:
@@ -156,20 +156,20 @@
     def _note_membership(self, now: float) -> None:
         """Start a new epoch when the live hosts have changed."""
         live = self.view.members.live(now)
-        if live is not self._seen_live:
+        if live is not self._last_live:
             # `Membership` returns the same list object while its members are the same.
-            self._seen_live = live
+            self._last_live = live
             self.epoch += 1
 
     def _tick(self, _event: Tick, now: float) -> Iterator[Action]:
-        self._follow_plans(now)
+        self._advance_plans(now)
         self._note_membership(now)
-        if now - self._beat_at >= REVIEW_S:
-            self._beat_at = now
+        if now - self._reviewed_at >= REVIEW_INTERVAL_S:
+            self._reviewed_at = now
             yield from self._heartbeats(now, all_now=False)
-            self._changed = True
-        if self._changed:
-            self._changed = False
+            self._review_due = True
+        if self._review_due:
+            self._review_due = False
             yield from self.keepers.review(now)
         yield from self.requests.tick(now)
         yield from self.keepers.tick(now)
@@ -182,7 +182,7 @@
         due = view.members.due_heartbeats(now, all_now=all_now)
         if not due:
             return
-        beat = msg.Heartbeat(
+        heartbeat = msg.Heartbeat(
             view.members.own_state,
             view.config.revision,
             view.behind(),
@@ -190,22 +190,22 @@
             self.keepers.loads(now),
         )
         for state in due:
-            yield SendPeer(state.info.host_id, beat)
+            yield SendPeer(state.info.host_id, heartbeat)
 
-    def _follow_plans(self, now: float) -> None:
+    def _advance_plans(self, now: float) -> None:
         for service, plan in self.view.plans.items():
             if plan.advance(self.view.config.cap(service), now):
                 self.epoch += 1
 
     def _connected(self, event: PeerConnected, now: float) -> Iterator[Action]:
         self.view.members.on_hello(event.info, event.incarnation, now)
-        self._changed = True
+        self._review_due = True
         known = [member_fields(info) for info in self.view.members.hosts()]
         yield SendPeer(event.info.host_id, msg.Members(known))
 
     def _broken(self, event: PeerBroken, now: float) -> Iterator[Action]:
         self.view.members.on_broken(event.host_id, now)
-        self._changed = True
+        self._review_due = True
         yield from self.keepers.host_down(event.host_id, now)
         yield from self.requests.tick(now)
 
@@ -267,19 +267,19 @@
     def _on_members(
         self, _host_id: str, members: msg.Members, now: float
     ) -> Iterator[Action]:
-        learnt = [member_info(item) for item in members.hosts]
-        self.view.members.learn(learnt, now)
+        hosts = [member_info(item) for item in members.hosts]
+        self.view.members.learn(hosts, now)
         yield from ()
 
     def _on_heartbeat(
-        self, host_id: str, beat: msg.Heartbeat, now: float
+        self, host_id: str, heartbeat: msg.Heartbeat, now: float
     ) -> Iterator[Action]:
         before = self.view.members.state_of(host_id, now)
-        self.view.members.on_heartbeat(host_id, beat, now)
+        self.view.members.on_heartbeat(host_id, heartbeat, now)
         if self.view.members.state_of(host_id, now) != before:
-            self._changed = True
+            self._review_due = True
         own = self.view.config.revision
-        if beat.revision > own and now - self._pulled_at > PULL_S:
+        if heartbeat.revision > own and now - self._pulled_at > PULL_INTERVAL_S:
             # The peer has newer configuration: the platform is down or slow for this
             # host. Entries carry versions, so an entry from a peer never replaces a
             # newer one.
@@ -314,8 +314,8 @@
             yield Log("config-in-force", {"key": key, "revision": config.revision})
             if key in config.rejected:
                 yield Count("config.rejected")
-                why = config.rejected[key]
-                yield Log("config-rejected", {"key": key, "reason": why})
+                reason = config.rejected[key]
+                yield Log("config-rejected", {"key": key, "reason": reason})
         if not changed and config.revision == before:
             return
         self.epoch += 1
