--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -1,4 +1,4 @@
-"""Rosters of a fleet in virtual time, which tell each other what the daemon would."""
+"""Rosters of a fleet in virtual time, which exchange messages as the daemons would."""
 
 from lacewingcross.core.membership import HostInfo
 from lacewingcross.core.named_hosts import addresses_for
@@ -15,7 +15,7 @@
 
 
 def infos(small=8, large=2, regions="ab"):
-    """Return hosts of two failure domains a region, a few of them large."""
+    """Return the hosts of two failure domains per region; a few of them are large."""
     return [
         HostInfo(
             f"{region}{domain}-{number}",
@@ -32,9 +32,9 @@
 
 
 class Played:
-    """Rosters in virtual time; no network, no store.
+    """A fleet of rosters in virtual time, without network and store.
 
-    `cut` holds pairs of hosts that cannot reach each other, `dead` those that ended.
+    `cut` holds pairs of hosts that cannot reach each other, `dead` the crashed hosts.
     """
 
     def __init__(self, hosts, *, knows=lambda own, other: True, needed=6.0):
@@ -47,7 +47,7 @@
             self.start(own, [other for other in hosts if knows(own, other)])
 
     def start(self, own, others):
-        """Start a host, or start it again, that has read a list of others."""
+        """Start or restart a host that has read a list of other hosts."""
         made = Roster(own)
         made.needed = self.needed
         made.listed = True
@@ -59,7 +59,7 @@
         self.dead.discard(own.host_id)
 
     def reach(self, a, b):
-        """Tell whether one host can reach another."""
+        """Return whether one host can reach another."""
         living = b in self.rosters and b not in self.dead
         return living and (a, b) not in self.cut and (b, a) not in self.cut
 
@@ -84,7 +84,7 @@
         listener.take_peer_view(made.own.host_id, PeerView(active, hosts), self.now)
 
     def play(self, seconds):
-        """Let all living hosts speak and review what they believe."""
+        """Let all running hosts exchange messages and review their active hosts."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             alive = [(n, r) for n, r in self.rosters.items() if n not in self.dead]
@@ -98,7 +98,7 @@
         return [r for n, r in self.rosters.items() if n not in self.dead]
 
     def active(self):
-        """Return the hosts that take themselves for active."""
+        """Return the hosts that consider themselves active."""
         return {r.own.host_id for r in self.living() if r.is_active}
 
     def large(self):
@@ -107,7 +107,7 @@
 
 
 def assert_settled(played):
-    """All living hosts agree on who is active, and name just these."""
+    """Check that running hosts agree on the active hosts and name just these."""
     active = played.active()
     for made in played.living():
         assert set(made.active) == active, made.own.host_id
--- a/tests/test_active.py
+++ b/tests/test_active.py
@@ -1,4 +1,4 @@
-"""Which hosts callers are named: by load and size, spread over failure domains."""
+"""Choice of the active hosts: by load and size, spread over failure domains."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 
 
 def fleet(large=3, small=18, domains=("a1", "a2", "a3")):
-    """One region like those of the users' largest fleet."""
+    """Return one region like those of the largest deployment."""
     return [
         host(f"{domain}-{number}", "a", domain, LARGE if number < large else SMALL)
         for domain in domains
@@ -48,8 +48,9 @@
 
 
 def test_a_fleet_of_a_few_large_hosts_and_many_small_ones_names_the_large_ones():
-    # 63 hosts, of which nine have nearly half of the processor time. Naming all of them
-    # spread each server's requests over 63 hosts that knew little of each other.
+    # Nine of 63 hosts have nearly half of the processor time. If all 63 were active,
+    # each server's requests would be spread over 63 hosts that know little of each
+    # other's load.
     chosen = active_hosts(fleet(), 8.0)
     assert all(info.cores == LARGE for info in chosen)
     domains = [info.failure_domain for info in chosen]
@@ -65,8 +66,8 @@
 
 
 def test_a_lost_failure_domain_leaves_enough_without_small_hosts():
-    # A failure domain loses power. What is left of the large hosts carries the region;
-    # small ones, named beside them at random, would be full first.
+    # A failure domain loses power. The remaining large hosts carry the region; small
+    # ones that callers choose with the same probability would be overloaded first.
     left = [info for info in fleet() if info.failure_domain != "a1"]
     chosen = active_hosts(left, 8.0)
     assert {info.cores for info in chosen} == {LARGE}
@@ -95,7 +96,8 @@
     assert cores_needed(None, servers) == 0.0
     fast = cores_needed(config(0.2), servers)
     slow = cores_needed(config(1.0), servers)
-    # 50 slots at 0.45 x 0.2 s are 556 requests a second of 3 ms, and as much again.
+    # 50 slots at 0.45 x 0.2 s are 556 requests a second of 3 ms each, times a headroom
+    # of 2.
     assert abs(fast - 50 / 0.09 * 0.003 * 2) < 1e-9
     assert abs(fast - 5 * slow) < 1e-9
     unknown = cores_needed(config(0.2), [server(1, "other")])
@@ -118,8 +120,8 @@
 def test_all_hosts_choose_alike_and_the_loss_of_one_that_stands_by_changes_nothing(
     specs, needed, rng
 ):
-    # Every host works the active ones out for itself. If two disagreed on the same
-    # facts, shares would add up to more than the whole.
+    # Every host chooses the active hosts on its own. If two hosts chose differently
+    # from the same information, the shares would add up to more than the whole.
     hosts = [
         host(f"h{number}", region, region + domain, cores)
         for number, (region, domain, cores) in enumerate(specs)
@@ -130,7 +132,7 @@
     names = {info.host_id for info in chosen}
     assert {info.host_id for info in active_hosts(mixed, needed)} == names
     assert {info.region for info in chosen} == {info.region for info in hosts}
-    # A host that stands by and is lost makes nobody else active.
+    # The loss of a standby host must not make another host active.
     for lost in [info for info in hosts if info.host_id not in names][:1]:
         rest = [info for info in hosts if info is not lost]
         assert {info.host_id for info in active_hosts(rest, needed)} <= names
--- a/tests/test_differential.py
+++ b/tests/test_differential.py
@@ -1,4 +1,7 @@
-"""Parts of the core against naive versions, with events reordered, doubled, lost."""
+"""Components of the core compared with naive versions of them.
+
+Events are reordered, duplicated and lost.
+"""
 
 import random
 from collections import Counter
@@ -35,9 +38,6 @@
 REGIONS = ("a", "b", "c")
 
 
-# Client blocks
-
-
 def _network(base, length):
     return str(IPv4Network((base, length), strict=False))
 
@@ -63,9 +63,6 @@
         assert index.find(address) == expected
 
 
-# Configuration
-
-
 @given(st.data())
 def test_config_merge_is_the_highest_version_whatever_the_order(data):
     keys = [f"ShiftCap/s{num}" for num in range(3)]
@@ -92,9 +89,6 @@
     assert set(config.caps) == live
 
 
-# Plans
-
-
 @given(st.dictionaries(st.sampled_from(REGIONS), st.floats(0, 100), min_size=1))
 def test_apportion_gives_every_bucket_once(weights):
     counts = apportion(weights)
@@ -157,7 +151,7 @@
 
 
 class Planners(RuleBasedStateMachine):
-    """Two planners, one store: restarts, stale views, lost answers, any target."""
+    """Two planners on one store: restarts, stale views, lost responses, any target."""
 
     WINDOW_S = 5.0
 
@@ -214,7 +208,8 @@
         version, plan = self.views[name]
         step = planner.step(plan, self._given(), self.now)
         if step is not None and version == self.version:
-            # The watch may bring it to the writer later, or never: its answer is lost.
+            # The response to the write is lost: the writer may receive the new plan
+            # later from its watch, or never.
             self.version += 1
             self.stored = step.plan
             self.history.append((self.now, list(step.plan.tables["g"])))
@@ -245,11 +240,8 @@
 TestPlanners = Planners.TestCase
 
 
-# Slot keeper
-
-
 class Keepers(RuleBasedStateMachine):
-    """One keeper against a naive count of what each host may be using."""
+    """One slot keeper compared with a naive count of the slots that hosts may use."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -1,4 +1,4 @@
-"""Any series of losses, cuts and restarts ends in one fleet that agrees."""
+"""After any series of crashes, cuts and restarts, all hosts agree on one fleet."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -13,13 +13,14 @@
 NAMES = [info.host_id for info in HOSTS]
 BY_NAME = {info.host_id: info for info in HOSTS}
 DOMAINS = sorted({info.failure_domain for info in HOSTS})
-# Longer than any memory of who was there (`FORGET_AFTER_S` aside, after which a host
-# that comes back names itself again), in seconds.
+# Longer than any host remembers which hosts were active or reported, in seconds. The
+# exception is `FORGET_AFTER_S`, after which a host that comes back writes its entry to
+# the store again.
 SETTLED_S = 12.0
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Hosts that die, start again, leave and are cut off in any order."""
+    """Hosts that crash, restart and are cut off in any order."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Property-based fuzzing of every decoder of ours; small corpus in tests/corpus."""
+"""Property-based fuzzing of every decoder, with a small corpus in tests/corpus."""
 
 import json
 import struct
@@ -69,7 +69,7 @@
 
 
 def _tupled(value):
-    """Return a message's fields with lists inside lists as tuples, for comparison."""
+    """Return a message's fields with all nested lists as tuples, for comparison."""
     if isinstance(value, list | tuple):
         return tuple(_tupled(item) for item in value)
     return value
@@ -105,7 +105,7 @@
 
 
 def test_small_frame_that_grows_without_end_is_refused():
-    """A hostile process sends a megabyte that decompresses to a gigabyte."""
+    """A malicious process sends a megabyte that decompresses to a gigabyte."""
     packed = zlib.compress(b"0" * (wire.MAX_BODY + 1))
     with pytest.raises(FrameError) as caught:
         wire.inflate(packed)
@@ -137,7 +137,7 @@
 
 
 def outcome(decode, body):
-    """Return the fields of a decoded message, or the code of its refusal."""
+    """Return the type and fields of a decoded message, or the error code."""
     try:
         decoded = decode(body)
     except FrameError as exc:
@@ -148,8 +148,8 @@
 
 @given(messages, st.data())
 def test_the_decoder_agrees_with_a_naive_one(message, data):
-    # Hosts of one fleet must refuse the same frames: one that takes what the others
-    # refuse would go on with a stream that they have closed.
+    # All hosts of a fleet must refuse the same frames. A host that accepts a frame that
+    # the other hosts refuse would go on using a stream that they have closed.
     values = msgpack.unpackb(wire.encode(message)[4:])
     place = data.draw(st.integers(0, len(values)))
     change = data.draw(st.sampled_from(["none", "put", "drop", "add"]))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: the lagging list against own evidence; who beats whom."""
+"""Membership: the platform's lagging list, heartbeats, and the choice of neighbours."""
 
 from lacewingcross.core.membership import DOWN, LEAVING, LIVE, HostInfo, Membership
 from lacewingcross.core.messages import Heartbeat
@@ -20,9 +20,9 @@
 
 
 def test_broken_link_takes_a_host_out_at_once_whatever_the_list_says():
-    """A host dies; the platform's list names it as live for seconds more.
+    """Guards against look-ups that send callers to a crashed host.
 
-    What a user would see: look-ups that send callers to a dead host.
+    The platform's list still names the host as live for seconds after its crash.
     """
     view = members()
     view.on_heartbeat("h1", beat(), 1.0)
@@ -64,7 +64,7 @@
 
 
 def test_host_that_the_list_does_not_name_joins_by_its_hello():
-    """A host starts during a platform outage, so no list names it."""
+    """A host that starts during a platform outage is missing from the list."""
     view = members()
     view.on_hello(host("new"), 5, 1.0)
     assert view.state_of("new", 1.0) == LIVE
@@ -88,7 +88,7 @@
 
 
 def test_what_is_derived_from_the_live_set_goes_when_it_changes():
-    """Owners are kept for speed; a host that dies must not stay an owner."""
+    """Owners are cached for speed; a crashed host must not remain an owner."""
     view = members()
     view.on_heartbeat("h1", beat(), 1.0)
     view.on_heartbeat("h2", beat(), 1.0)
@@ -108,7 +108,7 @@
 
 
 def test_neighbours_are_symmetric_few_and_connected():
-    """At any size both sides must expect each other's heartbeats."""
+    """In a fleet of any size, both neighbours must expect each other's heartbeats."""
     for count, domains, regions in ((5, 2, 1), (64, 6, 3), (65, 6, 3), (400, 20, 5)):
         places = _fleet(count, domains, regions)
         chosen = {place.host_id: neighbours(place, places) for place in places}
--- a/tests/test_peer_selection.py
+++ b/tests/test_peer_selection.py
@@ -1,4 +1,4 @@
-"""Who speaks to whom: a fleet of rosters that tell each other whom they hear."""
+"""Peer selection: a fleet of rosters that report the hosts alive to each other."""
 
 import random
 from collections import Counter
@@ -38,7 +38,8 @@
 
 
 def test_what_a_standby_host_hears_does_not_grow_with_the_fleet():
-    # With each host speaking to each, 195 hosts would send 52,000 messages a second.
+    # If each host sent messages to each other one, 195 hosts would send 52,000 messages
+    # a second.
     def spoken_to(small):
         played = Played(infos(small=small))
         played.play(1.0)
@@ -56,8 +57,9 @@
 
 
 def test_what_a_host_of_an_even_fleet_tells_does_not_grow_with_its_square():
-    # All hosts of an even fleet are active. If each told each of all others whom it
-    # hears, what a host sends while they start would grow with the fleet's square.
+    # All hosts of a fleet of equal hosts are active. If each sent its full view to each
+    # other host, the bytes that a host sends while the fleet starts would grow with the
+    # square of the fleet.
     def told(count):
         played = Played(even(count), needed=1e9)
         played.play(1.0)
@@ -83,8 +85,8 @@
 
 @pytest.mark.parametrize("count", [5, 24, 25, 60, 100])
 def test_changes_reach_every_active_host_in_two_steps(count):
-    # One host has a change from the store. It tells some twenty hosts at the most, and
-    # each of these the ones beside it.
+    # One host receives a change from the store. It sends the change to about twenty
+    # hosts at most, and each of these passes it on to the hosts of its group.
     played = Played(even(count), needed=1e9)
     played.play(1.0)
     follower = played.rosters["h-3"]
@@ -115,8 +117,8 @@
 
 
 def test_a_host_that_one_cannot_hear_lives_for_all_of_a_large_even_fleet():
-    # The stream between two hosts is cut. Callers that ask one of them must still be
-    # sent to the other, which all others hear.
+    # The stream between two hosts is cut. Look-ups at one of them must still name the
+    # other one, which is alive for all other hosts.
     played = Played(even(40), needed=1e9)
     played.play(1.0)
     played.cut.add(("h-0", "h-1"))
@@ -126,8 +128,8 @@
 
 
 def test_an_active_host_that_dies_is_named_no_longer_by_anyone():
-    # A host loses power. Callers that are sent to it wait a second for nothing; also
-    # hosts that never spoke to it must hear of its end.
+    # Callers that are sent to a host without power wait a second in vain. Hosts that
+    # never exchanged messages with the host must also learn of its loss.
     played = Played(infos())
     played.play(3.0)
     dead = sorted(played.large())[0]
@@ -138,8 +140,8 @@
 
 
 def test_a_standby_host_whose_relays_both_die_finds_others():
-    # Both hosts that tell a standby host everything lose power together. It must not
-    # take itself for the only one left, and must not name them for long.
+    # Both relays of a standby host lose power at once. The standby host must not
+    # consider itself the only host left, and must soon stop naming the relays.
     played = Played(infos())
     played.play(3.0)
     standby = next(r for r in played.living() if not r.is_active)
@@ -155,9 +157,10 @@
 
 
 def test_a_host_that_loses_all_near_active_ones_does_not_think_itself_alone():
-    # All large hosts of a region die together: the relays of its standby hosts and
-    # those that they would try next. Each must go on to hosts of the other region; one
-    # that took itself for the only host would be all that its callers are named.
+    # All large hosts of a region crash at once: the relays of its standby hosts and the
+    # hosts that these would try next. Each standby host must go on to hosts of the
+    # other region. A host that considered itself the only one would name only itself to
+    # callers.
     played = Played(infos())
     played.play(3.0)
     played.dead.update(name for name in played.large() if name.startswith("a"))
@@ -168,8 +171,8 @@
 
 
 def test_standby_hosts_take_over_when_all_active_ones_die():
-    # Every large host is lost at once. The small ones, which never spoke to each other,
-    # find one another and serve.
+    # All large hosts are lost at once. The small ones, which have never exchanged
+    # messages, must find each other and serve callers.
     played = Played(infos())
     played.play(3.0)
     played.dead.update(played.large())
@@ -182,8 +185,8 @@
 
 
 def test_a_cut_between_regions_heals():
-    # Two regions lose each other for a while. Each serves its callers, and both are one
-    # fleet again afterwards.
+    # Two regions are cut off from each other for a while. Each serves its own callers,
+    # and both are one fleet again afterwards.
     played = Played(infos())
     played.play(3.0)
     names = list(played.rosters)
@@ -199,8 +202,8 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_hosts_that_read_incomplete_lists_find_each_other(seed):
-    # All hosts start within 0.3 s and read the list while others are not in it yet. Of
-    # any two, the one that read later knows the other.
+    # All hosts start within 0.3 s and read the list of hosts while it is still
+    # incomplete. Of any two hosts, the one that read the list later knows the other.
     rng = random.Random(seed)
     hosts = infos(small=4)
     turn = {info.host_id: rng.random() for info in hosts}
@@ -224,15 +227,16 @@
     assert leaving not in played.active()
     named = addresses_for(played.rosters["a1-9"], "a", frozenset(), played.now)
     assert played.rosters[leaving].own.entry not in named
-    # It goes on telling the active hosts what it has in flight.
+    # The leaving host goes on sending its requests in flight to the active hosts.
     assert subscriptions(played.rosters[leaving], played.now) >= played.active()
     played.play(LINGER_S)
     assert len(subscriptions(played.rosters[leaving], played.now)) == RELAYS
 
 
 def test_parts_of_the_whole_add_up_to_one_at_most():
-    # What all hosts together may send to a cold server, or repeat, is a fixed sum.
-    # While hosts come and go and disagree for a moment, their parts must not exceed it.
+    # The requests that all hosts together may send to a cold server, or retry, are
+    # limited. The hosts' shares must not exceed this limit while hosts start and stop
+    # and disagree for a moment.
     played = Played(infos())
     victims = [*sorted(played.large())[:2], "b1-9"]
     for turn in range(60):
@@ -258,21 +262,22 @@
 
 
 def test_without_dialling_lost_hosts_a_cut_would_stay(monkeypatch):
-    # The guard taken out: each side of a cut goes on alone after it has healed.
+    # Without this guard, each side of a cut goes on alone after the cut has healed.
     monkeypatch.setattr(peer_selection, "_lost_active", lambda roster, now: iter(()))
     with pytest.raises(AssertionError):
         test_a_cut_between_regions_heals()
 
 
 def test_without_what_was_told_last_a_host_would_think_itself_alone(monkeypatch):
-    # The guard taken out: what relays told ends with their silence.
+    # Without this guard, the hosts that relays reported are forgotten as soon as the
+    # relays fall silent.
     monkeypatch.setattr(roster, "PEER_VIEW_VALID_S", SILENT_AFTER_S)
     with pytest.raises(AssertionError):
         test_a_host_that_loses_all_near_active_ones_does_not_think_itself_alone()
 
 
 def test_without_counting_those_that_share_parts_would_exceed_the_whole(monkeypatch):
-    # The guard taken out: once settled, each active host takes the whole for itself.
+    # Without this guard, each active host takes the whole share once it has settled.
     monkeypatch.setattr(
         fleet_shares, "_shares", lambda roster, host_id, entry, now: False
     )
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""Which hosts live, who watches the store, whom callers are told to use."""
+"""Which hosts are alive, which host watches the store, and which ones look-ups name."""
 
 from lacewingcross.core.fleet_shares import fleet_share, rank, region_share
 from lacewingcross.core.membership import HostInfo
@@ -30,7 +30,8 @@
 
 
 def test_a_silent_host_is_named_no_longer():
-    # A host loses power. Callers sent to it wait a second each before they try another.
+    # Callers that are sent to a host without power wait a second each before they try
+    # another host.
     made = roster(host(1))
     assert addresses_for(made, "a", frozenset(), 2.5) == ["10.0.0.0:1"]
 
@@ -70,8 +71,9 @@
 
 
 def test_callers_are_sent_to_the_large_hosts_of_a_mixed_fleet():
-    # Callers choose at random among the hosts that they are named. With an equal share
-    # the small hosts, a fifth as large, would be full long before the large ones.
+    # Callers choose at random among the hosts in an answer. With an equal share of the
+    # requests, the small hosts, a fifth as large, would be overloaded long before the
+    # large ones.
     named = addresses_for(mixed(), "a", frozenset(), 1.0)
     assert named == [f"10.0.0.{number}:1" for number in range(4)]
 
@@ -90,8 +92,9 @@
 
 
 def test_an_answer_names_no_more_hosts_than_callers_take():
-    # A region has a hundred hosts. Callers take an answer with more than 64 for a
-    # failure; with always the same 64 for all, the others would have nothing to do.
+    # A region has a hundred hosts. Callers treat an answer with more than 64 hosts as a
+    # failure. If all callers were given the same 64 hosts, the other hosts would be
+    # idle.
     made = roster(*(host(number) for number in range(1, 100)))
     named = [
         addresses_for(made, "a", frozenset(), 1.0, domain)
@@ -103,11 +106,12 @@
 
 
 def test_parts_follow_size_and_add_up_to_one():
-    # What all hosts together may send to a cold server, or repeat, is divided by what
-    # each can carry; a part by number would leave a large host a twenty-fourth.
+    # The requests that all hosts together may send to a cold server, or retry, are
+    # divided by processor time. Divided by the number of hosts, a large host would get
+    # one twenty-fourth.
     made = mixed()
     assert region_share(made, 1.0) == fleet_share(made, 1.0)
-    # The small hosts stand by, so the four large ones share the whole.
+    # The small hosts are standby hosts, so the four large ones share the whole.
     assert abs(region_share(made, 1.0) - 2.15 / (4 * 2.15)) < 1e-9
     made.note_alive(host(2, cores=2.15), 1, 0.5, leaving=True)
     made.note_alive(host(3, cores=2.15), 1, 0.5, leaving=True)
@@ -161,8 +165,8 @@
 
 
 def test_what_a_host_tells_and_hears_does_not_grow_with_the_fleet():
-    # Each host tells each other one. At one pace for all sizes a fleet of 80 hosts
-    # would spend its hosts on telling each other how busy they are.
+    # Each host sends its counts to each other one. At the same interval for all sizes,
+    # a fleet of 80 hosts would spend its processor time on these messages.
     def messages_a_second(hosts):
         made = roster(*(host(number) for number in range(1, hosts)))
         made.listed = True
@@ -173,8 +177,9 @@
 
 
 def test_hosts_that_leave_or_cannot_reach_the_store_rank_last():
-    # The host that follows the store is stopped, or the store answers it 503 and serves
-    # the others. Whoever is next must take over before anyone has to fall silent.
+    # The host that watches the store is stopped, or the store answers this host with
+    # 503 while it serves the other hosts. The next host must take over before any
+    # silence timeout.
     infos = [host(number) for number in range(1, 4)]
     made = roster(*infos)
     made.note_alive(infos[0], 1, 0.0, leaving=True)
@@ -203,8 +208,9 @@
 
 
 def test_a_host_that_knows_nobody_yet_does_not_take_the_whole_regions_share():
-    # All hosts are killed together while servers come back cold. Each one that starts
-    # knows itself only; five of them with a whole share each break the servers again.
+    # All hosts are killed at once while servers restart cold. Each host that starts
+    # knows only itself; five hosts with a whole share each would overload the servers
+    # again.
     made = roster()
     assert region_share(made, 1.0) <= 1 / 5
     made.note_alive(host(1), 1, 0.0, leaving=False)
@@ -214,8 +220,8 @@
 
 
 def test_a_host_that_has_not_read_the_configuration_is_not_named():
-    # A host restarts. Callers that are sent to it at once are refused with 503 until
-    # it has read the store; the others of its region could have served them.
+    # A host restarts. If callers are sent to it at once, it refuses them with 503 until
+    # it has read the store, although the other hosts of its region could serve them.
     made = roster(host(1))
     made.starting = True
     assert addresses_for(made, "a", frozenset(), 1.0) == ["10.0.0.1:1"]
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -1,4 +1,4 @@
-"""Hosts that stand by: a fleet of two large hosts and three small ones."""
+"""Standby hosts: a fleet of two large hosts and three small ones."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 
 
 async def mixed_fleet(made, *, servers=1, **route):
-    """Start two large hosts and three small ones; return them when they agree."""
+    """Start two large and three small hosts; return them once they agree."""
     made.configure(**route)
     for _ in range(servers):
         await made.add_server(answers_at_once)
@@ -49,8 +49,8 @@
 
 @in_loop
 async def test_the_metrics_tell_known_hosts_from_active_ones():
-    # An engineer compares the hosts that one knows with those that live and those that
-    # are active. A fleet of five was shown as one of two.
+    # Engineers compare the numbers of hosts that are known, alive and active. Guards
+    # against metrics that show a fleet of five hosts as one of two.
     async with fleet() as made:
         large, _ = await mixed_fleet(made)
         gauges = large[0].gateway.metrics.gauges
@@ -60,7 +60,7 @@
 
 @in_loop
 async def test_changes_reach_hosts_that_stand_by_without_a_call_of_theirs():
-    # Each call of the store is paid for. A host that stands by names itself, reads the
+    # Each call to the store costs money. A standby host writes its own entry, reads the
     # list of hosts and makes no further call, whatever operators change.
     async with fleet() as made:
         _, small = await mixed_fleet(made)
@@ -75,8 +75,9 @@
 
 @in_loop
 async def test_hosts_that_stand_by_take_over():
-    # Both large hosts lose power. The small ones must serve, be named, and follow the
-    # store themselves: an operator's change comes right after.
+    # Both large hosts lose power. The small hosts must serve callers, be named by
+    # look-ups, and watch the store themselves: an operator's change comes right after
+    # the loss.
     async with fleet() as made:
         large, small = await mixed_fleet(made)
         for app in large:
@@ -95,8 +96,9 @@
 
 @in_loop
 async def test_what_hosts_that_stand_by_see_of_servers_that_end_counts_everywhere():
-    # A request that ends servers comes in at small hosts, which speak to two large ones
-    # only. Each of them sees one server end, and none of them would refuse it.
+    # A request that crashes servers arrives at small hosts, which exchange messages
+    # only with the two large ones. Each small host sees one crash, too few to refuse
+    # the request on its own.
     async with fleet() as made, crashing_servers(made, 8) as servers:
         large, small = await mixed_fleet(made, servers=0, max_attempts=1)
         for app in small:
