--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -14,7 +14,7 @@
 STEP_S = 0.1
 
 
-def infos(small=8, large=2, regions="ab"):
+def host_infos(small=8, large=2, regions="ab"):
     """Return the hosts of two failure domains per region; a few of them are large."""
     return [
         HostInfo(
@@ -31,7 +31,7 @@
     ]
 
 
-class Played:
+class FleetModel:
     """A fleet of rosters in virtual time, without network and store.
 
     `cut` holds pairs of hosts that cannot reach each other, `dead` the crashed hosts.
@@ -48,70 +48,72 @@
 
     def start(self, own, others):
         """Start or restart a host that has read a list of other hosts."""
-        made = Roster(own)
-        made.needed = self.needed
-        made.listed = True
-        made.starting = False
+        roster = Roster(own)
+        roster.needed = self.needed
+        roster.listed = True
+        roster.starting = False
         for other in others:
-            made.learn(other, self.now)
-        made.review(self.now)
-        self.rosters[own.host_id] = made
+            roster.learn(other, self.now)
+        roster.review(self.now)
+        self.rosters[own.host_id] = roster
         self.dead.discard(own.host_id)
 
-    def reach(self, a, b):
+    def can_reach(self, a, b):
         """Return whether one host can reach another."""
-        living = b in self.rosters and b not in self.dead
-        return living and (a, b) not in self.cut and (b, a) not in self.cut
+        running = b in self.rosters and b not in self.dead
+        return running and (a, b) not in self.cut and (b, a) not in self.cut
 
-    def _speak(self, name, made):
-        speaks = subscriptions(made, self.now) | {
+    def _send_all(self, name, roster):
+        receivers = subscriptions(roster, self.now) | {
             other
-            for other, e in made.entries.items()
+            for other, e in roster.entries.items()
             if e.subscribes and e.live(self.now)
         }
-        for other in speaks:
-            if self.reach(name, other):
-                self._hear(self.rosters[other], made, other)
-
-    def _hear(self, listener, made, name):
-        subscribes = name in subscriptions(made, self.now)
-        listener.note_alive(
-            made.own, 1, self.now, leaving=made.leaving, subscribes=subscribes
+        for other in receivers:
+            if self.can_reach(name, other):
+                self._send(self.rosters[other], roster, other)
+
+    def _send(self, receiver, roster, receiver_id):
+        subscribes = receiver_id in subscriptions(roster, self.now)
+        receiver.note_alive(
+            roster.own, 1, self.now, leaving=roster.leaving, subscribes=subscribes
+        )
+        active = receiver_id not in roster.active
+        known = hosts_to_advertise(
+            roster, receiver_id, self.now, full_view_peers(roster)
         )
-        active = name not in made.active
-        known = hosts_to_advertise(made, name, self.now, full_view_peers(made))
         hosts = {info.host_id: info for info in known}
-        listener.take_peer_view(made.own.host_id, PeerView(active, hosts), self.now)
+        receiver.take_peer_view(roster.own.host_id, PeerView(active, hosts), self.now)
 
-    def play(self, seconds):
+    def advance(self, seconds):
         """Let all running hosts exchange messages and review their active hosts."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             alive = [(n, r) for n, r in self.rosters.items() if n not in self.dead]
-            for name, made in alive:
-                self._speak(name, made)
-            for _, made in alive:
-                made.review(self.now)
+            for name, roster in alive:
+                self._send_all(name, roster)
+            for _, roster in alive:
+                roster.review(self.now)
 
-    def living(self):
+    def running(self):
         """Return the rosters of the hosts that run."""
         return [r for n, r in self.rosters.items() if n not in self.dead]
 
     def active(self):
         """Return the hosts that consider themselves active."""
-        return {r.own.host_id for r in self.living() if r.is_active}
+        return {r.own.host_id for r in self.running() if r.is_active}
 
     def large(self):
         """Return the large hosts that run."""
-        return {r.own.host_id for r in self.living() if r.own.cores == LARGE}
+        return {r.own.host_id for r in self.running() if r.own.cores == LARGE}
 
 
-def assert_settled(played):
+def assert_settled(fleet):
     """Check that running hosts agree on the active hosts and name just these."""
-    active = played.active()
-    for made in played.living():
-        assert set(made.active) == active, made.own.host_id
-        for region in {info.region for info in made.active.values()}:
-            named = addresses_for(made, region, frozenset(), played.now)
-            own = {played.rosters[n].own for n in active}
+    active = fleet.active()
+    for roster in fleet.running():
+        assert set(roster.active) == active, roster.own.host_id
+        for region in {info.region for info in roster.active.values()}:
+            named = addresses_for(roster, region, frozenset(), fleet.now)
+            own = {fleet.rosters[n].own for n in active}
             assert set(named) == {i.entry for i in own if i.region == region}
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -7,9 +7,9 @@
 from lacewingcross.core.fleet_shares import fleet_share, rank, region_share
 from lacewingcross.core.named_hosts import addresses_for
 
-from .fleet_model import Played, assert_settled, infos
+from .fleet_model import FleetModel, assert_settled, host_infos
 
-HOSTS = infos(small=3)
+HOSTS = host_infos(small=3)
 NAMES = [info.host_id for info in HOSTS]
 BY_NAME = {info.host_id: info for info in HOSTS}
 DOMAINS = sorted({info.failure_domain for info in HOSTS})
@@ -24,62 +24,62 @@
 
     def __init__(self):
         super().__init__()
-        self.played = Played(HOSTS)
+        self.fleet = FleetModel(HOSTS)
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 2.5, 6.0]))
     def time_passes(self, seconds):
-        self.played.play(seconds)
+        self.fleet.advance(seconds)
 
     @rule(names=st.sets(st.sampled_from(NAMES), max_size=6))
     def hosts_die(self, names):
-        if len(self.played.dead | names) < len(NAMES):
-            self.played.dead.update(names)
+        if len(self.fleet.dead | names) < len(NAMES):
+            self.fleet.dead.update(names)
 
     @rule(domain=st.sampled_from(DOMAINS))
     def a_failure_domain_dies(self, domain):
         names = {i.host_id for i in HOSTS if i.failure_domain == domain}
-        if len(self.played.dead | names) < len(NAMES):
-            self.played.dead.update(names)
+        if len(self.fleet.dead | names) < len(NAMES):
+            self.fleet.dead.update(names)
 
-    @precondition(lambda self: self.played.dead)
+    @precondition(lambda self: self.fleet.dead)
     @rule(data=st.data())
     def a_host_starts_again(self, data):
-        name = data.draw(st.sampled_from(sorted(self.played.dead)))
-        self.played.start(BY_NAME[name], HOSTS)
+        name = data.draw(st.sampled_from(sorted(self.fleet.dead)))
+        self.fleet.start(BY_NAME[name], HOSTS)
 
     @rule(domain=st.sampled_from(DOMAINS))
     def a_failure_domain_is_cut_off(self, domain):
         inside = {i.host_id for i in HOSTS if i.failure_domain == domain}
-        self.played.cut |= {(x, y) for x in inside for y in NAMES if y not in inside}
+        self.fleet.cut |= {(x, y) for x in inside for y in NAMES if y not in inside}
 
     @rule(pair=st.tuples(st.sampled_from(NAMES), st.sampled_from(NAMES)))
     def two_hosts_lose_each_other(self, pair):
-        self.played.cut.add(pair)
+        self.fleet.cut.add(pair)
 
     @rule()
     def cuts_heal(self):
-        self.played.cut.clear()
+        self.fleet.cut.clear()
 
     @invariant()
     def everyone_names_somebody(self):
-        for made in self.played.living():
-            assert addresses_for(made, "a", frozenset(), self.played.now)
+        for roster in self.fleet.running():
+            assert addresses_for(roster, "a", frozenset(), self.fleet.now)
 
     def teardown(self):
-        played = self.played
-        played.cut.clear()
-        for name in sorted(played.dead):
-            played.start(BY_NAME[name], HOSTS)
-        played.play(SETTLED_S)
-        assert_settled(played)
-        living = played.living()
-        ranks = [rank(made, played.now) for made in living]
+        fleet = self.fleet
+        fleet.cut.clear()
+        for name in sorted(fleet.dead):
+            fleet.start(BY_NAME[name], HOSTS)
+        fleet.advance(SETTLED_S)
+        assert_settled(fleet)
+        running = fleet.running()
+        ranks = [rank(roster, fleet.now) for roster in running]
         assert ranks.count(0) == 1
-        assert sum(fleet_share(made, played.now) for made in living) <= 1 + 1e-9
+        assert sum(fleet_share(roster, fleet.now) for roster in running) <= 1 + 1e-9
         for region in "ab":
-            here = [made for made in living if made.own.region == region]
-            parts = sum(region_share(made, played.now) for made in here)
-            assert parts <= 1 + 1e-9
+            here = [roster for roster in running if roster.own.region == region]
+            shares = sum(region_share(roster, fleet.now) for roster in here)
+            assert shares <= 1 + 1e-9
 
 
 TestFleetMachine = FleetMachine.TestCase
