--- a/tests/test_active.py
+++ b/tests/test_active.py
@@ -47,7 +47,7 @@
     return Configuration(1, (route,), {}, CallerLimits())
 
 
-def test_a_fleet_of_a_few_large_hosts_and_many_small_ones_names_the_large_ones():
+def test_the_large_hosts_of_a_mixed_fleet_are_active():
     # Nine of 63 hosts have nearly half of the processor time. If all 63 were active,
     # each server's requests would be spread over 63 hosts that know little of each
     # other's load.
@@ -57,7 +57,7 @@
     assert all(domains.count(domain) >= 2 for domain in ("a1", "a2", "a3"))
 
 
-def test_more_load_names_more_hosts_until_half_of_the_time_is_named():
+def test_more_load_makes_more_hosts_active_until_half_of_the_processor_time():
     sizes = [len(active_hosts(fleet(), needed)) for needed in (0.0, 15.0, 30.0, 1e9)]
     assert sizes == sorted(sizes)
     assert sizes[0] == 6
@@ -74,24 +74,24 @@
     assert len(chosen) * LARGE >= 8.0
 
 
-def test_small_hosts_step_in_when_all_large_ones_are_lost():
+def test_small_hosts_become_active_when_all_large_ones_are_lost():
     left = [info for info in fleet() if info.cores == SMALL]
     chosen = active_hosts(left, 3.0)
     assert len(chosen) == 7
 
 
-def test_an_even_fleet_under_full_load_names_all():
+def test_all_hosts_of_equal_size_are_active_under_full_load():
     hosts = [host(f"h{number}", "a", f"a{number % 3}", 0.86) for number in range(9)]
     assert len(active_hosts(hosts, 20.0)) == 9
 
 
-def test_each_region_names_its_own():
+def test_each_region_has_active_hosts_of_its_own():
     hosts = [host("a", "a", "a1"), host("b", "b", "b1"), host("c", "b", "b2")]
     assert {info.region for info in active_hosts(hosts, 1.0)} == {"a", "b"}
     assert active_hosts([], 1.0) == []
 
 
-def test_what_is_needed_follows_slots_and_targets():
+def test_needed_cores_follow_slots_and_targets():
     servers = [server(number) for number in range(10)]
     assert cores_needed(None, servers) == 0.0
     fast = cores_needed(config(0.2), servers)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,7 +19,7 @@
     return result
 
 
-def test_broken_link_takes_a_host_out_at_once_whatever_the_list_says():
+def test_broken_connection_removes_a_host_at_once_despite_the_list():
     """Guards against look-ups that send callers to a crashed host.
 
     The platform's list still names the host as live for seconds after its crash.
@@ -34,7 +34,7 @@
     assert view.state_of("h1", 2.0) == LIVE
 
 
-def test_silence_takes_a_host_out():
+def test_silence_timeout_removes_a_host():
     view = members()
     view.on_heartbeat("h1", beat(), 1.0)
     assert view.state_of("h1", 2.4) == LIVE
@@ -42,7 +42,7 @@
     assert "h1" not in {info.host_id for info in view.live(2.6)}
 
 
-def test_host_missing_from_a_stale_list_stays_while_it_is_heard():
+def test_host_missing_from_a_stale_list_stays_while_its_heartbeats_arrive():
     view = members()
     view.on_heartbeat("h1", beat(), 10.0)
     view.on_list([host("own")], 10.1)
@@ -50,7 +50,7 @@
     assert view.on_list([host("own")], 20.0) == ["h1"]
 
 
-def test_leaving_by_own_word_list_or_drain():
+def test_leaving_by_heartbeat_list_or_drain():
     view = members()
     view.on_heartbeat("h1", beat("leaving"), 1.0)
     assert view.state_of("h1", 1.0) == LEAVING
@@ -63,14 +63,14 @@
     assert view.leaving(1.0) == []
 
 
-def test_host_that_the_list_does_not_name_joins_by_its_hello():
+def test_host_missing_from_the_list_joins_by_its_hello():
     """A host that starts during a platform outage is missing from the list."""
     view = members()
     view.on_hello(host("new"), 5, 1.0)
     assert view.state_of("new", 1.0) == LIVE
 
 
-def test_kept_live_set_changes_when_time_alone_changes_it():
+def test_cached_live_set_changes_when_time_alone_changes_it():
     view = members()
     view.on_heartbeat("h1", beat(), 1.0)
     view.on_heartbeat("h2", beat(), 1.9)
@@ -79,7 +79,7 @@
     assert {info.host_id for info in view.live(3.5)} == {"own"}
 
 
-def test_hosts_with_addresses_that_cannot_be_dialled_are_not_learnt():
+def test_hosts_with_invalid_addresses_are_not_added():
     view = members()
     odd = HostInfo("odd", "r1", "d1", "nowhere", "127.0.0.1:99999")
     view.learn([odd, host("h3")], 1.0)
@@ -87,7 +87,7 @@
     assert view.info("h3") is not None
 
 
-def test_what_is_derived_from_the_live_set_goes_when_it_changes():
+def test_derived_cache_is_emptied_when_the_live_set_changes():
     """Owners are cached for speed; a crashed host must not remain an owner."""
     view = members()
     view.on_heartbeat("h1", beat(), 1.0)
--- a/tests/test_peer_selection.py
+++ b/tests/test_peer_selection.py
@@ -37,7 +37,7 @@
             assert len(domains) == RELAYS
 
 
-def test_what_a_standby_host_hears_does_not_grow_with_the_fleet():
+def test_peers_of_a_standby_host_do_not_grow_with_the_fleet():
     # If each host sent messages to each other one, 195 hosts would send 52,000 messages
     # a second.
     def max_peers(small):
@@ -56,7 +56,7 @@
     ]
 
 
-def test_what_a_host_of_an_even_fleet_tells_does_not_grow_with_its_square():
+def test_reports_of_a_host_do_not_grow_with_the_square_of_a_fleet_of_equal_hosts():
     # All hosts of a fleet of equal hosts are active. If each sent its full view to each
     # other host, the bytes that a host sends while the fleet starts would grow with the
     # square of the fleet.
@@ -76,7 +76,7 @@
     assert hosts_sent(40) <= FULL_VIEW_SENDERS * 40
 
 
-def test_each_active_host_hears_from_enough_tellers():
+def test_each_active_host_receives_enough_full_views():
     fleet = FleetModel(equal_hosts(40), needed=1e9)
     fleet.advance(1.0)
     sender_counts = Counter(h for r in fleet.running() for h in full_view_peers(r))
@@ -117,7 +117,7 @@
     assert reached == {r.own.host_id for r in fleet.running()}
 
 
-def test_a_host_that_one_cannot_hear_lives_for_all_of_a_large_even_fleet():
+def test_a_host_that_one_cannot_reach_is_alive_for_all_of_a_large_fleet():
     # The stream between two hosts is cut. Look-ups at one of them must still name the
     # other one, which is alive for all other hosts.
     fleet = FleetModel(equal_hosts(40), needed=1e9)
@@ -128,7 +128,7 @@
     assert "h-0" in fleet.rosters["h-1"].live_ids(fleet.now)
 
 
-def test_an_active_host_that_dies_is_named_no_longer_by_anyone():
+def test_no_host_names_a_crashed_active_host():
     # Callers that are sent to a host without power wait a second in vain. Hosts that
     # never exchanged messages with the host must also learn of its loss.
     fleet = FleetModel(host_infos())
@@ -140,7 +140,7 @@
     assert_settled(fleet)
 
 
-def test_a_standby_host_whose_relays_both_die_finds_others():
+def test_a_standby_host_whose_relays_both_crash_finds_others():
     # Both relays of a standby host lose power at once. The standby host must not
     # consider itself the only host left, and must soon stop naming the relays.
     fleet = FleetModel(host_infos())
@@ -157,7 +157,7 @@
     assert_settled(fleet)
 
 
-def test_a_host_that_loses_all_near_active_ones_does_not_think_itself_alone():
+def test_a_host_that_loses_the_active_ones_of_its_region_is_not_alone():
     # All large hosts of a region crash at once: the relays of its standby hosts and the
     # hosts that these would try next. Each standby host must go on to hosts of the
     # other region. A host that considered itself the only one would name only itself to
@@ -171,7 +171,7 @@
     assert_settled(fleet)
 
 
-def test_standby_hosts_take_over_when_all_active_ones_die():
+def test_standby_hosts_take_over_when_all_active_ones_crash():
     # All large hosts are lost at once. The small ones, which have never exchanged
     # messages, must find each other and serve callers.
     fleet = FleetModel(host_infos())
@@ -236,7 +236,7 @@
     assert len(subscriptions(fleet.rosters[leaving], fleet.now)) == RELAYS
 
 
-def test_parts_of_the_whole_add_up_to_one_at_most():
+def test_shares_add_up_to_one_at_most():
     # The requests that all hosts together may send to a cold server, or retry, are
     # limited. The hosts' shares must not exceed this limit while hosts start and stop
     # and disagree for a moment.
@@ -256,7 +256,7 @@
             assert sum(region_share(r, fleet.now) for r in here) <= 1 + 1e-9
 
 
-def test_one_host_follows_the_store_for_a_fleet_of_any_size():
+def test_one_host_watches_the_store_in_a_fleet_of_any_size():
     fleet = FleetModel(host_infos(small=24))
     fleet.advance(2.0)
     ranks = [rank(host_roster, fleet.now) for host_roster in fleet.running()]
@@ -264,25 +264,25 @@
     assert ranks.count(None) == sum(not r.is_active for r in fleet.running())
 
 
-def test_without_dialling_lost_hosts_a_cut_would_stay(monkeypatch):
+def test_without_connecting_to_lost_hosts_a_cut_would_stay(monkeypatch):
     # Without this guard, each side of a cut goes on alone after the cut has healed.
     monkeypatch.setattr(peer_selection, "_lost_active", lambda roster, now: iter(()))
     with pytest.raises(AssertionError):
         test_a_cut_between_regions_heals()
 
 
-def test_without_what_was_told_last_a_host_would_think_itself_alone(monkeypatch):
+def test_without_the_last_reports_a_host_would_consider_itself_alone(monkeypatch):
     # Without this guard, the hosts that relays reported are forgotten as soon as the
     # relays fall silent.
     monkeypatch.setattr(roster, "PEER_VIEW_VALID_S", SILENT_AFTER_S)
     with pytest.raises(AssertionError):
-        test_a_host_that_loses_all_near_active_ones_does_not_think_itself_alone()
+        test_a_host_that_loses_the_active_ones_of_its_region_is_not_alone()
 
 
-def test_without_counting_those_that_share_parts_would_exceed_the_whole(monkeypatch):
+def test_without_counting_all_sharing_hosts_shares_would_exceed_the_whole(monkeypatch):
     # Without this guard, each active host takes the whole share once it has settled.
     monkeypatch.setattr(
         fleet_shares, "_shares", lambda roster, host_id, entry, now: False
     )
     with pytest.raises(AssertionError):
-        test_parts_of_the_whole_add_up_to_one_at_most()
+        test_shares_add_up_to_one_at_most()
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -29,14 +29,14 @@
     assert addresses_for(made, "b", frozenset(), 1.0) == ["10.0.0.2:1"]
 
 
-def test_a_silent_host_is_named_no_longer():
+def test_a_silent_host_is_no_longer_named():
     # Callers that are sent to a host without power wait a second each before they try
     # another host.
     made = roster(host(1))
     assert addresses_for(made, "a", frozenset(), 2.5) == ["10.0.0.0:1"]
 
 
-def test_a_leaving_host_is_named_no_longer():
+def test_a_leaving_host_is_no_longer_named():
     made = roster(host(1))
     made.note_alive(host(1), 1, 1.0, leaving=True)
     assert addresses_for(made, "a", frozenset(), 1.0) == ["10.0.0.0:1"]
@@ -78,7 +78,7 @@
     assert named == [f"10.0.0.{number}:1" for number in range(4)]
 
 
-def test_small_hosts_step_in_when_large_ones_are_lost():
+def test_small_hosts_become_active_when_large_ones_are_lost():
     made = mixed()
     for number in (1, 2):
         made.note_alive(host(number, cores=2.15), 1, 0.5, leaving=True)
@@ -91,7 +91,7 @@
     assert len(addresses_for(made, "a", frozenset(), 1.0)) == 9
 
 
-def test_an_answer_names_no_more_hosts_than_callers_take():
+def test_an_answer_names_no_more_hosts_than_callers_accept():
     # A region has a hundred hosts. Callers treat an answer with more than 64 hosts as a
     # failure. If all callers were given the same 64 hosts, the other hosts would be
     # idle.
@@ -105,7 +105,7 @@
     assert len(set().union(*named)) > 90
 
 
-def test_parts_follow_size_and_add_up_to_one():
+def test_shares_follow_size_and_add_up_to_one():
     # The requests that all hosts together may send to a cold server, or retry, are
     # divided by processor time. Divided by the number of hosts, a large host would get
     # one twenty-fourth.
@@ -124,7 +124,7 @@
     assert region_share(alone, 1.0) == 1.0
 
 
-def test_the_store_is_followed_by_a_large_host():
+def test_a_large_host_watches_the_store():
     infos = [host(number, cores=2.0 if number == 3 else 0.5) for number in range(5)]
     for own in infos:
         made = Roster(own)
@@ -164,7 +164,7 @@
     assert sorted(ranks) == [0, 1, 2, 3, 4, 5]
 
 
-def test_what_a_host_tells_and_hears_does_not_grow_with_the_fleet():
+def test_messages_of_a_host_are_bounded_in_a_fleet_of_any_size():
     # Each host sends its counts to each other one. At the same interval for all sizes,
     # a fleet of 80 hosts would spend its processor time on these messages.
     def messages_a_second(hosts):
@@ -192,14 +192,14 @@
     assert rank(made, 1.0) >= 1
 
 
-def test_what_the_store_says_does_not_replace_what_a_live_host_says_itself():
+def test_the_store_does_not_replace_what_a_live_host_sent_itself():
     made = roster(host(1))
     stale = HostInfo("host-1", "a", "a1", "10.9.9.9:1", "10.9.9.9:2")
     assert not made.learn(stale, 1.0)
     assert made.learn(stale, 5.0)
 
 
-def test_a_host_that_is_long_silent_is_forgotten():
+def test_a_host_is_forgotten_after_a_long_silence():
     made = roster(host(1))
     assert made.forget_silent(30.0) == []
     assert made.forget_silent(61.0) == ["host-1"]
@@ -207,7 +207,7 @@
     assert region_share(made, 1.0) == 1.0
 
 
-def test_a_host_that_knows_nobody_yet_does_not_take_the_whole_regions_share():
+def test_a_host_that_knows_no_other_yet_does_not_take_the_whole_regions_share():
     # All hosts are killed at once while servers restart cold. Each host that starts
     # knows only itself; five hosts with a whole share each would overload the servers
     # again.
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -38,7 +38,7 @@
 
 
 @in_loop
-async def test_any_host_names_the_large_ones_and_serves_what_it_is_sent():
+async def test_any_host_names_the_large_ones_and_serves_requests_itself():
     async with fleet() as made:
         large, small = await mixed_fleet(made)
         expected = {app.gateway.cfg.entry for app in large}
@@ -48,7 +48,7 @@
 
 
 @in_loop
-async def test_the_metrics_tell_known_hosts_from_active_ones():
+async def test_the_metrics_distinguish_known_hosts_from_active_ones():
     # Engineers compare the numbers of hosts that are known, alive and active. Guards
     # against metrics that show a fleet of five hosts as one of two.
     async with fleet() as made:
@@ -59,7 +59,7 @@
 
 
 @in_loop
-async def test_changes_reach_hosts_that_stand_by_without_a_call_of_theirs():
+async def test_changes_reach_standby_hosts_without_calls_to_the_store():
     # Each call to the store costs money. A standby host writes its own entry, reads the
     # list of hosts and makes no further call, whatever operators change.
     async with fleet() as made:
@@ -74,7 +74,7 @@
 
 
 @in_loop
-async def test_hosts_that_stand_by_take_over():
+async def test_standby_hosts_take_over():
     # Both large hosts lose power. The small hosts must serve callers, be named by
     # look-ups, and watch the store themselves: an operator's change comes right after
     # the loss.
@@ -95,7 +95,7 @@
 
 
 @in_loop
-async def test_what_hosts_that_stand_by_see_of_servers_that_end_counts_everywhere():
+async def test_crashes_seen_by_standby_hosts_count_everywhere():
     # A request that crashes servers arrives at small hosts, which exchange messages
     # only with the two large ones. Each small host sees one crash, too few to refuse
     # the request on its own.
