--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -18,16 +18,16 @@
     """Return the hosts of two failure domains per region; a few of them are large."""
     return [
         HostInfo(
-            f"{region}{domain}-{number}",
+            f"{region}{domain}-{index}",
             region,
             f"{region}{domain}",
-            f"10.0.{region}{domain}.{number}:1",
-            f"10.0.{region}{domain}.{number}:2",
-            cores=LARGE if number < large else SMALL,
+            f"10.0.{region}{domain}.{index}:1",
+            f"10.0.{region}{domain}.{index}:2",
+            cores=LARGE if index < large else SMALL,
         )
         for region in regions
         for domain in (1, 2)
-        for number in range(large + small)
+        for index in range(large + small)
     ]
 
 
--- a/tests/test_active.py
+++ b/tests/test_active.py
@@ -19,14 +19,14 @@
 def fleet(large=3, small=18, domains=("a1", "a2", "a3")):
     """Return one region like those of the largest deployment."""
     return [
-        host(f"{domain}-{number}", "a", domain, LARGE if number < large else SMALL)
+        host(f"{domain}-{index}", "a", domain, LARGE if index < large else SMALL)
         for domain in domains
-        for number in range(large + small)
+        for index in range(large + small)
     ]
 
 
-def server(number, service="calendar", slots=5):
-    entry = ServerEntry(f"i-{number}", service, "10.0.0.1:1", "a1", slots, False, 0.0)
+def server(index, service="calendar", slots=5):
+    entry = ServerEntry(f"i-{index}", service, "10.0.0.1:1", "a1", slots, False, 0.0)
     return Server(entry, "a", 0.0)
 
 
@@ -68,20 +68,20 @@
 def test_a_lost_failure_domain_leaves_enough_without_small_hosts():
     # A failure domain loses power. The remaining large hosts carry the region; small
     # ones that callers choose with the same probability would be overloaded first.
-    left = [info for info in fleet() if info.failure_domain != "a1"]
-    chosen = active_hosts(left, 8.0)
+    remaining = [info for info in fleet() if info.failure_domain != "a1"]
+    chosen = active_hosts(remaining, 8.0)
     assert {info.cores for info in chosen} == {LARGE}
     assert len(chosen) * LARGE >= 8.0
 
 
 def test_small_hosts_become_active_when_all_large_ones_are_lost():
-    left = [info for info in fleet() if info.cores == SMALL]
-    chosen = active_hosts(left, 3.0)
+    remaining = [info for info in fleet() if info.cores == SMALL]
+    chosen = active_hosts(remaining, 3.0)
     assert len(chosen) == 7
 
 
 def test_all_hosts_of_equal_size_are_active_under_full_load():
-    hosts = [host(f"h{number}", "a", f"a{number % 3}", 0.86) for number in range(9)]
+    hosts = [host(f"h{index}", "a", f"a{index % 3}", 0.86) for index in range(9)]
     assert len(active_hosts(hosts, 20.0)) == 9
 
 
@@ -92,7 +92,7 @@
 
 
 def test_needed_cores_follow_slots_and_targets():
-    servers = [server(number) for number in range(10)]
+    servers = [server(index) for index in range(10)]
     assert cores_needed(None, servers) == 0.0
     fast = cores_needed(config(0.2), servers)
     slow = cores_needed(config(1.0), servers)
@@ -123,14 +123,14 @@
     # Every host chooses the active hosts on its own. If two hosts chose differently
     # from the same information, the shares would add up to more than the whole.
     hosts = [
-        host(f"h{number}", region, region + domain, cores)
-        for number, (region, domain, cores) in enumerate(specs)
+        host(f"h{index}", region, region + domain, cores)
+        for index, (region, domain, cores) in enumerate(specs)
     ]
     chosen = active_hosts(hosts, needed)
-    mixed = list(hosts)
-    rng.shuffle(mixed)
+    shuffled = list(hosts)
+    rng.shuffle(shuffled)
     names = {info.host_id for info in chosen}
-    assert {info.host_id for info in active_hosts(mixed, needed)} == names
+    assert {info.host_id for info in active_hosts(shuffled, needed)} == names
     assert {info.region for info in chosen} == {info.region for info in hosts}
     # The loss of a standby host must not make another host active.
     for lost in [info for info in hosts if info.host_id not in names][:1]:
--- a/tests/test_differential.py
+++ b/tests/test_differential.py
@@ -116,11 +116,11 @@
 
 
 @given(counts, counts, st.integers(0, BUCKETS))
-def test_move_towards_moves_as_few_as_possible(have, target, budget):
-    table = fresh_table(have)
+def test_move_towards_moves_as_few_as_possible(current, target, budget):
+    table = fresh_table(current)
     moved_table, moved = move_towards(table, target, budget)
     changed = sum(x != y for x, y in zip(table, moved_table, strict=True))
-    needed = sum(max(0, target[reg] - have[reg]) for reg in REGIONS)
+    needed = sum(max(0, target[reg] - current[reg]) for reg in REGIONS)
     assert changed == moved == min(budget, needed)
     plan = Plan("s", {"g": moved_table})
     assert decode_plan("s", encode_plan(plan)).tables == plan.tables
@@ -142,7 +142,7 @@
             effective.advance(cap, now)
         series.append((now, list(effective.tables["g"])))
         pairs = zip(effective.tables["g"], effective.wanted.tables["g"], strict=True)
-        assert effective.behind() == sum(have != want for have, want in pairs)
+        assert effective.behind() == sum(current != want for current, want in pairs)
     for index, (at, table) in enumerate(series):
         for later, later_table in series[index:]:
             if later - at <= cap.window_s:
@@ -263,7 +263,7 @@
         ]
         self.keeper.servers.declare(iter(servers), self.leaving, self.now)
 
-    def _take(self, replies):
+    def _check_replies(self, replies):
         for reply in replies:
             message = reply.message
             self.answered[message.request_id] += 1
@@ -280,7 +280,7 @@
         request_id = f"r{self.asked}"
         self.waiting[request_id] = self.now + remaining
         ask = msg.Acquire("s", "r", request_id, remaining, [])
-        self._take(self.keeper.acquire("h", ask, self.now))
+        self._check_replies(self.keeper.acquire("h", ask, self.now))
 
     @precondition(lambda self: self.granted)
     @rule(data=st.data(), result=st.sampled_from(["answered", "failed", "shed"]))
@@ -289,14 +289,14 @@
         server_id, _ = self.granted.pop(permit)
         done = msg.Release("s", "r", permit, server_id, result, 0.05)
         for _ in range(data.draw(st.integers(1, 2))):
-            self._take(self.keeper.release(done, self.now))
+            self._check_replies(self.keeper.release(done, self.now))
 
     @rule(seconds=st.floats(0.01, 2.0))
     def pass_time(self, seconds):
         self.now += seconds
         held = [(server, permit) for permit, (server, _) in self.granted.items()]
         self.keeper.renew("h", held, self.now)
-        self._take(self.keeper.tick(self.now))
+        self._check_replies(self.keeper.tick(self.now))
 
     @rule(name=st.sampled_from(["s0", "s1"]))
     def drain_or_return(self, name):
@@ -326,7 +326,7 @@
 
     @invariant()
     def nothing_waits_past_its_deadline_after_a_tick(self):
-        self._take(self.keeper.tick(self.now))
+        self._check_replies(self.keeper.tick(self.now))
         for deadline in self.waiting.values():
             assert deadline >= self.now
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -41,30 +41,30 @@
 field_names = st.sampled_from(tuple(FIELDS.split()))
 specs = st.dictionaries(field_names, json_values, max_size=6)
 names = st.text("abcXYZ019._-", min_size=1, max_size=10)
-small = st.integers(-(2**40), 2**40)
+small_ints = st.integers(-(2**40), 2**40)
 floats = st.floats(0, 1e9)
 messages = st.one_of(
-    st.builds(msg.Hello, names, small, small, names, names, names, names),
+    st.builds(msg.Hello, names, small_ints, small_ints, names, names, names, names),
     st.builds(
         msg.Heartbeat,
         names,
-        small,
-        small,
-        st.lists(st.tuples(names, small), max_size=3),
-        st.lists(st.tuples(names, small, small, floats), max_size=3),
+        small_ints,
+        small_ints,
+        st.lists(st.tuples(names, small_ints), max_size=3),
+        st.lists(st.tuples(names, small_ints, small_ints, floats), max_size=3),
     ),
     st.builds(msg.Acquire, names, names, names, floats, st.lists(names, max_size=3)),
-    st.builds(msg.Grant, names, names, names, small, names, floats),
+    st.builds(msg.Grant, names, names, names, small_ints, names, floats),
     st.builds(msg.Denied, names, names, names, names, floats),
-    st.builds(msg.Release, names, names, small, names, names, floats),
-    st.builds(msg.Reuse, names, names, small, names, floats, names),
+    st.builds(msg.Release, names, names, small_ints, names, names, floats),
+    st.builds(msg.Reuse, names, names, small_ints, names, floats, names),
     st.builds(
         msg.ConfigPush,
-        small,
-        st.lists(st.tuples(names, small, st.text(max_size=20)), max_size=3),
+        small_ints,
+        st.lists(st.tuples(names, small_ints, st.text(max_size=20)), max_size=3),
         st.booleans(),
     ),
-    st.builds(msg.RegionLoad, names, names, small, small, floats, floats),
+    st.builds(msg.RegionLoad, names, names, small_ints, small_ints, floats, floats),
 )
 
 
@@ -151,14 +151,14 @@
     # All hosts of a fleet must refuse the same frames. A host that accepts a frame that
     # the other hosts refuse would go on using a stream that they have closed.
     values = msgpack.unpackb(wire.encode(message)[4:])
-    place = data.draw(st.integers(0, len(values)))
-    change = data.draw(st.sampled_from(["none", "put", "drop", "add"]))
-    if change == "put" and place < len(values):
-        values[place] = data.draw(json_values)
-    elif change == "drop":
-        del values[place:]
-    elif change == "add":
-        values.insert(place, data.draw(json_values))
+    index = data.draw(st.integers(0, len(values)))
+    edit = data.draw(st.sampled_from(["none", "put", "drop", "add"]))
+    if edit == "put" and index < len(values):
+        values[index] = data.draw(json_values)
+    elif edit == "drop":
+        del values[index:]
+    elif edit == "add":
+        values.insert(index, data.draw(json_values))
     try:
         body = msgpack.packb(values)
     except (OverflowError, ValueError):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,11 +9,11 @@
     return HostInfo(name, region, domain, "127.0.0.1:1", "127.0.0.1:2", listed)
 
 
-def beat(state="live", revision=1):
+def heartbeat(state="live", revision=1):
     return Heartbeat(state, revision, 0, [], [])
 
 
-def members():
+def new_membership():
     result = Membership(host("own"))
     result.on_list([host("own"), host("h1"), host("h2")], 0.0)
     return result
@@ -24,86 +24,86 @@
 
     The platform's list still names the host as live for seconds after its crash.
     """
-    view = members()
-    view.on_heartbeat("h1", beat(), 1.0)
-    assert {info.host_id for info in view.live(1.0)} == {"own", "h1", "h2"}
-    view.on_broken("h1", 1.1)
-    view.on_list([host("own"), host("h1"), host("h2")], 1.2)
-    assert view.state_of("h1", 1.2) == DOWN
-    view.on_heartbeat("h1", beat(), 2.0)
-    assert view.state_of("h1", 2.0) == LIVE
+    membership = new_membership()
+    membership.on_heartbeat("h1", heartbeat(), 1.0)
+    assert {info.host_id for info in membership.live(1.0)} == {"own", "h1", "h2"}
+    membership.on_broken("h1", 1.1)
+    membership.on_list([host("own"), host("h1"), host("h2")], 1.2)
+    assert membership.state_of("h1", 1.2) == DOWN
+    membership.on_heartbeat("h1", heartbeat(), 2.0)
+    assert membership.state_of("h1", 2.0) == LIVE
 
 
 def test_silence_timeout_removes_a_host():
-    view = members()
-    view.on_heartbeat("h1", beat(), 1.0)
-    assert view.state_of("h1", 2.4) == LIVE
-    assert view.state_of("h1", 2.6) == DOWN
-    assert "h1" not in {info.host_id for info in view.live(2.6)}
+    membership = new_membership()
+    membership.on_heartbeat("h1", heartbeat(), 1.0)
+    assert membership.state_of("h1", 2.4) == LIVE
+    assert membership.state_of("h1", 2.6) == DOWN
+    assert "h1" not in {info.host_id for info in membership.live(2.6)}
 
 
 def test_host_missing_from_a_stale_list_stays_while_its_heartbeats_arrive():
-    view = members()
-    view.on_heartbeat("h1", beat(), 10.0)
-    view.on_list([host("own")], 10.1)
-    assert view.state_of("h1", 10.2) == LIVE
-    assert view.on_list([host("own")], 20.0) == ["h1"]
+    membership = new_membership()
+    membership.on_heartbeat("h1", heartbeat(), 10.0)
+    membership.on_list([host("own")], 10.1)
+    assert membership.state_of("h1", 10.2) == LIVE
+    assert membership.on_list([host("own")], 20.0) == ["h1"]
 
 
 def test_leaving_by_heartbeat_list_or_drain():
-    view = members()
-    view.on_heartbeat("h1", beat("leaving"), 1.0)
-    assert view.state_of("h1", 1.0) == LEAVING
-    view.on_list([host("own"), host("h1"), host("h2", listed=LEAVING)], 1.0)
-    assert view.state_of("h2", 1.0) == LEAVING
-    view = members()
-    view.set_drained({"h2"})
-    assert [info.host_id for info in view.leaving(1.0)] == ["h2"]
-    view.set_drained(set())
-    assert view.leaving(1.0) == []
+    membership = new_membership()
+    membership.on_heartbeat("h1", heartbeat("leaving"), 1.0)
+    assert membership.state_of("h1", 1.0) == LEAVING
+    membership.on_list([host("own"), host("h1"), host("h2", listed=LEAVING)], 1.0)
+    assert membership.state_of("h2", 1.0) == LEAVING
+    membership = new_membership()
+    membership.set_drained({"h2"})
+    assert [info.host_id for info in membership.leaving(1.0)] == ["h2"]
+    membership.set_drained(set())
+    assert membership.leaving(1.0) == []
 
 
 def test_host_missing_from_the_list_joins_by_its_hello():
     """A host that starts during a platform outage is missing from the list."""
-    view = members()
-    view.on_hello(host("new"), 5, 1.0)
-    assert view.state_of("new", 1.0) == LIVE
+    membership = new_membership()
+    membership.on_hello(host("new"), 5, 1.0)
+    assert membership.state_of("new", 1.0) == LIVE
 
 
 def test_cached_live_set_changes_when_time_alone_changes_it():
-    view = members()
-    view.on_heartbeat("h1", beat(), 1.0)
-    view.on_heartbeat("h2", beat(), 1.9)
-    assert len(view.live(2.0)) == 3
-    assert {info.host_id for info in view.live(2.6)} == {"own", "h2"}
-    assert {info.host_id for info in view.live(3.5)} == {"own"}
+    membership = new_membership()
+    membership.on_heartbeat("h1", heartbeat(), 1.0)
+    membership.on_heartbeat("h2", heartbeat(), 1.9)
+    assert len(membership.live(2.0)) == 3
+    assert {info.host_id for info in membership.live(2.6)} == {"own", "h2"}
+    assert {info.host_id for info in membership.live(3.5)} == {"own"}
 
 
 def test_hosts_with_invalid_addresses_are_not_added():
-    view = members()
-    odd = HostInfo("odd", "r1", "d1", "nowhere", "127.0.0.1:99999")
-    view.learn([odd, host("h3")], 1.0)
-    assert view.info("odd") is None
-    assert view.info("h3") is not None
+    membership = new_membership()
+    invalid = HostInfo("odd", "r1", "d1", "nowhere", "127.0.0.1:99999")
+    membership.learn([invalid, host("h3")], 1.0)
+    assert membership.info("odd") is None
+    assert membership.info("h3") is not None
 
 
 def test_derived_cache_is_emptied_when_the_live_set_changes():
     """Owners are cached for speed; a crashed host must not remain an owner."""
-    view = members()
-    view.on_heartbeat("h1", beat(), 1.0)
-    view.on_heartbeat("h2", beat(), 1.0)
-    view.derived(1.1)["planner/s"] = "h1"
-    view.on_heartbeat("h1", beat(revision=2), 2.0)
-    view.on_heartbeat("h2", beat(revision=2), 2.0)
-    assert view.derived(2.6) == {"planner/s": "h1"}
-    view.on_broken("h1", 2.7)
-    assert view.derived(2.7) == {}
+    membership = new_membership()
+    membership.on_heartbeat("h1", heartbeat(), 1.0)
+    membership.on_heartbeat("h2", heartbeat(), 1.0)
+    membership.derived(1.1)["planner/s"] = "h1"
+    membership.on_heartbeat("h1", heartbeat(revision=2), 2.0)
+    membership.on_heartbeat("h2", heartbeat(revision=2), 2.0)
+    assert membership.derived(2.6) == {"planner/s": "h1"}
+    membership.on_broken("h1", 2.7)
+    assert membership.derived(2.7) == {}
 
 
 def _fleet(count, domains, regions):
     return [
-        Place(f"h{num}", f"r{num % domains % regions}", f"d{num % domains}")
-        for num in range(count)
+        Place(f"h{index}", f"r{index % domains % regions}", f"d{index % domains}")
+        for index in range(count)
     ]
 
 
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -66,10 +66,10 @@
         _, small = await mixed_fleet(made)
         calls = [app._store.calls for app in small]
         assert max(calls) <= 4
-        for number in (3, 5, 9):
-            made.configure(version=number)
+        for target in (3, 5, 9):
+            made.configure(version=target)
             for app in small:
-                await until(lambda app=app, number=number: version(app) == number)
+                await until(lambda app=app, target=target: version(app) == target)
         assert [app._store.calls for app in small] == calls
 
 
@@ -86,10 +86,10 @@
         for app in small:
             await until(lambda app=app: version(app) == 7)
         await until(lambda: any(app.gateway.roster.is_active for app in small))
-        gone = {app.gateway.cfg.entry for app in large}
+        lost_addresses = {app.gateway.cfg.entry for app in large}
         for app in small:
             async with asyncio.timeout(10):
-                while gone & await named_by(app):
+                while lost_addresses & await named_by(app):
                     await asyncio.sleep(0.05)
             assert (await ask(app, "/safe/x")).status == 200
 
@@ -102,8 +102,8 @@
     async with fleet() as made, crashing_servers(made, 8) as servers:
         large, small = await mixed_fleet(made, servers=0, max_attempts=1)
         for app in small:
-            seen = len(servers.ends)
-            while len(servers.ends) == seen:
+            crashes_before = len(servers.ends)
+            while len(servers.ends) == crashes_before:
                 await ask(app, "/safe/bad")
         for app in large + small:
             ledger = app.gateway.crashes.ledger
