--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -15,8 +15,8 @@
 from .rendezvous import hash64
 from .roster import FORGET_AFTER_S, Entry, Roster
 
-# Active hosts that send changes to a standby host. There are two because either may
-# crash at any moment.
+# Number of active hosts that send changes to a standby host. There are two because
+# either may crash at any moment.
 RELAYS = 2
 # A relay that has sent nothing within `RELAY_ANSWER_TIMEOUT_S` after it was chosen is
 # considered unreachable. The host chooses another relay, and does not try the
@@ -35,9 +35,9 @@
 # interval grows in proportion, so that the messages that each host sends and receives
 # in a second are bounded.
 MAX_FULL_RATE_HOSTS = 8
-# Active hosts that send their full view of the other hosts to each active host. The
-# receiver so learns from many places whether any host receives messages from a host
-# that is silent for the receiver itself.
+# Number of active hosts that send their full view of the other hosts to each active
+# host. If a host is silent for the receiver, the receiver learns from many places
+# whether other hosts still receive messages from it.
 FULL_VIEW_SENDERS = 12
 # In a fleet of up to this many active hosts, all of them receive changes directly from
 # the host that watches the store.
--- a/lacewingcross/core/roster.py
+++ b/lacewingcross/core/roster.py
@@ -18,7 +18,7 @@
 # Longest interval between two messages on a stream between hosts.
 ALIVE_INTERVAL_S = 0.5
 # Silence timeout after which look-ups stop naming a host to callers. It is four missed
-# messages, so that one lost packet (resent after about a second) does not cause it.
+# messages, so that one lost packet (resent after about a second) does not exceed it.
 SILENT_AFTER_S = 2.0
 # Silence timeout after which this host stops connecting to another host and forgets it.
 # A host that comes back writes its entry to the store again.
