--- a/lacewingcross/core/active.py
+++ b/lacewingcross/core/active.py
@@ -21,7 +21,7 @@
 from .membership import HostInfo
 from .rendezvous import hash64
 from .routes import Configuration
-from .work_times import WARM_OF_TARGET
+from .work_times import WARM_TARGET_FRACTION
 
 # Processor time that an entry host spends on a request, on an ordinary core.
 REQUEST_CPU_S = 0.003
@@ -70,7 +70,7 @@
     requests_a_second = 0.0
     for server in servers:
         target_s = targets.get(server.entry.service, DEFAULT_TARGET_S)
-        requests_a_second += server.entry.slots / (WARM_OF_TARGET * target_s)
+        requests_a_second += server.entry.slots / (WARM_TARGET_FRACTION * target_s)
     return requests_a_second * REQUEST_CPU_S * HEADROOM
 
 
--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -9,7 +9,7 @@
 
 from ..checks import is_address
 from .messages import Heartbeat, HostFields
-from .neighbours import SMALL_BEAT_S, Place, neighbours
+from .neighbours import SMALL_FLEET_INTERVAL_S, Place, neighbours
 
 # Silence timeout of a neighbour, in heartbeat intervals.
 SUSPECT_HEARTBEATS = 3.75
@@ -75,7 +75,7 @@
     broken: bool = False
     broken_at: float = float("-inf")
     drained: bool = False
-    heartbeat_s: float = SMALL_BEAT_S
+    heartbeat_s: float = SMALL_FLEET_INTERVAL_S
     neighbour: bool = True
     next_heartbeat_at: float = float("-inf")
 
