--- a/lacewingcross/core/named_hosts.py
+++ b/lacewingcross/core/named_hosts.py
@@ -1,4 +1,4 @@
-"""The entry hosts that a caller's look-up is answered with."""
+"""The entry hosts that the answer to a caller's look-up names."""
 
 from collections.abc import Iterator
 
@@ -6,8 +6,8 @@
 from .rendezvous import ranked
 from .roster import Roster
 
-# Hosts that an answer may name, as the users' callers take them.
-MOST_NAMED = 64
+# Maximum number of hosts in an answer; callers take a longer answer for a failure.
+MAX_NAMED_HOSTS = 64
 
 
 def addresses_for(
@@ -15,21 +15,21 @@
 ) -> list[str]:
     """Return the entry addresses for callers of a region; never an empty list.
 
-    Callers are sent to the active hosts of their own region. If none lives there, they
-    go to the regions to which their requests are bound, or to any when they are not
-    bound. Of more than `MOST_NAMED` hosts each domain of callers is sent to others,
-    always the same ones.
+    Callers are sent to the active hosts of their own region. If none of these is alive,
+    callers are sent to the regions to which their requests are bound, or to any region
+    if the requests are not bound. If there are more than `MAX_NAMED_HOSTS` hosts, each
+    domain of callers gets a different selection of them, and always the same one.
     """
     serving = list(_serving(roster, now)) or roster.live(now)
     in_homes = [info for info in serving if info.region in homes]
     elsewhere = in_homes if homes else serving
     here = [info for info in serving if info.region == region]
     chosen = here or elsewhere or [roster.own]
-    return [info.entry for info in _at_most(chosen, domain)]
+    return [info.entry for info in _limit_hosts(chosen, domain)]
 
 
 def _serving(roster: Roster, now: float) -> Iterator[HostInfo]:
-    """Yield the active hosts that live and serve."""
+    """Yield the active hosts that are alive and serve callers."""
     if roster.is_active and not roster.out_of_service:
         yield roster.own
     live = roster.live_ids(now)
@@ -43,8 +43,8 @@
             yield entry.info
 
 
-def _at_most(hosts: list[HostInfo], domain: str) -> list[HostInfo]:
-    if len(hosts) <= MOST_NAMED:
+def _limit_hosts(hosts: list[HostInfo], domain: str) -> list[HostInfo]:
+    if len(hosts) <= MAX_NAMED_HOSTS:
         return hosts
-    chosen = set(ranked(domain, (info.host_id for info in hosts))[:MOST_NAMED])
+    chosen = set(ranked(domain, (info.host_id for info in hosts))[:MAX_NAMED_HOSTS])
     return [info for info in hosts if info.host_id in chosen]
--- a/lacewingcross/core/node.py
+++ b/lacewingcross/core/node.py
@@ -1,4 +1,4 @@
-"""The core of a host: one place where every event goes in and actions come out."""
+"""The core of a host: takes in every event and returns the actions to carry out."""
 
 from collections.abc import Iterator
 
@@ -36,40 +36,42 @@
 from .slew import EffectivePlan
 from .view import View
 
-PULL_S = 0.3
-REVIEW_S = 0.4
+# Shortest interval between two requests to peers for newer configuration.
+PULL_INTERVAL_S = 0.3
+# Interval at which the core checks for due heartbeats and reviews the slot keepers.
+REVIEW_INTERVAL_S = 0.4
 
 
 class HostCore:
-    """All decisions of one host.
+    """Takes all decisions of one host.
 
-    Any driver can run it: feed every event with the time of a monotonic clock to
-    `handle` and carry out the actions in order. It does no I/O, reads no clock and
-    draws random numbers only from the source passed in.
+    Any driver can run the core: it passes every event to `handle`, with the time of a
+    monotonic clock, and carries out the returned actions in order. The core does no
+    I/O, reads no clock and draws random numbers only from the source passed in.
 
     Parameters
     ----------
     own : HostInfo
         This host.
     incarnation : int
-        Random 24-bit number of this run of the process.
+        Random 24-bit number that identifies this run of the process.
     rng : RandomSource
-        Source for spreads and jitter.
+        Source of random numbers, such as for jitter.
     policy : KeeperPolicy, optional
         Admission settings.
 
     Attributes
     ----------
     epoch : int
-        Rises with every change that a look-up's answer could show; answers
-        prepared in an earlier epoch are no longer used.
+        Version of the state that look-ups depend on. It rises with every change that an
+        answer could show; answers prepared in an earlier epoch are no longer used.
     """
 
     __slots__ = (
-        "_beat_at",
-        "_changed",
+        "_last_live",
         "_pulled_at",
-        "_seen_live",
+        "_review_due",
+        "_reviewed_at",
         "claims",
         "epoch",
         "keepers",
@@ -92,14 +94,14 @@
         self.keepers = KeeperSet(self.view, policy or KeeperPolicy())
         self.planners = PlannerSet(self.view)
         self.reporter = Reporter(self.view, self.requests, self.keepers)
-        self._beat_at = float("-inf")
+        self._reviewed_at = float("-inf")
         self._pulled_at = float("-inf")
-        self._changed = True
-        self._seen_live: list[HostInfo] = []
+        self._review_due = True
+        self._last_live: list[HostInfo] = []
         self.epoch = 0
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event and return what to do, in order.
+        """Process one event and return the actions to carry out, in order.
 
         Parameters
         ----------
@@ -132,16 +134,16 @@
         )
 
     def idle(self) -> bool:
-        """Tell whether no request is left on this host."""
+        """Return whether no request is left on this host."""
         return not self.requests.requests
 
     def busy(self) -> bool:
-        """Tell whether somebody waits here for time to pass."""
+        """Return whether requests or claims wait here, so that ticks are urgent."""
         queued = any(keeper.queue for keeper in self.keepers.keepers.values())
         return queued or self.claims.busy() or not self.idle()
 
     def _resolve(self, actions: Iterator[Action], now: float) -> Iterator[Action]:
-        """Deliver messages to this host itself at once; pass the rest on."""
+        """Deliver messages to this host itself at once; yield all other actions."""
         own = self.view.own.host_id
         for action in actions:
             if isinstance(action, SendPeer) and action.host_id == own:
@@ -151,25 +153,23 @@
             else:
                 yield action
 
-    # Time
-
     def _note_membership(self, now: float) -> None:
         """Start a new epoch when the live hosts have changed."""
         live = self.view.members.live(now)
-        if live is not self._seen_live:
-            # The list is another one only when its members are.
-            self._seen_live = live
+        if live is not self._last_live:
+            # `Membership` returns the same list object while its members are the same.
+            self._last_live = live
             self.epoch += 1
 
     def _tick(self, _event: Tick, now: float) -> Iterator[Action]:
-        self._follow_plans(now)
+        self._advance_plans(now)
         self._note_membership(now)
-        if now - self._beat_at >= REVIEW_S:
-            self._beat_at = now
+        if now - self._reviewed_at >= REVIEW_INTERVAL_S:
+            self._reviewed_at = now
             yield from self._heartbeats(now, all_now=False)
-            self._changed = True
-        if self._changed:
-            self._changed = False
+            self._review_due = True
+        if self._review_due:
+            self._review_due = False
             yield from self.keepers.review(now)
         yield from self.requests.tick(now)
         yield from self.keepers.tick(now)
@@ -179,10 +179,10 @@
 
     def _heartbeats(self, now: float, *, all_now: bool) -> Iterator[Action]:
         view = self.view
-        due = view.members.due_beats(now, all_now=all_now)
+        due = view.members.due_heartbeats(now, all_now=all_now)
         if not due:
             return
-        beat = msg.Heartbeat(
+        heartbeat = msg.Heartbeat(
             view.members.own_state,
             view.config.revision,
             view.behind(),
@@ -190,24 +190,22 @@
             self.keepers.loads(now),
         )
         for state in due:
-            yield SendPeer(state.info.host_id, beat)
+            yield SendPeer(state.info.host_id, heartbeat)
 
-    def _follow_plans(self, now: float) -> None:
+    def _advance_plans(self, now: float) -> None:
         for service, plan in self.view.plans.items():
             if plan.advance(self.view.config.cap(service), now):
                 self.epoch += 1
 
-    # Peers
-
     def _connected(self, event: PeerConnected, now: float) -> Iterator[Action]:
         self.view.members.on_hello(event.info, event.incarnation, now)
-        self._changed = True
+        self._review_due = True
         known = [member_fields(info) for info in self.view.members.hosts()]
         yield SendPeer(event.info.host_id, msg.Members(known))
 
     def _broken(self, event: PeerBroken, now: float) -> Iterator[Action]:
         self.view.members.on_broken(event.host_id, now)
-        self._changed = True
+        self._review_due = True
         yield from self.keepers.host_down(event.host_id, now)
         yield from self.requests.tick(now)
 
@@ -269,21 +267,22 @@
     def _on_members(
         self, _host_id: str, members: msg.Members, now: float
     ) -> Iterator[Action]:
-        learnt = [member_info(item) for item in members.hosts]
-        self.view.members.learn(learnt, now)
+        hosts = [member_info(item) for item in members.hosts]
+        self.view.members.learn(hosts, now)
         yield from ()
 
     def _on_heartbeat(
-        self, host_id: str, beat: msg.Heartbeat, now: float
+        self, host_id: str, heartbeat: msg.Heartbeat, now: float
     ) -> Iterator[Action]:
         before = self.view.members.state_of(host_id, now)
-        self.view.members.on_heartbeat(host_id, beat, now)
+        self.view.members.on_heartbeat(host_id, heartbeat, now)
         if self.view.members.state_of(host_id, now) != before:
-            self._changed = True
+            self._review_due = True
         own = self.view.config.revision
-        if beat.revision > own and now - self._pulled_at > PULL_S:
-            # A peer is ahead: the platform is down or slow for us. Its entries
-            # carry versions, so taking them can never put an older one in force.
+        if heartbeat.revision > own and now - self._pulled_at > PULL_INTERVAL_S:
+            # The peer has newer configuration: the platform is down or slow for this
+            # host. Entries carry versions, so an entry from a peer never replaces a
+            # newer one.
             self._pulled_at = now
             yield Count("config.pulls")
             yield SendPeer(host_id, msg.ConfigPull(own))
@@ -299,8 +298,6 @@
         ]
         yield SendPeer(host_id, msg.ConfigPush(config.revision, entries, True))
 
-    # Platform
-
     def _config_seen(self, event: ConfigSeen, now: float) -> Iterator[Action]:
         yield from self._merge(event.entries, event.revision, True, now)
 
@@ -317,8 +314,8 @@
             yield Log("config-in-force", {"key": key, "revision": config.revision})
             if key in config.rejected:
                 yield Count("config.rejected")
-                why = config.rejected[key]
-                yield Log("config-rejected", {"key": key, "reason": why})
+                reason = config.rejected[key]
+                yield Log("config-rejected", {"key": key, "reason": reason})
         if not changed and config.revision == before:
             return
         self.epoch += 1
@@ -369,8 +366,6 @@
         if self.claims.owns_call(event.call_id):
             yield from self.claims.loaded(event, now)
 
-    # Requests
-
     def _request(self, event: RequestArrived, now: float) -> Iterator[Action]:
         yield from self.requests.arrived(event, now)
 
@@ -389,10 +384,10 @@
         yield from self.requests.attempt_ended(event, now)
 
     def _probed(self, event: ServerProbed, now: float) -> Iterator[Action]:
-        signalled = self.view.signalled
-        before = event.server_id in signalled
+        announced = self.view.announced_leaving
+        before = event.server_id in announced
         if event.draining != before and event.reachable:
-            (signalled.add if event.draining else signalled.discard)(event.server_id)
+            (announced.add if event.draining else announced.discard)(event.server_id)
             yield Log(
                 "server-signal",
                 {"server": event.server_id, "draining": event.draining},
--- a/tests/test_differential.py
+++ b/tests/test_differential.py
@@ -1,4 +1,7 @@
-"""Parts of the core against naive versions, with events reordered, doubled, lost."""
+"""Components of the core compared with naive versions of them.
+
+Events are reordered, duplicated and lost.
+"""
 
 import random
 from collections import Counter
@@ -35,9 +38,6 @@
 REGIONS = ("a", "b", "c")
 
 
-# Client blocks
-
-
 def _network(base, length):
     return str(IPv4Network((base, length), strict=False))
 
@@ -63,9 +63,6 @@
         assert index.find(address) == expected
 
 
-# Configuration
-
-
 @given(st.data())
 def test_config_merge_is_the_highest_version_whatever_the_order(data):
     keys = [f"ShiftCap/s{num}" for num in range(3)]
@@ -92,9 +89,6 @@
     assert set(config.caps) == live
 
 
-# Plans
-
-
 @given(st.dictionaries(st.sampled_from(REGIONS), st.floats(0, 100), min_size=1))
 def test_apportion_gives_every_bucket_once(weights):
     counts = apportion(weights)
@@ -122,11 +116,11 @@
 
 
 @given(counts, counts, st.integers(0, BUCKETS))
-def test_move_towards_moves_as_few_as_possible(have, target, budget):
-    table = fresh_table(have)
+def test_move_towards_moves_as_few_as_possible(current, target, budget):
+    table = fresh_table(current)
     moved_table, moved = move_towards(table, target, budget)
     changed = sum(x != y for x, y in zip(table, moved_table, strict=True))
-    needed = sum(max(0, target[reg] - have[reg]) for reg in REGIONS)
+    needed = sum(max(0, target[reg] - current[reg]) for reg in REGIONS)
     assert changed == moved == min(budget, needed)
     plan = Plan("s", {"g": moved_table})
     assert decode_plan("s", encode_plan(plan)).tables == plan.tables
@@ -148,7 +142,7 @@
             effective.advance(cap, now)
         series.append((now, list(effective.tables["g"])))
         pairs = zip(effective.tables["g"], effective.wanted.tables["g"], strict=True)
-        assert effective.behind() == sum(have != want for have, want in pairs)
+        assert effective.behind() == sum(current != want for current, want in pairs)
     for index, (at, table) in enumerate(series):
         for later, later_table in series[index:]:
             if later - at <= cap.window_s:
@@ -157,7 +151,7 @@
 
 
 class Planners(RuleBasedStateMachine):
-    """Two planners, one store: restarts, stale views, lost answers, any target."""
+    """Two planners on one store: restarts, stale views, lost responses, any target."""
 
     WINDOW_S = 5.0
 
@@ -214,7 +208,8 @@
         version, plan = self.views[name]
         step = planner.step(plan, self._given(), self.now)
         if step is not None and version == self.version:
-            # The watch may bring it to the writer later, or never: its answer is lost.
+            # The response to the write is lost: the writer may receive the new plan
+            # later from its watch, or never.
             self.version += 1
             self.stored = step.plan
             self.history.append((self.now, list(step.plan.tables["g"])))
@@ -245,11 +240,8 @@
 TestPlanners = Planners.TestCase
 
 
-# Slot keeper
-
-
 class Keepers(RuleBasedStateMachine):
-    """One keeper against a naive count of what each host may be using."""
+    """One slot keeper compared with a naive count of the slots that hosts may use."""
 
     def __init__(self):
         super().__init__()
@@ -271,7 +263,7 @@
         ]
         self.keeper.servers.declare(iter(servers), self.leaving, self.now)
 
-    def _take(self, replies):
+    def _check_replies(self, replies):
         for reply in replies:
             message = reply.message
             self.answered[message.request_id] += 1
@@ -288,7 +280,7 @@
         request_id = f"r{self.asked}"
         self.waiting[request_id] = self.now + remaining
         ask = msg.Acquire("s", "r", request_id, remaining, [])
-        self._take(self.keeper.acquire("h", ask, self.now))
+        self._check_replies(self.keeper.acquire("h", ask, self.now))
 
     @precondition(lambda self: self.granted)
     @rule(data=st.data(), result=st.sampled_from(["answered", "failed", "shed"]))
@@ -297,14 +289,14 @@
         server_id, _ = self.granted.pop(permit)
         done = msg.Release("s", "r", permit, server_id, result, 0.05)
         for _ in range(data.draw(st.integers(1, 2))):
-            self._take(self.keeper.release(done, self.now))
+            self._check_replies(self.keeper.release(done, self.now))
 
     @rule(seconds=st.floats(0.01, 2.0))
     def pass_time(self, seconds):
         self.now += seconds
         held = [(server, permit) for permit, (server, _) in self.granted.items()]
         self.keeper.renew("h", held, self.now)
-        self._take(self.keeper.tick(self.now))
+        self._check_replies(self.keeper.tick(self.now))
 
     @rule(name=st.sampled_from(["s0", "s1"]))
     def drain_or_return(self, name):
@@ -334,7 +326,7 @@
 
     @invariant()
     def nothing_waits_past_its_deadline_after_a_tick(self):
-        self._take(self.keeper.tick(self.now))
+        self._check_replies(self.keeper.tick(self.now))
         for deadline in self.waiting.values():
             assert deadline >= self.now
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -430,7 +430,9 @@
         leaving = await env.ready(await env.add_host())
         other = await env.ready(await env.add_host(domain="a2"))
         entries = other.gateway.roster.entries
-        await until(lambda: "host-0" in entries and entries["host-0"].last_heard_at > 0)
+        await until(
+            lambda: "host-0" in entries and entries["host-0"].last_message_at > 0
+        )
         asking = asyncio.ensure_future(
             ask(leaving, "/unsafe/a", method="POST", body=b"x")
         )
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -253,11 +253,11 @@
     monkeypatch,
 ):
     def live_hosts_only(self, others):
-        live = [e.info for e in self._roster.entries.values() if e.last_heard_at > 0]
-        now = max((e.last_heard_at for e in self._roster.entries.values()), default=0)
+        live = [e.info for e in self._roster.entries.values() if e.last_message_at > 0]
+        now = max((e.last_message_at for e in self._roster.entries.values()), default=0)
         entries = self._roster.entries
         recently_heard = [
-            i for i in live if now - entries[i.host_id].last_heard_at < 2.0
+            i for i in live if now - entries[i.host_id].last_message_at < 2.0
         ]
         chosen = active_hosts([self._roster.own, *recently_heard], 0.0)
         self.holders = quota_holders.Holders(info.host_id for info in chosen)
