--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -16,7 +16,7 @@
 from lacewingcross.core.quota_ledger import MAX_WAIT_S, Outcome
 from lacewingcross.core.quotas import ClockReading, Quotas
 from lacewingcross.core.roster import Roster
-from lacewingcross.gateway.quota_admission import TELL_EVERY_S
+from lacewingcross.gateway.quota_admission import SEND_INTERVAL_S
 
 STEP_S = 0.01
 # How often hosts show each other that they live, in seconds.
@@ -221,7 +221,7 @@
             for other in self.nodes:
                 if other != name:
                     self._send(name, other, None)
-        if self._every(name, TELL_EVERY_S):
+        if self._every(name, SEND_INTERVAL_S):
             node.quotas.review(at)
             for other, message in node.quotas.outgoing(at):
                 self._send(name, other, message)
--- a/lacewingcross/cli/messages.py
+++ b/lacewingcross/cli/messages.py
@@ -1,12 +1,12 @@
 """The command that shows what a host tells and hears of others."""
 
-from ..gateway.gossip_receiver import HEARD
+from ..gateway.gossip_receiver import RECEIVED
 from ..gateway.link import SENT, SENT_BYTES
 from .metrics_page import fetch_page, figures_by_name
 from .output import print_rows
 
 HEAD = ("message", "sent", "bytes sent", "heard")
-COLUMNS = (SENT, SENT_BYTES, HEARD)
+COLUMNS = (SENT, SENT_BYTES, RECEIVED)
 
 
 def messages(*, url: str, output: str = "table") -> None:
--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -130,18 +130,18 @@
     def _children(self) -> list[Child]:
         gateway = self.gateway
         cfg = gateway.cfg
-        gateway.crashes.on_news = self._peers.tell_news
+        gateway.crashes.on_gossip = self._peers.send_gossip
         follower = StoreFollower(gateway, self._store, self._peers.publish)
         metrics = f"{split_address(cfg.entry)[0]}:{cfg.metrics_port}"
         return [
             Child("peers", self._peers.run),
-            Child("tell", self._peers.tell),
-            Child("seek", self._peers.seek),
+            Child("tell", self._peers.send_updates),
+            Child("seek", self._peers.greet_seeds),
             Child("quotas", self._follow_quotas),
-            Child("config", follower.following(Kind.CONFIG)),
-            Child("evacuations", follower.following(Kind.EVACUATION)),
-            Child("servers", follower.following(Kind.SERVER)),
-            Child("quarantines", follower.following(Kind.QUARANTINE)),
+            Child("config", follower.watch_loop(Kind.CONFIG)),
+            Child("evacuations", follower.watch_loop(Kind.EVACUATION)),
+            Child("servers", follower.watch_loop(Kind.SERVER)),
+            Child("quarantines", follower.watch_loop(Kind.QUARANTINE)),
             Child("quarantine-store", QuarantineStore(gateway, self._store).run),
             Child("hosts", self._hosts.run),
             Child("entry", self.entry.run),
@@ -155,7 +155,7 @@
         ]
 
     async def _follow_quotas(self) -> None:
-        await self.gateway.quota_admission.tell(self._peers.send_to)
+        await self.gateway.quota_admission.send_updates(self._peers.send_to)
 
     def _connection_limit(self, service: str) -> int:
         """Return this host's part of a server's connection limit."""
--- a/lacewingcross/gateway/attempt_series.py
+++ b/lacewingcross/gateway/attempt_series.py
@@ -21,7 +21,7 @@
 from .repeats import Repeats
 from .reply import Final, Reply
 from .routed_request import RoutedRequest
-from .signals import learn_signals
+from .signals import record_signals
 
 # Bodies up to this size are read before a server is chosen: a caller that sends slowly
 # holds no slot, and the request can be sent to another server.
@@ -249,7 +249,7 @@
         if not req.body.whole:
             await run.send_rest()
         head = await self._patiently(run, request_id)
-        learn_signals(self._gateway, run.server, head, sent_at)
+        record_signals(self._gateway, run.server, head, sent_at)
         return await run.read_body(head)
 
     async def _patiently(self, run: AttemptRun, request_id: bytes) -> ResponseHead:
--- a/lacewingcross/gateway/crashes.py
+++ b/lacewingcross/gateway/crashes.py
@@ -16,9 +16,9 @@
 
 # A process that ends closes its connections and its listener one after the other. A
 # connection that was still accepted in between is lost within this time, in seconds.
-SETTLE_S = 0.02
+CONNECTION_SETTLE_S = 0.02
 # How often a server is asked until its answer counts.
-CHECKS_MOST = 3
+MAX_CHECKS = 3
 
 
 class CrashWatch:
@@ -43,13 +43,13 @@
 
     __slots__ = (
         "_backends",
-        "_broken",
+        "_suspect_requests",
         "_checks",
         "_metrics",
         "_now",
         "_steering",
-        "news",
-        "on_news",
+        "gossip",
+        "on_gossip",
     )
 
     def __init__(
@@ -64,10 +64,10 @@
         self._metrics = metrics
         self._now = now
         # Requests whose connections broke, until it is known why.
-        self._broken: dict[Incarnation, set[str]] = {}
+        self._suspect_requests: dict[Incarnation, set[str]] = {}
         self._checks: dict[Incarnation, asyncio.Task[None]] = {}
-        self.news = CrashGossip(steering.crashes)
-        self.on_news: Callable[[], None] = lambda: None
+        self.gossip = CrashGossip(steering.crashes)
+        self.on_gossip: Callable[[], None] = lambda: None
 
     @property
     def ledger(self) -> CrashLedger:
@@ -86,9 +86,9 @@
         """
         server = entry.incarnation
         if self.ledger.has_crashed(server):
-            self._take(ServerCrash(server, frozenset((request,))))
+            self._record(ServerCrash(server, frozenset((request,))))
             return None
-        self._broken.setdefault(server, set()).add(request)
+        self._suspect_requests.setdefault(server, set()).add(request)
         if server not in self._checks:
             task = asyncio.get_running_loop().create_task(self._check(entry))
             self._checks[server] = task
@@ -102,75 +102,75 @@
         here, often just the request that did it, would not count.
         """
         server = entry.incarnation
-        requests = frozenset(self._broken.pop(server, ()))
+        requests = frozenset(self._suspect_requests.pop(server, ()))
         if requests or not self.ledger.has_crashed(server):
-            self._take(ServerCrash(server, requests))
+            self._record(ServerCrash(server, requests))
 
     def answered(self, request: str) -> None:
         """Note that a server has answered a request."""
         if self.ledger.answered(request):
-            self._clear(request, "")
+            self._announce_cleared(request, "")
 
     async def _check(self, entry: ServerEntry) -> None:
         """Ask whether a server still listens.
 
         The connection that shows it is kept: it takes the place of the one that broke.
         """
-        why = "silent"
-        for _ in range(CHECKS_MOST):
+        reason = "silent"
+        for _ in range(MAX_CHECKS):
             try:
-                lives = await self._backends.spare(entry, SETTLE_S)
+                is_open = await self._backends.spare(entry, CONNECTION_SETTLE_S)
             except HttpError as exc:
-                why = exc.reason
+                reason = exc.reason
                 break
-            if lives:
-                why = "listens"
+            if is_open:
+                reason = "listens"
                 break
-        if why == REFUSED or self.ledger.has_crashed(entry.incarnation):
+        if reason == REFUSED or self.ledger.has_crashed(entry.incarnation):
             self.refused(entry)
             return
-        requests = self._broken.pop(entry.incarnation, set())
+        requests = self._suspect_requests.pop(entry.incarnation, set())
         logs.event(
-            "server-kept", server=entry.server_id, why=why, requests=sorted(requests)
+            "server-kept", server=entry.server_id, why=reason, requests=sorted(requests)
         )
 
     # What other hosts tell
 
-    def heard(
+    def receive(
         self, source: str, message: msg.ServerEnded | msg.RequestAnswered
     ) -> None:
         """Take in what another host tells."""
         if isinstance(message, msg.RequestAnswered):
             if self.ledger.answered(message.request):
-                self._clear(message.request, source)
+                self._announce_cleared(message.request, source)
             return
         server = (message.server_id, message.born_ms)
-        self._take(ServerCrash(server, frozenset(message.requests)), source)
+        self._record(ServerCrash(server, frozenset(message.requests)), source)
 
     # What follows from it
 
-    def _take(self, end: ServerCrash, source: str = "") -> None:
+    def _record(self, crash: ServerCrash, source: str = "") -> None:
         now = self._now()
-        first = not self.ledger.has_crashed(end.server)
-        news, guilty = self.ledger.record_crash(end, now, own=not source)
-        if not news:
+        is_new = not self.ledger.has_crashed(crash.server)
+        changed, quarantined = self.ledger.record_crash(crash, now, own=not source)
+        if not changed:
             return
-        if first:
-            self._pass_over(end.server, now)
+        if is_new:
+            self._skip_server(crash.server, now)
             self._metrics.count("servers.ended")
         logs.event(
             "server-ended",
-            server=end.server[0],
-            born_ms=end.server[1],
-            requests=sorted(end.requests),
+            server=crash.server[0],
+            born_ms=crash.server[1],
+            requests=sorted(crash.requests),
             source=source or "own",
         )
-        for request in guilty:
+        for request in quarantined:
             self._note_quarantine(request)
-        self.news.crashed(end.server, source)
-        self.on_news()
+        self.gossip.crashed(crash.server, source)
+        self.on_gossip()
 
-    def _pass_over(self, server: Incarnation, now: float) -> None:
+    def _skip_server(self, server: Incarnation, now: float) -> None:
         """Send nothing for a while to a server that some host saw end.
 
         Failure: a server ends, and each host learns it by a request of its own that
@@ -182,20 +182,20 @@
             known.passive_health.crashed(now)
 
     def _note_quarantine(self, request: str) -> None:
-        held = self.ledger.quarantine.get(request)
+        entry = self.ledger.quarantine.get(request)
         self._metrics.count("quarantines")
         logs.event(
             "request-quarantined",
             "WARNING",
             request=request,
-            servers=list(held.servers),
-            trial_in_s=round(held.refused_for(self._now()), 1),
+            servers=list(entry.servers),
+            trial_in_s=round(entry.refused_for(self._now()), 1),
         )
 
-    def _clear(self, request: str, source: str) -> None:
+    def _announce_cleared(self, request: str, source: str) -> None:
         logs.event("request-cleared", request=request, source=source or "own")
-        self.news.answered(request, source)
-        self.on_news()
+        self.gossip.answered(request, source)
+        self.on_gossip()
 
     def review(self) -> None:
         """Forget what is too old."""
--- a/lacewingcross/gateway/gossip_receiver.py
+++ b/lacewingcross/gateway/gossip_receiver.py
@@ -14,19 +14,19 @@
 from ..sockets import watch_silence
 from ..wire import read_message
 from .context import Gateway
-from .signals import take_told
+from .signals import record_peer_signals
 from .store_follower import log_changes
 from .store_messages import changes_message, update_in
 
 # A stream that brings nothing for this long has gone silent, in seconds; its sender
 # dials again.
-QUIET_S = 3 * ALIVE_EVERY_S
+SILENCE_TIMEOUT_S = 3 * ALIVE_EVERY_S
 
 # Beginning of the counters of messages from other hosts; the message's name follows.
-HEARD = "peers.heard."
+RECEIVED = "peers.heard."
 
 SendTo = Callable[[HostInfo, msg.Message], None]
-PassOn = Callable[[HostInfo, msg.StoreChanges], None]
+Forward = Callable[[HostInfo, msg.StoreChanges], None]
 
 
 class GossipReceiver:
@@ -42,13 +42,13 @@
         Tells further hosts what one has said of the store.
     """
 
-    __slots__ = ("_accepted", "_catch_up", "_gateway", "_pass_on", "_send_to")
+    __slots__ = ("_accepted", "_catch_up", "_gateway", "_forward", "_send_to")
 
-    def __init__(self, gateway: Gateway, send_to: SendTo, pass_on: PassOn) -> None:
+    def __init__(self, gateway: Gateway, send_to: SendTo, forward: Forward) -> None:
         self._accepted: set[asyncio.StreamWriter] = set()
         self._catch_up = CatchUp()
         self._gateway = gateway
-        self._pass_on = pass_on
+        self._forward = forward
         self._send_to = send_to
 
     def close(self) -> None:
@@ -77,35 +77,35 @@
             writer.transport.abort()
 
     async def _receive(self, reader: asyncio.StreamReader) -> None:
-        async with asyncio.timeout(QUIET_S):
+        async with asyncio.timeout(SILENCE_TIMEOUT_S):
             hello = await read_message(reader)
         info = host_of(hello)
         while True:
-            async with asyncio.timeout(QUIET_S):
+            async with asyncio.timeout(SILENCE_TIMEOUT_S):
                 message = await read_message(reader)
-            self._take(info, hello.incarnation, message)
+            self._handle(info, hello.incarnation, message)
 
-    def _take(self, info: HostInfo, incarnation: int, message: msg.Message) -> None:
+    def _handle(self, info: HostInfo, incarnation: int, message: msg.Message) -> None:
         now = self._gateway.now()
-        self._gateway.metrics.count(f"{HEARD}{type(message).__name__}")
+        self._gateway.metrics.count(f"{RECEIVED}{type(message).__name__}")
         if isinstance(message, msg.Alive):
-            self._take_alive(info, incarnation, message, now)
+            self._handle_alive(info, incarnation, message, now)
         elif isinstance(message, msg.StoreChanges):
-            self._take_changes(info, message, now)
+            self._handle_changes(info, message, now)
         elif isinstance(message, msg.StorePull):
             self._answer_pull(info, message)
         elif isinstance(message, msg.KnownHosts):
-            self._take_hosts(info, message, now)
+            self._handle_known_hosts(info, message, now)
         elif isinstance(message, msg.ServerEnded | msg.RequestAnswered):
-            self._gateway.crashes.heard(info.host_id, message)
+            self._gateway.crashes.receive(info.host_id, message)
         elif isinstance(message, msg.ServerLimits | msg.ServersLeaving):
-            take_told(self._gateway, info.host_id, message)
+            record_peer_signals(self._gateway, info.host_id, message)
         elif isinstance(message, msg.QuotaMessage):
-            answer = self._gateway.quota_admission.heard(info, incarnation, message)
+            answer = self._gateway.quota_admission.receive(info, incarnation, message)
             if answer is not None:
                 self._send_to(info, answer)
 
-    def _take_alive(
+    def _handle_alive(
         self, info: HostInfo, incarnation: int, message: msg.Alive, now: float
     ) -> None:
         gateway = self._gateway
@@ -136,16 +136,18 @@
             placement.known.change_peer_counts(info.host_id, counts, now)
         if gateway.cfg.policy.warmth_told:
             placement.known.set_handled(message.handled)
-        self._compare(info, message.revisions, now)
+        self._pull_missing(info, message.revisions, now)
 
-    def _compare(self, info: HostInfo, revisions: list[int], now: float) -> None:
+    def _pull_missing(self, info: HostInfo, revisions: list[int], now: float) -> None:
         replica = self._gateway.steering.replica
         for kind, theirs in zip(Kind, revisions, strict=False):
             own = replica.as_of(kind)
             if self._catch_up.should_ask(kind, own, theirs, now):
                 self._send_to(info, msg.StorePull(int(kind), own))
 
-    def _take_hosts(self, info: HostInfo, message: msg.KnownHosts, now: float) -> None:
+    def _handle_known_hosts(
+        self, info: HostInfo, message: msg.KnownHosts, now: float
+    ) -> None:
         roster = self._gateway.roster
         hosts = [member_info(fields) for fields in message.hosts]
         by_id = {host.host_id: host for host in hosts}
@@ -156,17 +158,17 @@
         )
         self._gateway.hosts_changed()
 
-    def _take_changes(
+    def _handle_changes(
         self, info: HostInfo, message: msg.StoreChanges, now: float
     ) -> None:
         gateway = self._gateway
         steering = gateway.steering
         update = update_in(message, steering.replica)
-        known = gateway.take(update, fresh=message.fresh)
-        log_changes(gateway, update, known, info.host_id)
+        new_documents = gateway.take(update, fresh=message.fresh)
+        log_changes(gateway, update, new_documents, info.host_id)
         own = steering.replica.as_of(update.kind)
         if message.fresh:
-            self._pass_on(info, message)
+            self._forward(info, message)
             if own >= message.as_of:
                 gateway.watch_election.note_peer_update(update.kind, now)
         if own < message.since and self._catch_up.may_ask(update.kind, now):
--- a/lacewingcross/gateway/gossip_sender.py
+++ b/lacewingcross/gateway/gossip_sender.py
@@ -19,7 +19,7 @@
 
 # All counts are told again after so long, in seconds: a server may have become known
 # to the other host only after its count was told.
-COUNTS_WHOLE_S = 2.0
+FULL_COUNTS_INTERVAL_S = 2.0
 
 
 class GossipSender:
@@ -54,13 +54,17 @@
             own.cores,
         )
         if link is None:
-            return [hello, self._alive(subscribes=True)]
+            return [hello, self._alive_message(subscribes=True)]
         subscribes = link.info.host_id in subscriptions(gateway.roster, gateway.now())
-        told_all = full_view_peers(gateway.roster)
-        link.told_hosts = self._hosts_for(link.info.host_id, told_all)
-        return [hello, self._alive(subscribes=subscribes), link.told_hosts]
+        full_view = full_view_peers(gateway.roster)
+        link.last_known_hosts = self._known_hosts_message(link.info.host_id, full_view)
+        return [
+            hello,
+            self._alive_message(subscribes=subscribes),
+            link.last_known_hosts,
+        ]
 
-    def tell_counts(self) -> None:
+    def send_alive(self) -> None:
         """Tell each active host where the number in flight has changed.
 
         The others get a sign of life; they place next to nothing. Few of a busy host's
@@ -77,22 +81,24 @@
         frames: dict[tuple[bool, bool, int], bytes] = {}
         for host_id, link in self._links.items():
             active = host_id in gateway.roster.active
-            news = active and (counts != link.told or bool(handled))
-            if not news and now - link.told_at < ALIVE_EVERY_S:
+            changed = active and (counts != link.last_counts or bool(handled))
+            if not changed and now - link.last_alive_at < ALIVE_EVERY_S:
                 continue
-            if not active or now - link.whole_at >= COUNTS_WHOLE_S:
-                link.told = None
-            form = (host_id in subscribes, active, id(link.told))
+            if not active or now - link.last_full_counts_at >= FULL_COUNTS_INTERVAL_S:
+                link.last_counts = None
+            form = (host_id in subscribes, active, id(link.last_counts))
             if form not in frames:
-                told = (counts, handled, link.told) if active else ({}, [], None)
-                frames[form] = encode(self._alive(*told, subscribes=form[0]))
-            if link.told is None:
-                link.whole_at = now
-            link.told = counts if active else None
-            link.told_at = now
+                state = (
+                    (counts, handled, link.last_counts) if active else ({}, [], None)
+                )
+                frames[form] = encode(self._alive_message(*state, subscribes=form[0]))
+            if link.last_counts is None:
+                link.last_full_counts_at = now
+            link.last_counts = counts if active else None
+            link.last_alive_at = now
             link.send_frame(frames[form], msg.Alive)
 
-    def _alive(
+    def _alive_message(
         self,
         counts: dict[str, int] | None = None,
         handled: list[tuple[str, str]] | None = None,
@@ -115,70 +121,72 @@
             before is None,
         )
 
-    def _hosts_for(self, receiver: str, told_all: frozenset[str]) -> msg.KnownHosts:
+    def _known_hosts_message(
+        self, receiver: str, full_view: frozenset[str]
+    ) -> msg.KnownHosts:
         """Return the message that tells another host who lives."""
         roster = self._gateway.roster
         entries = roster.entries
-        stands_by = receiver not in roster.active
-        infos = hosts_to_advertise(roster, receiver, self._gateway.now(), told_all)
+        is_standby = receiver not in roster.active
+        infos = hosts_to_advertise(roster, receiver, self._gateway.now(), full_view)
         starting = [
             info.host_id
             for info in infos
             if info.host_id in entries and entries[info.host_id].starting
         ]
-        if stands_by and roster.is_active and roster.starting:
+        if is_standby and roster.is_active and roster.starting:
             starting.append(roster.own.host_id)
         fields = [member_fields(info) for info in infos]
-        return msg.KnownHosts(stands_by, fields, starting)
+        return msg.KnownHosts(is_standby, fields, starting)
 
-    def tell_hosts(self) -> None:
+    def send_known_hosts(self) -> None:
         """Tell each host that needs it who lives, when that has changed."""
         active = self._gateway.roster.active
-        told_all = full_view_peers(self._gateway.roster)
-        told: dict[tuple[bool, bool], msg.KnownHosts] = {}
+        full_view = full_view_peers(self._gateway.roster)
+        messages: dict[tuple[bool, bool], msg.KnownHosts] = {}
         frames: dict[tuple[bool, bool], bytes] = {}
         for host_id, link in self._links.items():
-            form = (host_id in active, host_id in told_all)
-            if form not in told:
-                told[form] = self._hosts_for(host_id, told_all)
-            if told[form] == link.told_hosts:
+            form = (host_id in active, host_id in full_view)
+            if form not in messages:
+                messages[form] = self._known_hosts_message(host_id, full_view)
+            if messages[form] == link.last_known_hosts:
                 continue
-            link.told_hosts = told[form]
+            link.last_known_hosts = messages[form]
             if form not in frames:
-                frames[form] = encode(told[form])
+                frames[form] = encode(messages[form])
             link.send_frame(frames[form], msg.KnownHosts)
 
-    def tell_news(self) -> None:
+    def send_gossip(self) -> None:
         """Tell each host what it does not know yet of servers that ended.
 
         Each piece is encoded once for all streams, and only what is new is looked at:
         with hundreds of streams an end would hold the loop for many milliseconds.
         """
-        news = self._gateway.crashes.news
+        gossip = self._gateway.crashes.gossip
         frames: dict[int, tuple[bytes, type[msg.Message]]] = {}
         for host_id, link in self._links.items():
             active = host_id in self._gateway.roster.active
-            if link.told_as_active != active:
+            if link.gossip_as_active != active:
                 # Whoever told it the news so far may have stopped in this moment.
-                link.told_as_active = active
-                link.told_news = None
-            if link.told_news != news.newest:
-                for piece in self._pieces_for(host_id, link):
-                    if piece.number not in frames:
-                        frames[piece.number] = self._news_frame(piece)
-                    link.send_frame(*frames[piece.number])
-                link.told_news = news.newest
-
-    def tell_signals(self) -> None:
+                link.gossip_as_active = active
+                link.last_gossip = None
+            if link.last_gossip != gossip.newest:
+                for item in self._gossip_for(host_id, link):
+                    if item.number not in frames:
+                        frames[item.number] = self._gossip_frame(item)
+                    link.send_frame(*frames[item.number])
+                link.last_gossip = gossip.newest
+
+    def send_signals(self) -> None:
         """Tell each host what this one has heard servers say, when it is new."""
         gate = self._gateway.steering.placement.gate
         if not gate.version:
             return
         frames: list[tuple[bytes, type[msg.Message]]] = []
         for link in self._links.values():
-            if link.told_signals == gate.version:
+            if link.last_signals_version == gate.version:
                 continue
-            link.told_signals = gate.version
+            link.last_signals_version = gate.version
             frames = frames or [
                 (encode(message), type(message))
                 for message in self._signal_messages(gate)
@@ -191,15 +199,15 @@
         known = self._gateway.steering.placement.known.servers
         yield from signal_messages(gate, known.keys(), self._gateway.now())
 
-    def _pieces_for(self, host_id: str, link: Link) -> Iterator[GossipItem]:
+    def _gossip_for(self, host_id: str, link: Link) -> Iterator[GossipItem]:
         active = self._gateway.roster.active
-        fresh = link.told_news is None
-        for piece in self._gateway.crashes.news.since(link.told_news):
-            if should_pass_on(piece, host_id, active, fresh=fresh):
-                yield piece
+        fresh = link.last_gossip is None
+        for item in self._gateway.crashes.gossip.since(link.last_gossip):
+            if should_pass_on(item, host_id, active, fresh=fresh):
+                yield item
 
-    def _news_frame(self, piece: GossipItem) -> tuple[bytes, type[msg.Message]]:
-        message = news_message(piece, self._gateway.crashes.ledger)
+    def _gossip_frame(self, item: GossipItem) -> tuple[bytes, type[msg.Message]]:
+        message = gossip_message(item, self._gateway.crashes.ledger)
         return encode(message), type(message)
 
 
@@ -222,26 +230,26 @@
     Of those that leave only `known` ones are told: hundreds do so each day, and who is
     gone needs no word.
     """
-    words = gate.departures.own_observations()
-    leaving = [server for server in words if server[0] in known]
-    for part in _in_parts(leaving):
-        yield msg.ServersLeaving(part)
+    departures = gate.departures.own_observations()
+    leaving = [server for server in departures if server[0] in known]
+    for batch in _batches(leaving):
+        yield msg.ServersLeaving(batch)
     items = [
         (*server, -1.0 if limit.rate is None else limit.rate, max(0.0, now - limit.at))
         for server, limit in gate.rates.own_observations()
     ]
-    for part in _in_parts(items):
-        yield msg.ServerLimits(part)
+    for batch in _batches(items):
+        yield msg.ServerLimits(batch)
 
 
-def _in_parts(items: list[T]) -> Iterator[list[T]]:
+def _batches(items: list[T]) -> Iterator[list[T]]:
     for first in range(0, len(items), msg.MAX_SERVERS_PER_MESSAGE):
         yield items[first : first + msg.MAX_SERVERS_PER_MESSAGE]
 
 
-def news_message(piece: GossipItem, ledger: CrashLedger) -> msg.Message:
+def gossip_message(item: GossipItem, ledger: CrashLedger) -> msg.Message:
     """Return the message that tells a piece of news."""
-    if piece.answered:
-        return msg.RequestAnswered(piece.answered)
-    requests = sorted(ledger.crash_requests(piece.crashed))
-    return msg.ServerEnded(*piece.crashed, requests[: msg.MAX_REQUESTS_PER_MESSAGE])
+    if item.answered:
+        return msg.RequestAnswered(item.answered)
+    requests = sorted(ledger.crash_requests(item.crashed))
+    return msg.ServerEnded(*item.crashed, requests[: msg.MAX_REQUESTS_PER_MESSAGE])
--- a/lacewingcross/gateway/link.py
+++ b/lacewingcross/gateway/link.py
@@ -14,12 +14,12 @@
 
 # A host in touch takes a connection within two ways, at most 70 ms; a longer silence
 # is a lost packet or a dead host. In seconds.
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 # Pause before a stream that broke is opened again, in seconds.
-REDIAL_S = 0.15
+REDIAL_DELAY_S = 0.15
 # Messages kept for a host that takes none. The oldest are dropped; the host sees from
 # the revisions of later ones that it missed some, and asks for them.
-QUEUE_MAX = 2000
+MAX_QUEUED_FRAMES = 2000
 
 # Beginnings of the counters of messages to other hosts; the message's name follows.
 SENT = "peers.sent."
@@ -44,30 +44,30 @@
         "_greeting",
         "_queue",
         "info",
-        "needed_at",
+        "last_needed_at",
         "task",
-        "told",
-        "told_as_active",
-        "told_at",
-        "told_hosts",
-        "told_signals",
-        "told_news",
-        "whole_at",
+        "last_counts",
+        "gossip_as_active",
+        "last_alive_at",
+        "last_known_hosts",
+        "last_signals_version",
+        "last_gossip",
+        "last_full_counts_at",
     )
 
     def __init__(self, gateway: Gateway, greeting: Greeting, info: HostInfo) -> None:
         self._gateway = gateway
         self._greeting = greeting
-        self._queue = FrameQueue(QUEUE_MAX)
+        self._queue = FrameQueue(MAX_QUEUED_FRAMES)
         self.info = info
-        self.needed_at = gateway.now()
-        self.told: dict[str, int] | None = None
-        self.whole_at = float("-inf")
-        self.told_at = float("-inf")
-        self.told_hosts: msg.KnownHosts | None = None
-        self.told_as_active = False
-        self.told_news: int | None = None
-        self.told_signals: int | None = None
+        self.last_needed_at = gateway.now()
+        self.last_counts: dict[str, int] | None = None
+        self.last_full_counts_at = float("-inf")
+        self.last_alive_at = float("-inf")
+        self.last_known_hosts: msg.KnownHosts | None = None
+        self.gossip_as_active = False
+        self.last_gossip: int | None = None
+        self.last_signals_version: int | None = None
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, message: msg.Message) -> None:
@@ -79,7 +79,7 @@
         self._count(frame, kind)
         if self._queue.put(frame):
             # It may have held counts that are not told again.
-            self.told = None
+            self.last_counts = None
             self._gateway.metrics.count("peers.dropped")
 
     def _count(self, frame: bytes, kind: type[msg.Message]) -> None:
@@ -92,7 +92,7 @@
             try:
                 await self._session()
             except ConnectionRefusedError:
-                self._note_ended()
+                self._note_refused()
             except (OSError, TimeoutError) as exc:
                 self._gateway.metrics.count("peers.link-broken")
                 logs.event(
@@ -108,9 +108,9 @@
                 logs.event(
                     "peer-failed", "ERROR", host_id=self.info.host_id, error=repr(exc)
                 )
-            await asyncio.sleep(REDIAL_S)
+            await asyncio.sleep(REDIAL_DELAY_S)
 
-    def _note_ended(self) -> None:
+    def _note_refused(self) -> None:
         """Note that the host's process has ended: nothing listens at its address."""
         entry = self._gateway.roster.entries.get(self.info.host_id)
         if entry is not None and entry.info == self.info:
@@ -120,18 +120,18 @@
     async def _session(self) -> None:
         host, port = split_address(self.info.peer)
         gateway = self._gateway
-        dialled_at = gateway.now()
-        async with asyncio.timeout(CONNECT_S):
+        started_at = gateway.now()
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, port)
         rtt_s = gateway.steering.placement.expectations.rtt_s
-        took_s = gateway.now() - dialled_at
+        took_s = gateway.now() - started_at
         rtt_s[self.info.region] = min(took_s, rtt_s.get(self.info.region, took_s))
         watch_silence(writer.transport)
         self._queue.clear()
-        self.told = None
-        self.told_hosts = None
-        self.told_news = None
-        self.told_signals = None
+        self.last_counts = None
+        self.last_known_hosts = None
+        self.last_gossip = None
+        self.last_signals_version = None
         try:
             for message in self._greeting(self):
                 frame = encode(message)
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -17,24 +17,24 @@
 from ..core.replica import Update
 from ..wire import encode
 from .context import Gateway
-from .gossip_receiver import QUIET_S, GossipReceiver
+from .gossip_receiver import SILENCE_TIMEOUT_S, GossipReceiver
 from .gossip_sender import GossipSender
-from .link import CONNECT_S, REDIAL_S, Link
+from .link import CONNECT_TIMEOUT_S, REDIAL_DELAY_S, Link
 from .store_messages import changes_message
 
 # How often the links are reviewed when nothing was heard that changes them, in seconds.
-REVIEW_S = 0.1
+REVIEW_INTERVAL_S = 0.1
 # Time between two reviews while hosts come and go, in seconds: at once for people. With
 # more links than `REVIEW_LINKS` a review takes longer, and they are as much rarer.
-REVIEW_APART_S = 0.01
+MIN_REVIEW_INTERVAL_S = 0.01
 REVIEW_LINKS = 20
 # A link that nothing needs any more is kept for so long, in seconds: reasons come and
 # go while hosts start.
-KEEP_S = 2.0
+UNUSED_LINK_KEPT_S = 2.0
 # Hosts that may pass on what one of them has from the store: the host that follows it
 # tells active ones, these others beside them, and all of them those that stand by. One
 # more covers hosts that do not agree yet on who is active.
-HOPS_MOST = 3
+MAX_HOPS = 3
 
 
 class Peers:
@@ -51,7 +51,7 @@
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
         self._links: dict[str, Link] = {}
-        self._gossip_receiver = GossipReceiver(gateway, self.send_to, self._pass_on)
+        self._gossip_receiver = GossipReceiver(gateway, self.send_to, self._forward)
         self._gossip_sender = GossipSender(gateway, self._links)
 
     # Telling
@@ -60,21 +60,21 @@
         """Tell other hosts of an update from the store."""
         frame = encode(changes_message(update, fresh=True))
         roster = self.gateway.roster
-        told = first_hops(roster, self.gateway.now())
+        receivers = first_hops(roster, self.gateway.now())
         for host_id, link in self._links.items():
-            if host_id in told or host_id not in roster.active:
+            if host_id in receivers or host_id not in roster.active:
                 link.send_frame(frame, msg.StoreChanges)
 
-    def _pass_on(self, info: HostInfo, message: msg.StoreChanges) -> None:
+    def _forward(self, info: HostInfo, message: msg.StoreChanges) -> None:
         """Tell the hosts that depend on this one what another has from the store."""
-        if message.hops >= HOPS_MOST:
+        if message.hops >= MAX_HOPS:
             return
         roster = self.gateway.roster
         # Only the host that follows the store tells of what passed through nobody.
-        beside = next_hops(roster) if message.hops == 0 else frozenset()
+        ring_neighbours = next_hops(roster) if message.hops == 0 else frozenset()
         frame = b""
         for host_id, link in self._links.items():
-            needs = host_id in beside or host_id not in roster.active
+            needs = host_id in ring_neighbours or host_id not in roster.active
             if not needs or host_id == info.host_id:
                 continue
             frame = frame or encode(replace(message, hops=message.hops + 1))
@@ -83,20 +83,20 @@
     def announce(self) -> None:
         """Tell all hosts at once whether callers should use this one."""
         for link in self._links.values():
-            link.told_at = float("-inf")
-        self._gossip_sender.tell_counts()
+            link.last_alive_at = float("-inf")
+        self._gossip_sender.send_alive()
 
-    async def tell(self) -> None:
+    async def send_updates(self) -> None:
         """Tell counts and signs of life until cancelled."""
         while True:
-            self._gossip_sender.tell_counts()
-            self.tell_news()
+            self._gossip_sender.send_alive()
+            self.send_gossip()
             await asyncio.sleep(counts_every_s(self.gateway.roster))
 
-    def tell_news(self) -> None:
+    def send_gossip(self) -> None:
         """Tell each host what it does not know yet of servers."""
-        self._gossip_sender.tell_news()
-        self._gossip_sender.tell_signals()
+        self._gossip_sender.send_gossip()
+        self._gossip_sender.send_signals()
 
     # Links
 
@@ -110,8 +110,8 @@
         try:
             while True:
                 self._review()
-                await asyncio.sleep(self._review_apart_s())
-                await self.gateway.wait_for_hosts(REVIEW_S)
+                await asyncio.sleep(self._min_review_interval_s())
+                await self.gateway.wait_for_hosts(REVIEW_INTERVAL_S)
         finally:
             server.close()
             self._gossip_receiver.close()
@@ -119,13 +119,13 @@
                 link.task.cancel()
             self._links.clear()
 
-    def _review_apart_s(self) -> float:
+    def _min_review_interval_s(self) -> float:
         """Return how far apart reviews are at least, in seconds.
 
         Failure: a fleet of 100 hosts starts. Each word of one of them had all others
         reviewed at once, and told again, hundreds of times a second.
         """
-        return REVIEW_APART_S * max(1.0, len(self._links) / REVIEW_LINKS)
+        return MIN_REVIEW_INTERVAL_S * max(1.0, len(self._links) / REVIEW_LINKS)
 
     def _review(self) -> None:
         gateway = self.gateway
@@ -139,7 +139,7 @@
                 own=roster.is_active,
             )
         self._keep_links(now)
-        self._gossip_sender.tell_hosts()
+        self._gossip_sender.send_known_hosts()
 
     def _keep_links(self, now: float) -> None:
         entries = self.gateway.roster.entries
@@ -153,9 +153,9 @@
             link = self._links.get(host_id)
             if link is None or link.info != entries[host_id].info:
                 link = self._open(entries[host_id].info)
-            link.needed_at = now
+            link.last_needed_at = now
         for host_id, link in list(self._links.items()):
-            if now - link.needed_at > KEEP_S:
+            if now - link.last_needed_at > UNUSED_LINK_KEPT_S:
                 link.task.cancel()
                 del self._links[host_id]
 
@@ -173,7 +173,7 @@
         link = self._links.get(info.host_id) or self._open(info)
         link.send(message)
 
-    async def seek(self) -> None:
+    async def greet_seeds(self) -> None:
         """Say hello to the seeds while no other host is known.
 
         Failure: a host starts while the store is away and cannot read who is there.
@@ -184,13 +184,13 @@
                 seeds = [
                     s for s in self.gateway.cfg.seeds if s != self.gateway.cfg.peer
                 ]
-                await asyncio.gather(*(self._greet(seed) for seed in seeds))
-            await asyncio.sleep(2 * REDIAL_S)
+                await asyncio.gather(*(self._greet_seed(seed) for seed in seeds))
+            await asyncio.sleep(2 * REDIAL_DELAY_S)
 
-    async def _greet(self, seed: str) -> None:
+    async def _greet_seed(self, seed: str) -> None:
         host, port = split_address(seed)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(host, port)
         except (OSError, TimeoutError) as exc:
             logs.event("seed-unreachable", "DEBUG", seed=seed, why=repr(exc))
@@ -199,7 +199,7 @@
             for message in self._gossip_sender.greeting(None):
                 writer.write(encode(message))
             await writer.drain()
-            await asyncio.sleep(QUIET_S)
+            await asyncio.sleep(SILENCE_TIMEOUT_S)
         except OSError as exc:
             logs.event("seed-unreachable", "DEBUG", seed=seed, why=repr(exc))
         finally:
--- a/lacewingcross/gateway/quarantine_store.py
+++ b/lacewingcross/gateway/quarantine_store.py
@@ -10,10 +10,10 @@
 from ..platform.store import ObjectStore
 from .context import Gateway
 
-REVIEW_S = 0.1
+REVIEW_INTERVAL_S = 0.1
 # The host that saw the deciding end stores it. When it dies over it, the others step in
 # one after the other, each so much later than the one before, in seconds.
-STEP_IN_EACH_S = 0.5
+STEP_IN_DELAY_S = 0.5
 
 
 class QuarantineStore:
@@ -40,7 +40,7 @@
         """Review again and again, until cancelled."""
         backoff = Backoff(self._gateway.steering.rng)
         while True:
-            await asyncio.sleep(REVIEW_S)
+            await asyncio.sleep(REVIEW_INTERVAL_S)
             try:
                 await self._review()
                 backoff.reset()
@@ -49,9 +49,9 @@
                 await backoff.wait()
 
     async def _review(self) -> None:
-        for request, held in self._missing():
-            await self._store.put_quarantine(request, held.servers)
-            logs.event("quarantine-stored", request=request, servers=held.servers)
+        for request, entry in self._missing():
+            await self._store.put_quarantine(request, entry.servers)
+            logs.event("quarantine-stored", request=request, servers=entry.servers)
         if self._gateway.rank == 0:
             for request in self._surplus():
                 await self._store.delete_quarantine(request)
@@ -67,18 +67,18 @@
             return []
         stored = self._stored()
         return [
-            (request, held)
-            for request, held in quarantine.items()
-            if request not in stored and self._my_turn(held)
+            (request, entry)
+            for request, entry in quarantine.items()
+            if request not in stored and self._should_store(entry)
         ]
 
-    def _my_turn(self, held: Quarantine) -> bool:
+    def _should_store(self, entry: Quarantine) -> bool:
         """Tell whether this host has to store a quarantine now."""
-        if held.own:
+        if entry.own:
             return True
         rank = self._gateway.rank
-        waited_s = self._gateway.now() - held.since
-        return rank is not None and waited_s > (1 + rank) * STEP_IN_EACH_S
+        waited_s = self._gateway.now() - entry.since
+        return rank is not None and waited_s > (1 + rank) * STEP_IN_DELAY_S
 
     def _surplus(self) -> set[str]:
         # Read anew: what was stored may have been released during the writes before.
--- a/lacewingcross/gateway/quota_admission.py
+++ b/lacewingcross/gateway/quota_admission.py
@@ -14,12 +14,12 @@
 from ..metrics import Metrics
 
 # How often charges and leases that are due are told, in seconds.
-TELL_EVERY_S = 0.04
+SEND_INTERVAL_S = 0.04
 # The same at a host that holds no share and has nothing open: 25 idle turns a second
 # would be most of what a host that stands by does.
-IDLE_S = 0.25
+IDLE_INTERVAL_S = 0.25
 # Accounts with counters of their own; all others share one.
-COUNTED_MOST = 100
+MAX_COUNTED_ACCOUNTS = 100
 
 SendTo = Callable[[HostInfo, msg.Message], None]
 
@@ -40,8 +40,8 @@
     """
 
     __slots__ = (
-        "_asked",
-        "_counted",
+        "_request_arrived",
+        "_counted_accounts",
         "_metrics",
         "_quotas",
         "_roster",
@@ -61,20 +61,22 @@
         self._metrics = metrics
         self._times = times
         self._waiters: dict[str, deque[asyncio.Future[Outcome]]] = {}
-        self._counted: set[str] = set()
+        self._counted_accounts: set[str] = set()
         # Set by each request, so that a keeper is asked at once.
-        self._asked = asyncio.Event()
+        self._request_arrived = asyncio.Event()
 
     async def admit(self, account: str) -> Admission:
         """Return whether a request of an account may run; it waits moments at most."""
-        found = self._quotas.ask(account, self._times())
-        self._asked.set()
-        if found.outcome is Outcome.WAITING:
-            found = await self._wait(account, found)
-        self._count(account, found.outcome)
-        return found
-
-    async def _wait(self, account: str, asked: Admission) -> Admission:
+        admission = self._quotas.ask(account, self._times())
+        self._request_arrived.set()
+        if admission.outcome is Outcome.WAITING:
+            admission = await self._wait_for_keeper(account, admission)
+        self._count(account, admission.outcome)
+        return admission
+
+    async def _wait_for_keeper(
+        self, account: str, first_answer: Admission
+    ) -> Admission:
         fut = asyncio.get_running_loop().create_future()
         waiters = self._waiters.setdefault(account, deque())
         waiters.append(fut)
@@ -83,10 +85,10 @@
             async with asyncio.timeout(MAX_WAIT_S):
                 outcome = await fut
         except TimeoutError:
-            outcome = _decision(fut)
+            outcome = _late_outcome(fut)
         except asyncio.CancelledError:
             # The caller has left in the moment in which its request was admitted.
-            if _decision(fut) is Outcome.ADMITTED:
+            if _late_outcome(fut) is Outcome.ADMITTED:
                 self._quotas.ledger.cancel(account)
             raise
         finally:
@@ -94,93 +96,96 @@
                 waiters.remove(fut)
                 self._quotas.ledger.give_up(account)
         if outcome is Outcome.ADMITTED:
-            return Admission(outcome, keeper=asked.keeper)
+            return Admission(outcome, keeper=first_answer.keeper)
         return self._quotas.ledger.refusal(account, self._times().now)
 
     def cancel(self, account: str) -> None:
         """Take back a request that was admitted and never ran."""
         self._quotas.ledger.cancel(account)
-        self._decide(account)
+        self._wake_decided(account)
 
-    def _decide(self, account: str) -> None:
+    def _wake_decided(self, account: str) -> None:
         """Wake the requests that were decided."""
         waiters = self._waiters.get(account)
         if not waiters:
             return
         decided = self._quotas.ledger.decided(account, self._times().now)
         for _ in range(decided.admitted):
-            if not _wake(waiters.popleft(), Outcome.ADMITTED):
+            if not _set_outcome(waiters.popleft(), Outcome.ADMITTED):
                 self._quotas.ledger.cancel(account)
         for _ in range(decided.refused):
-            _wake(waiters.pop(), Outcome.REFUSED)
+            _set_outcome(waiters.pop(), Outcome.REFUSED)
 
     def _count(self, account: str, outcome: Outcome) -> None:
         self._metrics.count(f"quotas.{outcome.value}")
-        if account not in self._counted and len(self._counted) >= COUNTED_MOST:
+        if (
+            account not in self._counted_accounts
+            and len(self._counted_accounts) >= MAX_COUNTED_ACCOUNTS
+        ):
             account = "others"
-        self._counted.add(account)
+        self._counted_accounts.add(account)
         self._metrics.count(f"accounts.{outcome.value}.{account}")
 
     def measure(self) -> None:
         """Set the gauges of the accounts that have counters of their own."""
         ledger = self._quotas.ledger
-        for account in self._counted:
+        for account in self._counted_accounts:
             self._metrics.set_gauge(f"accounts.unpaid.{account}", ledger.debt(account))
-            part = self._quotas.keeper.part(account)
-            self._metrics.set_gauge(f"accounts.kept.{account}", part)
+            kept_share = self._quotas.keeper.part(account)
+            self._metrics.set_gauge(f"accounts.kept.{account}", kept_share)
 
     # Other hosts
 
-    def heard(
+    def receive(
         self, info: HostInfo, incarnation: int, message: msg.QuotaMessage
     ) -> msg.QuotaReceipts | None:
         """Take in what another host tells of quotas; return the answer, if any."""
-        at = self._times()
+        reading = self._times()
         host = (info.host_id, incarnation)
         if isinstance(message, msg.QuotaCharges):
-            return self._quotas.on_charges(host, message, at)
+            return self._quotas.on_charges(host, message, reading)
         if isinstance(message, msg.QuotaLease):
-            self._quotas.on_lease(host, message, at)
+            self._quotas.on_lease(host, message, reading)
             return None
-        for account in self._quotas.on_receipts(info.host_id, message, at):
-            self._decide(account)
+        for account in self._quotas.on_receipts(info.host_id, message, reading):
+            self._wake_decided(account)
         return None
 
-    async def tell(self, send_to: SendTo) -> None:
+    async def send_updates(self, send_to: SendTo) -> None:
         """Tell other hosts what is due until cancelled."""
         while True:
-            self.tell_now(send_to)
+            self.send_due(send_to)
             if self._quotas.busy(self._times().now):
-                await asyncio.sleep(TELL_EVERY_S)
+                await asyncio.sleep(SEND_INTERVAL_S)
                 continue
-            self._asked.clear()
+            self._request_arrived.clear()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(IDLE_S):
-                    await self._asked.wait()
+                async with asyncio.timeout(IDLE_INTERVAL_S):
+                    await self._request_arrived.wait()
 
-    def tell_now(self, send_to: SendTo) -> None:
+    def send_due(self, send_to: SendTo) -> None:
         """Tell other hosts what is due."""
-        at = self._times()
-        good = self._quotas.watch.good
-        self._quotas.review(at)
-        if self._quotas.watch.good != good:
+        reading = self._times()
+        was_good = self._quotas.watch.good
+        self._quotas.review(reading)
+        if self._quotas.watch.good != was_good:
             logs.event(
                 "quota-share",
-                good=not good,
+                good=not was_good,
                 holders=len(self._quotas.watch.holders),
                 key=self._quotas.watch.holders.key,
             )
         if not self._quotas.in_force:
             return
-        for host_id, message in self._quotas.outgoing(at):
+        for host_id, message in self._quotas.outgoing(reading):
             entry = self._roster.entries.get(host_id)
             if entry is not None:
                 send_to(entry.info, message)
         for account in list(self._waiters):
-            self._decide(account)
+            self._wake_decided(account)
 
 
-def _wake(fut: asyncio.Future[Outcome], outcome: Outcome) -> bool:
+def _set_outcome(fut: asyncio.Future[Outcome], outcome: Outcome) -> bool:
     """Hand a decision over; return whether anybody still waits for it."""
     if fut.done():
         return False
@@ -188,7 +193,7 @@
     return True
 
 
-def _decision(fut: asyncio.Future[Outcome]) -> Outcome:
+def _late_outcome(fut: asyncio.Future[Outcome]) -> Outcome:
     """Return what was decided while its waiting was being broken off."""
     if fut.done() and not fut.cancelled():
         return fut.result()
--- a/lacewingcross/gateway/signals.py
+++ b/lacewingcross/gateway/signals.py
@@ -12,8 +12,8 @@
 OWN = "own"
 
 
-def learn_signals(
-    gateway: Gateway, server: Server, head: ResponseHead, asked_at: float
+def record_signals(
+    gateway: Gateway, server: Server, head: ResponseHead, sent_at: float
 ) -> None:
     """Take in the head of an answer to a request that was sent at `asked_at`.
 
@@ -22,34 +22,36 @@
     """
     if head.status == MISDIRECTED:
         return
-    said = read_signals(head.status, head.headers)
-    for name in said.unreadable:
+    signals = read_signals(head.status, head.headers)
+    for name in signals.unreadable:
         gateway.metrics.count(f"signals.unreadable.{name}")
     gate = gateway.steering.placement.gate
     incarnation = server.entry.incarnation
-    if said.leaving and gate.departures.observe(incarnation):
+    if signals.leaving and gate.departures.observe(incarnation):
         _log_leaving(incarnation, OWN)
-    if "rest" not in said.unreadable:
-        _learn_rest(gateway, incarnation, said.rest_s)
-    if "limit" in said.unreadable:
+    if "rest" not in signals.unreadable:
+        _record_backoff(gateway, incarnation, signals.rest_s)
+    if "limit" in signals.unreadable:
         return
-    if gate.rates.observe(incarnation, said.rate, asked_at, gateway.now()):
-        _limit_changed(gateway, incarnation, said.rate, OWN)
+    if gate.rates.observe(incarnation, signals.rate, sent_at, gateway.now()):
+        _apply_limit(gateway, incarnation, signals.rate, OWN)
 
 
-def _learn_rest(gateway: Gateway, server: Incarnation, rest_s: float) -> None:
+def _record_backoff(
+    gateway: Gateway, server: Incarnation, retry_after_s: float
+) -> None:
     backoffs = gateway.steering.placement.gate.backoffs
-    if backoffs.observe(server, rest_s, gateway.now()):
+    if backoffs.observe(server, retry_after_s, gateway.now()):
         gateway.metrics.count("servers.rests")
         logs.event(
             "server-rests",
             server=server[0],
             born_ms=server[1],
-            rest_ms=int(1000 * rest_s),
+            rest_ms=int(1000 * retry_after_s),
         )
 
 
-def take_told(
+def record_peer_signals(
     gateway: Gateway, source: str, message: msg.ServerLimits | msg.ServersLeaving
 ) -> None:
     """Take in what another host has heard servers say."""
@@ -59,25 +61,27 @@
             if departures.learn_from_peer(server):
                 _log_leaving(server, source)
     else:
-        _take_limits(gateway, source, message)
+        _record_peer_limits(gateway, source, message)
 
 
-def _take_limits(gateway: Gateway, source: str, message: msg.ServerLimits) -> None:
+def _record_peer_limits(
+    gateway: Gateway, source: str, message: msg.ServerLimits
+) -> None:
     rates = gateway.steering.placement.gate.rates
     now = gateway.now()
     for server_id, born_ms, rate, age_s in message.items:
-        said = rate if rate >= 0.0 else None
+        limit = rate if rate >= 0.0 else None
         if rates.learn_from_peer(
-            (server_id, born_ms), said, now - max(0.0, age_s), now
+            (server_id, born_ms), limit, now - max(0.0, age_s), now
         ):
-            _limit_changed(gateway, (server_id, born_ms), said, source, age_s)
+            _apply_limit(gateway, (server_id, born_ms), limit, source, age_s)
 
 
 def _log_leaving(server: Incarnation, source: str) -> None:
     logs.event("server-leaving", server=server[0], born_ms=server[1], source=source)
 
 
-def _limit_changed(
+def _apply_limit(
     gateway: Gateway,
     server: Incarnation,
     rate: float | None,
@@ -88,13 +92,13 @@
     rates = gateway.steering.placement.gate.rates
     now = gateway.now()
     rates.set_hosts(serving_hosts(gateway.roster, now), now)
-    here = rates.share_of(server)
+    own_share = rates.share_of(server)
     logs.event(
         "server-limit",
         server=server[0],
         born_ms=server[1],
         limit_per_s="none" if rate is None else rate,
-        here_per_s="any" if rate is None else round(here, 3),
+        here_per_s="any" if rate is None else round(own_share, 3),
         source=source,
         age_ms=int(1000 * age_s),
     )
--- a/lacewingcross/gateway/store_follower.py
+++ b/lacewingcross/gateway/store_follower.py
@@ -11,16 +11,16 @@
 from ..platform.store import ObjectStore
 from .context import Gateway
 
-REVIEW_S = 0.1
+REVIEW_INTERVAL_S = 0.1
 # The same at a host that has nothing yet and cannot serve, in seconds.
-EMPTY_REVIEW_S = 0.02
+EMPTY_REVIEW_INTERVAL_S = 0.02
 # The list of hosts is read again at this pace, in seconds, for those whose hello was
 # missed; by active hosts only, who tell the others.
-HOSTS_EVERY_S = 10.0
+HOST_LIST_INTERVAL_S = 10.0
 # A host that hears no other one reads it sooner, in seconds, but only so many times: it
 # may be the only one.
-LONELY_EVERY_S = 1.0
-LONELY_MOST = 5
+ALONE_INTERVAL_S = 1.0
+MAX_ALONE_READS = 5
 
 Publish = Callable[[Update], None]
 
@@ -38,34 +38,34 @@
         Tells the other hosts of changes between two revisions of a kind.
     """
 
-    __slots__ = ("_watch_election", "_gateway", "_lost", "_publish", "_store")
+    __slots__ = ("_watch_election", "_gateway", "_unreachable", "_publish", "_store")
 
     def __init__(self, gateway: Gateway, store: ObjectStore, publish: Publish) -> None:
         self._watch_election = gateway.watch_election
         self._gateway = gateway
         self._store = store
         self._publish = publish
-        self._lost = False
+        self._unreachable = False
 
-    def following(self, kind: Kind) -> Callable:
+    def watch_loop(self, kind: Kind) -> Callable:
         """Return the coroutine function that follows one kind."""
 
-        async def follow() -> None:
-            await self._follow(kind)
+        async def watch() -> None:
+            await self._watch_when_elected(kind)
 
-        return follow
+        return watch
 
-    def _my_duty(self, kind: Kind) -> bool:
-        empty = not self._known(kind) and self._gateway.roster.is_active
+    def _should_watch(self, kind: Kind) -> bool:
+        empty = not self._has_data(kind) and self._gateway.roster.is_active
         now = self._gateway.now()
         return self._watch_election.should_watch(
             kind, self._gateway.rank, now, empty=empty
         )
 
-    def _known(self, kind: Kind) -> bool:
+    def _has_data(self, kind: Kind) -> bool:
         return self._gateway.steering.replica.as_of(kind) > 0
 
-    async def _follow(self, kind: Kind) -> None:
+    async def _watch_when_elected(self, kind: Kind) -> None:
         """Read a kind and watch it whenever that is this host's duty.
 
         What peers have told is as good as a listing of its own: of 195 hosts that
@@ -75,11 +75,13 @@
         compacted = False
         wait_s = FIRST_WAIT_S
         while True:
-            known = self._known(kind)
-            if not self._my_duty(kind):
+            known = self._has_data(kind)
+            if not self._should_watch(kind):
                 wait_s = FIRST_WAIT_S
                 compacted = False
-                await asyncio.sleep(REVIEW_S if known else EMPTY_REVIEW_S)
+                await asyncio.sleep(
+                    REVIEW_INTERVAL_S if known else EMPTY_REVIEW_INTERVAL_S
+                )
                 continue
             try:
                 if known and not compacted:
@@ -88,7 +90,7 @@
                 else:
                     await self._list(kind)
                     compacted = False
-                self._regained()
+                self._note_success()
                 backoff.reset()
             except PlatformError as exc:
                 compacted = exc.code == "compacted"
@@ -99,13 +101,13 @@
                 await backoff.wait()
 
     async def _list(self, kind: Kind) -> None:
-        self._take(await self._store.read_all(kind), "listing")
+        self._apply(await self._store.read_all(kind), "listing")
 
     async def _watch(self, kind: Kind, wait_s: float) -> None:
         since = self._gateway.steering.replica.as_of(kind)
-        self._take(await self._store.watch(kind, since, wait_s), "watch")
+        self._apply(await self._store.watch(kind, since, wait_s), "watch")
 
-    def _take(self, update: Update, source: str) -> None:
+    def _apply(self, update: Update, source: str) -> None:
         """Take in an update and tell the other hosts all of it.
 
         All, not only what is new here: a host that has less must not count itself as
@@ -119,8 +121,8 @@
     def _note_failure(self, kind: Kind, exc: PlatformError) -> None:
         self._gateway.metrics.count(f"store.{exc.code}")
         self._watch_election.failed(self._gateway.now())
-        if not self._lost:
-            self._lost = True
+        if not self._unreachable:
+            self._unreachable = True
             logs.event(
                 "store-lost",
                 "WARNING",
@@ -130,10 +132,10 @@
                 age_s=self._gateway.steering.store_age(self._gateway.now()),
             )
 
-    def _regained(self) -> None:
+    def _note_success(self) -> None:
         self._watch_election.succeeded()
-        if self._lost:
-            self._lost = False
+        if self._unreachable:
+            self._unreachable = False
             logs.event("store-regained")
 
 
@@ -178,36 +180,36 @@
         Client of the store.
     """
 
-    __slots__ = ("_gateway", "_lonely", "_store")
+    __slots__ = ("_gateway", "_alone_reads", "_store")
 
     def __init__(self, gateway: Gateway, store: ObjectStore) -> None:
         self._gateway = gateway
-        self._lonely = 0
+        self._alone_reads = 0
         self._store = store
 
     async def run(self) -> None:
         """Introduce this host, then read the list again and again."""
-        introduced = False
+        registered = False
         backoff = Backoff(self._gateway.steering.rng)
         while True:
             try:
-                if not introduced:
-                    await self._introduce()
-                    introduced = True
+                if not registered:
+                    await self._register()
+                    registered = True
                 elif not self._gateway.roster.has_live_relay(self._gateway.now()):
-                    await self._read_again()
+                    await self._refresh_list()
                 backoff.reset()
                 await asyncio.sleep(self._pause_s())
             except PlatformError as exc:
                 self._gateway.metrics.count(f"store.hosts-{exc.code}")
                 await backoff.wait()
 
-    async def _read_again(self) -> None:
-        if not await self._read(stale=self._in_company()):
+    async def _refresh_list(self) -> None:
+        if not await self._read_list(stale=self._has_live_peers()):
             # The deletion of an earlier run can be done seconds late.
             await self._store.put_host(self._gateway.roster.own)
 
-    def _in_company(self) -> bool:
+    def _has_live_peers(self) -> bool:
         return len(self._gateway.roster.live(self._gateway.now())) > 1
 
     def _pause_s(self) -> float:
@@ -216,12 +218,12 @@
         Failure: of hosts that start together, the first find a list in which no active
         host is yet. They would stand by with nobody to tell them anything.
         """
-        if self._in_company() or self._lonely >= LONELY_MOST:
-            return HOSTS_EVERY_S
-        self._lonely += 1
-        return LONELY_EVERY_S
+        if self._has_live_peers() or self._alone_reads >= MAX_ALONE_READS:
+            return HOST_LIST_INTERVAL_S
+        self._alone_reads += 1
+        return ALONE_INTERVAL_S
 
-    async def _introduce(self) -> None:
+    async def _register(self) -> None:
         """Name this host unless it is named already, and find the others.
 
         The list is read after the name is in it: of two hosts that start together at
@@ -229,13 +231,13 @@
         killed finds its name there; that saves two calls of six when a fleet starts
         again. When the whole system starts for the first time, nobody is named.
         """
-        if not self._gateway.cfg.first_start and await self._read(stale=False):
+        if not self._gateway.cfg.first_start and await self._read_list(stale=False):
             self._gateway.roster.was_listed = True
             return
         await self._store.put_host(self._gateway.roster.own)
-        await self._read(stale=False)
+        await self._read_list(stale=False)
 
-    async def _read(self, *, stale: bool) -> bool:
+    async def _read_list(self, *, stale: bool) -> bool:
         """Learn the named hosts; return whether this one is among them as it is."""
         roster = self._gateway.roster
         now = self._gateway.now()
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -90,11 +90,11 @@
 
     async def play(made):
         asked = made.broke(ENTRY, "bad")
-        made.heard("host-2", msg.ServerEnded(*END, ["innocent"]))
+        made.receive("host-2", msg.ServerEnded(*END, ["innocent"]))
         answers.go.set()
         await asked
         assert made.ledger.crash_requests(END) == {"bad", "innocent"}
-        told = [piece.source for piece in made.news.since(0)]
+        told = [piece.source for piece in made.gossip.since(0)]
         assert told == ["host-2", ""]
 
     check(answers, play)
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -36,7 +36,7 @@
 
     def pay(self, count):
         items = [("a", 0, count, 0.0)]
-        self.desk.heard(self.keeper, 1, msg.QuotaReceipts(items))
+        self.desk.receive(self.keeper, 1, msg.QuotaReceipts(items))
 
     def counted(self):
         """Return how many requests count as run or waiting."""
