--- a/lacewingcross/platform/answer_signals.py
+++ b/lacewingcross/platform/answer_signals.py
@@ -8,9 +8,11 @@
 from . import headers as ph
 
 # Longer numbers, before and behind the point, are errors of their sender.
-WHOLE_DIGITS = 9
-FRACTION_DIGITS = 20
-_DECIMAL = re.compile(rf"[0-9]{{1,{WHOLE_DIGITS}}}(\.[0-9]{{0,{FRACTION_DIGITS}}})?")
+MAX_INTEGER_DIGITS = 9
+MAX_FRACTION_DIGITS = 20
+_DECIMAL = re.compile(
+    rf"[0-9]{{1,{MAX_INTEGER_DIGITS}}}(\.[0-9]{{0,{MAX_FRACTION_DIGITS}}})?"
+)
 
 
 def read_signals(
@@ -25,7 +27,7 @@
     headers : collection of (bytes, bytes)
         Names in lower case, and values.
     """
-    found = {name: value for name, value in headers if name in ph.SIGNALS}
+    found = {name: value for name, value in headers if name in ph.SIGNAL_HEADERS}
     if not found:
         return NO_SIGNALS
     rate = None
@@ -35,15 +37,17 @@
         if rate is None:
             unreadable.append("limit")
     leaving = found.get(ph.SERVER_LEAVING, b"0").strip() != b"0"
-    rest_s = 0.0
-    if ph.RETRY_AFTER in found and status in ph.RESTING:
-        rest_s = _rest_s(found[ph.RETRY_AFTER], dict(headers).get(ph.DATE, b""))
-        if rest_s is None:
+    retry_after_s = 0.0
+    if ph.RETRY_AFTER in found and status in ph.BACKOFF_STATUSES:
+        retry_after_s = _retry_after_s(
+            found[ph.RETRY_AFTER], dict(headers).get(ph.DATE, b"")
+        )
+        if retry_after_s is None:
             unreadable.append("rest")
-    return ServerSignals(rate, leaving, rest_s or 0.0, tuple(unreadable))
+    return ServerSignals(rate, leaving, retry_after_s or 0.0, tuple(unreadable))
 
 
-def _rest_s(value: bytes, made_at: bytes) -> float | None:
+def _retry_after_s(value: bytes, response_date: bytes) -> float | None:
     """Return a time from now on in seconds, or None.
 
     A date is taken from the one at which the answer was made: this host's own clock may
@@ -54,10 +58,10 @@
         return seconds
     try:
         until = parsedate_to_datetime(value.decode("latin-1"))
-        rest = until - parsedate_to_datetime(made_at.decode("latin-1"))
+        remaining = until - parsedate_to_datetime(response_date.decode("latin-1"))
     except (TypeError, ValueError):
         return None
-    return max(0.0, rest.total_seconds())
+    return max(0.0, remaining.total_seconds())
 
 
 def _decimal(value: bytes) -> float | None:
--- a/lacewingcross/platform/headers.py
+++ b/lacewingcross/platform/headers.py
@@ -19,8 +19,8 @@
 SERVER_LEAVING = b"server-leaving"
 # With a status in `RESTING`: seconds for which the server wants nothing from this host.
 RETRY_AFTER = b"retry-after"
-RESTING = frozenset((429, 503))
+BACKOFF_STATUSES = frozenset((429, 503))
 # When an answer was made, by its server's clock.
 DATE = b"date"
 # What a server says of itself, besides its load.
-SIGNALS = frozenset((SERVER_LIMIT, SERVER_LEAVING, RETRY_AFTER))
+SIGNAL_HEADERS = frozenset((SERVER_LIMIT, SERVER_LEAVING, RETRY_AFTER))
--- a/lacewingcross/platform/object_api.py
+++ b/lacewingcross/platform/object_api.py
@@ -82,7 +82,7 @@
                 "allow_stale": "1" if stale else "",
             }
             data = await self.call("GET", _target(kind, query=query))
-            items = [_decode_any(kind, item) for item in data["items"]]
+            items = [_decode_or_none(kind, item) for item in data["items"]]
             readable = [item for item in items if item is not None]
             found += readable
             # Without a name there is nothing to go on from.
@@ -101,7 +101,7 @@
         target = _target(kind, query=query)
         data = await self.call("GET", target, wait_s=wait_s)
         events = [
-            _decode_any(kind, event["object"], deleted=bool(event["deleted"]))
+            _decode_or_none(kind, event["object"], deleted=bool(event["deleted"]))
             for event in data["events"]
         ]
         known = [event for event in events if event is not None]
@@ -151,8 +151,8 @@
                 method, target, headers, data, self._timeout_s + wait_s
             )
         except HttpError as exc:
-            lost = exc.sent and method != "GET"
-            code = "unknown-outcome" if lost else "unavailable"
+            may_have_run = exc.sent and method != "GET"
+            code = "unknown-outcome" if may_have_run else "unavailable"
             raise PlatformError(code, f"{method} {target}: {exc}") from exc
         return _decode(response, f"{method} {target}")
 
@@ -170,7 +170,7 @@
     path = f"/v1/objects/{quote(kind)}"
     if name:
         path += f"/{quote(name, safe='')}"
-    pairs = [f"{key}={quote(str(val))}" for key, val in (query or {}).items()]
+    pairs = [f"{key}={quote(str(value))}" for key, value in (query or {}).items()]
     pairs = [pair for pair in pairs if not pair.endswith("=")]
     return path + ("?" + "&".join(pairs) if pairs else "")
 
@@ -185,12 +185,14 @@
         raise PlatformError("unavailable", f"{call}: the answer is not JSON") from exc
     if response.status >= 300:
         code = _ERROR_CODES.get(response.status, "unavailable")
-        why = data.get("message", "") if isinstance(data, dict) else ""
-        raise PlatformError(code, f"{call}: status {response.status} {why}".rstrip())
+        detail = data.get("message", "") if isinstance(data, dict) else ""
+        raise PlatformError(code, f"{call}: status {response.status} {detail}".rstrip())
     return data if isinstance(data, dict) else {}
 
 
-def _decode_any(kind: str, item: object, *, deleted: bool = False) -> ApiObject | None:
+def _decode_or_none(
+    kind: str, item: object, *, deleted: bool = False
+) -> ApiObject | None:
     """Return an object that anybody may have written, None when it has no name.
 
     Failure: one object without metadata among five hundred. The listing would be given
--- a/lacewingcross/platform/objects.py
+++ b/lacewingcross/platform/objects.py
@@ -19,7 +19,7 @@
 HOSTS_PATH = "entry-hosts"
 CONFIG_NAME = "main"
 # Whether a server in a state is leaving.
-DRAINING_OF_STATE = {"ready": False, "draining": True}
+DRAINING_BY_STATE = {"ready": False, "draining": True}
 
 
 def decode_configuration(spec: object) -> Configuration:
@@ -83,7 +83,7 @@
 
 
 def _accounts(spec: dict) -> Accounts:
-    found = []
+    accounts = []
     for name, data in (spec.get("tenants") or {}).items():
         keys = data.get("api_keys") or []
         # The error holds no key, whatever stands in the place of one.
@@ -91,20 +91,20 @@
             isinstance(k, str) and k for k in keys
         ):
             raise ValueError(f"account {name}: expected keys as texts")
-        found.append((_account(name, data), keys))
-    return Accounts(found)
+        accounts.append((_account(name, data), keys))
+    return Accounts(accounts)
 
 
 def _account(name: str, data: dict) -> ClientAccount:
-    rank = _whole(data, "priority") if data.get("priority") is not None else None
+    rank = _integer(data, "priority") if data.get("priority") is not None else None
     return ClientAccount(
         name, rank, frozenset(data.get("home_regions") or ()), _quota(data)
     )
 
 
 def _quota(data: dict) -> Quota | None:
-    rate = _at_least_0(data, "rate_per_s") if data.get("rate_per_s") else 0.0
-    burst = _at_least_0(data, "burst") if data.get("burst") else 0.0
+    rate = _non_negative(data, "rate_per_s") if data.get("rate_per_s") else 0.0
+    burst = _non_negative(data, "burst") if data.get("burst") else 0.0
     return Quota(rate, burst) if rate else None
 
 
@@ -133,14 +133,14 @@
     try:
         entry = ServerEntry(
             server_id=name,
-            service=_text(spec, "service"),
-            address=_text(spec, "address"),
-            failure_domain=_text(spec, "zone"),
-            slots=_whole(spec, "slots", least=1),
-            draining=DRAINING_OF_STATE[_text(spec, "state")],
-            cold_left_s=_at_least_0(spec, "cold_left_s"),
+            service=_non_empty_string(spec, "service"),
+            address=_non_empty_string(spec, "address"),
+            failure_domain=_non_empty_string(spec, "zone"),
+            slots=_integer(spec, "slots", minimum=1),
+            draining=DRAINING_BY_STATE[_non_empty_string(spec, "state")],
+            cold_left_s=_non_negative(spec, "cold_left_s"),
             # Unix milliseconds of its start; servers of older versions do not tell it.
-            born_ms=_whole(spec, "born") if "born" in spec else 0,
+            born_ms=_integer(spec, "born") if "born" in spec else 0,
         )
         split_address(entry.address)
     except (KeyError, TypeError, ValueError) as exc:
@@ -148,23 +148,23 @@
     return entry
 
 
-def _text(spec: dict, field: str) -> str:
+def _non_empty_string(spec: dict, field: str) -> str:
     value = spec[field]
     if not isinstance(value, str) or not value:
         raise TypeError(f"{field}: expected a text, got {value!r:.80}")
     return value
 
 
-def _whole(spec: dict, field: str, least: int = 0) -> int:
+def _integer(spec: dict, field: str, minimum: int = 0) -> int:
     value = spec[field]
     if not isinstance(value, int) or isinstance(value, bool):
         raise TypeError(f"{field}: expected a whole number, got {value!r:.80}")
-    if value < least:
-        raise ValueError(f"{field}: expected {least} or more, got {value}")
+    if value < minimum:
+        raise ValueError(f"{field}: expected {minimum} or more, got {value}")
     return value
 
 
-def _at_least_0(spec: dict, field: str) -> float:
+def _non_negative(spec: dict, field: str) -> float:
     value = spec[field]
     if not isinstance(value, int | float) or isinstance(value, bool):
         raise TypeError(f"{field}: expected a number, got {value!r:.80}")
--- a/lacewingcross/platform/settings.py
+++ b/lacewingcross/platform/settings.py
@@ -80,10 +80,10 @@
 
 def _read_regions(reader: Reader) -> dict[str, str]:
     value = reader.raw("failure_domains")
-    good = isinstance(value, dict) and all(
+    valid = isinstance(value, dict) and all(
         isinstance(region, str) for region in value.values()
     )
-    if not good:
+    if not valid:
         raise reader.fail("failure_domains", "an object of domain: region", value)
     return dict(value)
 
@@ -93,21 +93,21 @@
     if not isinstance(data, dict):
         raise reader.fail("bounds", "an object of name: number", data)
     values = {}
-    for name, ours in _BOUND_FIELDS.items():
+    for name, field in _BOUND_FIELDS.items():
         if name in data:
-            values[ours] = _number(reader, name, data[name])
+            values[field] = _number(reader, name, data[name])
     return Bounds(**values)
 
 
 def _read_policy(reader: Reader) -> Policy:
     data = reader.raw("policy", {})
-    names = {field.name for field in fields(Policy)}
-    good = isinstance(data, dict) and all(
-        name in names and isinstance(value, bool) for name, value in data.items()
+    field_names = {field.name for field in fields(Policy)}
+    valid = isinstance(data, dict) and all(
+        name in field_names and isinstance(value, bool) for name, value in data.items()
     )
-    if not good:
+    if not valid:
         expected = "an object of switch: true or false, with " + ", ".join(
-            sorted(names)
+            sorted(field_names)
         )
         raise reader.fail("policy", expected, data)
     return Policy(**data)
