--- a/lacewingcross/gateway/crashes.py
+++ b/lacewingcross/gateway/crashes.py
@@ -1,4 +1,4 @@
-"""Finds out which backend servers have ended, and under which requests."""
+"""Detects crashes of backend servers and the requests that were running there."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,30 +15,39 @@
 from .backends import Backends
 
 # A process that ends closes its connections and its listener one after the other. A
-# connection that was still accepted in between is lost within this time, in seconds.
+# connection that it still accepted in between is lost within this time, in seconds.
 CONNECTION_SETTLE_S = 0.02
-# How often a server is asked until its answer counts.
+# How many connections a check opens at most. A connection that the server accepts and
+# closes again shows nothing, so the check opens another one.
 MAX_CHECKS = 3
 
 
 class CrashWatch:
-    """Checks servers whose connections broke, and keeps the ledger of those that ended.
+    """Checks servers whose connections broke and records crashes in the ledger.
 
-    Failure: a request ends each server that begins to run it and comes again at any
-    host. What a host sees is a connection that was closed; so does a server that only
-    dropped it. A server whose port then refuses connections has ended, and its entry in
-    the store will say so seconds later only.
+    Guards against this failure: a request crashes each server that begins to run it,
+    and its caller sends it again to any host. A host only sees that a connection was
+    closed, which also happens when a server merely drops the connection. If the port of
+    the server then refuses connections, the server has crashed. Its entry in the store
+    shows that only seconds later.
 
     Parameters
     ----------
     steering : Steering
-        The ledger, and the servers that are passed over.
+        Holds the ledger of crashes and the servers that are skipped.
     backends : Backends
         Connections to servers.
     metrics : Metrics
-        Figures of this host.
+        Counters and gauges of this host.
     now : callable
         Monotonic clock in seconds.
+
+    Attributes
+    ----------
+    gossip : CrashGossip
+        What is to be sent to other hosts.
+    on_gossip : callable
+        Called when `gossip` has a new item.
     """
 
     __slots__ = (
@@ -63,7 +72,7 @@
         self._backends = backends
         self._metrics = metrics
         self._now = now
-        # Requests whose connections broke, until it is known why.
+        # Requests whose connections broke, until the check of the server has ended.
         self._suspect_requests: dict[Incarnation, set[str]] = {}
         self._checks: dict[Incarnation, asyncio.Task[None]] = {}
         self.gossip = CrashGossip(steering.crashes)
@@ -71,18 +80,24 @@
 
     @property
     def ledger(self) -> CrashLedger:
-        """Return the ledger."""
+        """Return the ledger of crashes."""
         return self._steering.crashes
 
-    # What this host sees
-
     def broke(self, entry: ServerEntry, request: str) -> asyncio.Task[None] | None:
-        """Note that a server's connection ended under a request.
+        """Note that the connection to a server broke while it ran a request.
+
+        Parameters
+        ----------
+        entry : ServerEntry
+            The server.
+        request : str
+            Fingerprint of the request.
 
         Returns
         -------
         check : asyncio.Task or None
-            Ends when it is known whether the server has ended; None if that is known.
+            Ends when it is known whether the server has crashed. None if the crash is
+            known already.
         """
         server = entry.incarnation
         if self.ledger.has_crashed(server):
@@ -96,10 +111,12 @@
         return self._checks[server]
 
     def refused(self, entry: ServerEntry) -> None:
-        """Note that nothing listens at a server's address any more.
+        """Note that the address of a server refuses connections.
 
-        Failure: another host tells of the end before this one has asked. What broke
-        here, often just the request that did it, would not count.
+        The requests whose connections broke here count even if the crash is known.
+        Guards against this failure: another host reports the crash before the check of
+        this host has ended. The requests here, often including the one that caused the
+        crash, would not be counted.
         """
         server = entry.incarnation
         requests = frozenset(self._suspect_requests.pop(server, ()))
@@ -107,14 +124,21 @@
             self._record(ServerCrash(server, requests))
 
     def answered(self, request: str) -> None:
-        """Note that a server has answered a request."""
+        """Note that a server has answered a request.
+
+        Parameters
+        ----------
+        request : str
+            Fingerprint of the request.
+        """
         if self.ledger.answered(request):
             self._announce_cleared(request, "")
 
     async def _check(self, entry: ServerEntry) -> None:
-        """Ask whether a server still listens.
+        """Check whether a server still accepts connections.
 
-        The connection that shows it is kept: it takes the place of the one that broke.
+        A connection that the server accepts is kept for use: it replaces the one that
+        broke.
         """
         reason = "silent"
         for _ in range(MAX_CHECKS):
@@ -134,12 +158,18 @@
             "server-kept", server=entry.server_id, why=reason, requests=sorted(requests)
         )
 
-    # What other hosts tell
-
     def receive(
         self, source: str, message: msg.ServerEnded | msg.RequestAnswered
     ) -> None:
-        """Take in what another host tells."""
+        """Apply a message of another host.
+
+        Parameters
+        ----------
+        source : str
+            Id of the host.
+        message : ServerEnded or RequestAnswered
+            The message.
+        """
         if isinstance(message, msg.RequestAnswered):
             if self.ledger.answered(message.request):
                 self._announce_cleared(message.request, source)
@@ -147,8 +177,6 @@
         server = (message.server_id, message.born_ms)
         self._record(ServerCrash(server, frozenset(message.requests)), source)
 
-    # What follows from it
-
     def _record(self, crash: ServerCrash, source: str = "") -> None:
         now = self._now()
         is_new = not self.ledger.has_crashed(crash.server)
@@ -171,11 +199,11 @@
         self.on_gossip()
 
     def _skip_server(self, server: Incarnation, now: float) -> None:
-        """Send nothing for a while to a server that some host saw end.
+        """Skip a server for a while after any host has seen it crash.
 
-        Failure: a server ends, and each host learns it by a request of its own that
-        finds nobody there. Callers are refused when both servers that were tried have
-        ended, above all where servers go down and up by turns.
+        Guards against this failure: a server crashes, and each host only finds out when
+        a request of its own cannot connect. Callers are refused when both servers that
+        were tried have crashed, above all when servers go down and up in rotation.
         """
         known = self._steering.placement.known.servers.get(server[0])
         if known is not None and known.entry.incarnation == server:
@@ -198,11 +226,11 @@
         self.on_gossip()
 
     def review(self) -> None:
-        """Forget what is too old."""
+        """Forget old crashes and release requests whose quarantine has expired."""
         for request in self.ledger.review(self._now()):
             logs.event("request-released", request=request, why="time")
 
     def close(self) -> None:
-        """End all checks."""
+        """Cancel all checks."""
         for task in list(self._checks.values()):
             task.cancel()
--- a/lacewingcross/gateway/gauges.py
+++ b/lacewingcross/gateway/gauges.py
@@ -4,7 +4,7 @@
 
 
 def measure_host(gateway: Gateway, now: float) -> None:
-    """Set the gauges of what a host knows: hosts, servers, requests, the store."""
+    """Set the gauges of the hosts, servers and requests of a host and of its store."""
     placement = gateway.steering.placement
     metrics = gateway.metrics
     metrics.set_gauge("hosts.known", 1 + len(gateway.roster.entries))
@@ -19,7 +19,7 @@
 
 
 def _measure_signals(gateway: Gateway, now: float) -> None:
-    """Set the gauges of servers that ask for something."""
+    """Set the gauges of the limits, departures and back-offs of servers."""
     gate = gateway.steering.placement.gate
     metrics = gateway.metrics
     metrics.set_gauge("servers.passed-over.limit", gate.rates.skipped)
--- a/lacewingcross/gateway/gossip_receiver.py
+++ b/lacewingcross/gateway/gossip_receiver.py
@@ -1,4 +1,4 @@
-"""What other entry hosts say on the streams that they open."""
+"""Receives the messages of other entry hosts on the streams that they open."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,11 +18,11 @@
 from .store_follower import log_changes
 from .store_messages import changes_message, update_in
 
-# A stream that brings nothing for this long has gone silent, in seconds; its sender
-# dials again.
+# Time without a message after which a stream is closed, in seconds. The sender opens a
+# new one.
 SILENCE_TIMEOUT_S = 3 * ALIVE_EVERY_S
 
-# Beginning of the counters of messages from other hosts; the message's name follows.
+# Prefix of the counters of messages from other hosts; the name of the message follows.
 RECEIVED = "peers.heard."
 
 SendTo = Callable[[HostInfo, msg.Message], None]
@@ -30,16 +30,16 @@
 
 
 class GossipReceiver:
-    """Takes what other hosts say into what this host believes.
+    """Applies the messages of other hosts to the state of this host.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        Shared state of this host.
     send_to : callable
         Sends a message to a host.
-    pass_on : callable
-        Tells further hosts what one has said of the store.
+    forward : callable
+        Forwards changes of the store that a host has sent to further hosts.
     """
 
     __slots__ = ("_accepted", "_catch_up", "_gateway", "_forward", "_send_to")
@@ -52,14 +52,14 @@
         self._send_to = send_to
 
     def close(self) -> None:
-        """End all streams."""
+        """Close all streams."""
         for writer in list(self._accepted):
             writer.transport.abort()
 
     async def accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Take what one stream brings until it ends."""
+        """Process the messages of one stream until it ends."""
         self._accepted.add(writer)
         watch_silence(writer.transport)
         try:
@@ -70,7 +70,7 @@
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             self._gateway.metrics.count("peers.stream-ended")
         except Exception as exc:
-            # An error of ours over one message costs this stream, not the listener.
+            # A bug that one message triggers ends only this stream, not the listener.
             logs.event("peer-failed", "ERROR", error=repr(exc))
         finally:
             self._accepted.discard(writer)
--- a/lacewingcross/gateway/gossip_sender.py
+++ b/lacewingcross/gateway/gossip_sender.py
@@ -1,4 +1,9 @@
-"""What another entry host is told: signs of life, counts, who lives, ended servers."""
+"""Sends gossip to the other entry hosts.
+
+The gossip consists of signs of life, the number of requests in flight at each backend
+server, the hosts that are alive, crashes of servers, and the limits and departures that
+servers announce in their responses.
+"""
 
 from collections.abc import Container, Iterator
 from typing import TypeVar
@@ -17,20 +22,23 @@
 
 T = TypeVar("T")
 
-# All counts are told again after so long, in seconds: a server may have become known
-# to the other host only after its count was told.
+# Interval after which a host gets all counts again instead of changes only, in seconds:
+# the host may learn of a server only after the count of that server was sent.
 FULL_COUNTS_INTERVAL_S = 2.0
 
 
 class GossipSender:
-    """Tells other hosts, on the links that `Peers` keeps, what they do not know yet.
+    """Sends updates to other hosts on the links that `Peers` keeps open.
+
+    Each link records what was sent on it last, so that a host gets only what is new to
+    it.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        Shared state of this host.
     links : dict of str to Link
-        Links by host id; kept by the caller.
+        Links by host id. The caller adds and removes them.
     """
 
     __slots__ = ("_gateway", "_links")
@@ -40,7 +48,14 @@
         self._links = links
 
     def greeting(self, link: Link | None) -> list[msg.Message]:
-        """Return what a host is told first on a new stream."""
+        """Return the first messages of a new stream.
+
+        Parameters
+        ----------
+        link : Link or None
+            The link that has opened the stream; None for a stream to a seed, whose host
+            id is not known.
+        """
         gateway = self._gateway
         own = gateway.roster.own
         hello = msg.Hello(
@@ -65,11 +80,11 @@
         ]
 
     def send_alive(self) -> None:
-        """Tell each active host where the number in flight has changed.
+        """Send each active host the counts of requests in flight that have changed.
 
-        The others get a sign of life; they place next to nothing. Few of a busy host's
-        servers have changed from one turn to the next; all of them in each message
-        would be much of what goes between regions.
+        Standby hosts only get a sign of life, since they place hardly any requests. On
+        a busy host few counts change between two calls. Sending all of them every time
+        would make up much of the traffic between regions.
         """
         gateway = self._gateway
         now = gateway.now()
@@ -77,7 +92,7 @@
         counts = known.in_flight()
         handled = known.take_newly_handled()
         subscribes = subscriptions(gateway.roster, now)
-        # Most links were told the same last, so they get the same frame now.
+        # Most links got the same counts last time, so they share one encoded frame.
         frames: dict[tuple[bool, bool, int], bytes] = {}
         for host_id, link in self._links.items():
             active = host_id in gateway.roster.active
@@ -106,7 +121,19 @@
         *,
         subscribes: bool,
     ) -> msg.Alive:
-        """Return a sign of life; `before` is what was told last, None for nothing."""
+        """Return a sign of life.
+
+        Parameters
+        ----------
+        counts : dict of str to int, optional
+            Requests in flight by server id.
+        handled : list of (str, str), optional
+            Servers and the objects that they have handled since the last message.
+        before : dict of str to int or None
+            The counts that were sent last; None if all counts are to be sent.
+        subscribes : bool
+            Whether this host wants updates from the receiver.
+        """
         counts = counts or {}
         roster = self._gateway.roster
         replica = self._gateway.steering.replica
@@ -124,7 +151,15 @@
     def _known_hosts_message(
         self, receiver: str, full_view: frozenset[str]
     ) -> msg.KnownHosts:
-        """Return the message that tells another host who lives."""
+        """Return the message that names the hosts that are alive.
+
+        Parameters
+        ----------
+        receiver : str
+            Id of the host that gets the message.
+        full_view : frozenset of str
+            Active hosts that get all hosts from which this one receives messages.
+        """
         roster = self._gateway.roster
         entries = roster.entries
         is_standby = receiver not in roster.active
@@ -140,7 +175,7 @@
         return msg.KnownHosts(is_standby, fields, starting)
 
     def send_known_hosts(self) -> None:
-        """Tell each host that needs it who lives, when that has changed."""
+        """Send the hosts that are alive to each host whose message has changed."""
         active = self._gateway.roster.active
         full_view = full_view_peers(self._gateway.roster)
         messages: dict[tuple[bool, bool], msg.KnownHosts] = {}
@@ -157,17 +192,19 @@
             link.send_frame(frames[form], msg.KnownHosts)
 
     def send_gossip(self) -> None:
-        """Tell each host what it does not know yet of servers that ended.
+        """Send each host the crashes and answered requests that are new to it.
 
-        Each piece is encoded once for all streams, and only what is new is looked at:
-        with hundreds of streams an end would hold the loop for many milliseconds.
+        Each item is encoded once for all streams, and only new items are examined.
+        Otherwise one crash would block the event loop for many milliseconds on a host
+        with hundreds of streams.
         """
         gossip = self._gateway.crashes.gossip
         frames: dict[int, tuple[bytes, type[msg.Message]]] = {}
         for host_id, link in self._links.items():
             active = host_id in self._gateway.roster.active
             if link.gossip_as_active != active:
-                # Whoever told it the news so far may have stopped in this moment.
+                # Hosts that have sent items to this host so far may just have stopped,
+                # so it gets all items from the beginning.
                 link.gossip_as_active = active
                 link.last_gossip = None
             if link.last_gossip != gossip.newest:
@@ -178,7 +215,10 @@
                 link.last_gossip = gossip.newest
 
     def send_signals(self) -> None:
-        """Tell each host what this one has heard servers say, when it is new."""
+        """Send the limits and departures that servers have announced to this host.
+
+        A host gets them only when they have changed since they were last sent to it.
+        """
         gate = self._gateway.steering.placement.gate
         if not gate.version:
             return
@@ -195,7 +235,7 @@
                 link.send_frame(frame, kind)
 
     def _signal_messages(self, gate: SendGate) -> Iterator[msg.Message]:
-        """Yield what this host has heard known servers say."""
+        """Yield the messages with what known servers have announced to this host."""
         known = self._gateway.steering.placement.known.servers
         yield from signal_messages(gate, known.keys(), self._gateway.now())
 
@@ -214,7 +254,7 @@
 def changed_counts(
     counts: dict[str, int], before: dict[str, int]
 ) -> Iterator[tuple[str, int]]:
-    """Yield the servers whose count has changed, and the count."""
+    """Yield the id and the new count of each server whose count has changed."""
     for server_id, count in counts.items():
         if before.get(server_id) != count:
             yield server_id, count
@@ -225,10 +265,19 @@
 def signal_messages(
     gate: SendGate, known: Container[str], now: float
 ) -> Iterator[msg.Message]:
-    """Yield the messages that tell what a host has heard servers say.
+    """Yield the messages with what servers have announced to a host itself.
 
-    Of those that leave only `known` ones are told: hundreds do so each day, and who is
-    gone needs no word.
+    Departures are sent only for servers that are still in `known`: hundreds of servers
+    leave each day, and a server that is already gone need not be announced.
+
+    Parameters
+    ----------
+    gate : SendGate
+        Holds the signals of servers.
+    known : container of str
+        Ids of the servers in the store.
+    now : float
+        Monotonic time in seconds.
     """
     departures = gate.departures.own_observations()
     leaving = [server for server in departures if server[0] in known]
@@ -248,7 +297,7 @@
 
 
 def gossip_message(item: GossipItem, ledger: CrashLedger) -> msg.Message:
-    """Return the message that tells a piece of news."""
+    """Return the message that carries an item of crash gossip."""
     if item.answered:
         return msg.RequestAnswered(item.answered)
     requests = sorted(ledger.crash_requests(item.crashed))
--- a/lacewingcross/gateway/link.py
+++ b/lacewingcross/gateway/link.py
@@ -1,4 +1,4 @@
-"""The outgoing stream to one other entry host."""
+"""Keeps the outgoing stream to one other entry host open and sends messages on it."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,16 +12,17 @@
 from ..wire import encode
 from .context import Gateway
 
-# A host in touch takes a connection within two ways, at most 70 ms; a longer silence
-# is a lost packet or a dead host. In seconds.
+# A reachable host accepts a connection within one network round trip, at most 70 ms. A
+# longer silence means a lost packet or a dead host. In seconds.
 CONNECT_TIMEOUT_S = 0.5
-# Pause before a stream that broke is opened again, in seconds.
+# Pause before a broken stream is opened again, in seconds.
 REDIAL_DELAY_S = 0.15
-# Messages kept for a host that takes none. The oldest are dropped; the host sees from
-# the revisions of later ones that it missed some, and asks for them.
+# Messages that are queued for a host that does not read. The oldest are dropped. The
+# host sees from the revisions in later messages that it has missed changes of the store
+# and requests them.
 MAX_QUEUED_FRAMES = 2000
 
-# Beginnings of the counters of messages to other hosts; the message's name follows.
+# Prefixes of the counters of messages to other hosts; the name of the message follows.
 SENT = "peers.sent."
 SENT_BYTES = "peers.sent-bytes."
 
@@ -31,12 +32,33 @@
 class Link:
     """The outgoing stream to one host; only this side sends on it.
 
-    `told` and `told_hosts` are the counts and the hosts that were told last (`told` is
-    None if all are to be told), `whole_at` is when all counts were told last,
-    `told_news` the number of the newest piece of news and `told_signals` the version of
-    what servers say that was told (None on a new stream), and
-    `told_as_active` whether the host was active then; `needed_at` is when there was
-    last a reason to speak to it.
+    A stream that breaks is opened again until the task is cancelled. The attributes
+    other than `info` and `task` belong to `GossipSender` and `Peers`. Times are
+    monotonic, in seconds.
+
+    Attributes
+    ----------
+    info : HostInfo
+        The other host.
+    task : asyncio.Task
+        Keeps the stream open.
+    last_counts : dict of str to int or None
+        The counts of requests in flight that were sent last; None if all counts are to
+        be sent.
+    last_alive_at : float
+        When the last sign of life was sent.
+    last_full_counts_at : float
+        When all counts were last sent.
+    last_known_hosts : KnownHosts or None
+        The last message that named the hosts that are alive.
+    last_gossip : int or None
+        Number of the newest item of crash gossip that was sent; None on a new stream.
+    gossip_as_active : bool
+        Whether the host was active when crash gossip was last sent.
+    last_signals_version : int or None
+        Version of the signals of servers that were sent; None on a new stream.
+    last_needed_at : float
+        When there was last a reason to send to the host.
     """
 
     __slots__ = (
@@ -78,7 +100,7 @@
         """Queue an encoded message of a kind for the host."""
         self._count(frame, kind)
         if self._queue.put(frame):
-            # It may have held counts that are not told again.
+            # The dropped frame may have held counts that would not be sent again.
             self.last_counts = None
             self._gateway.metrics.count("peers.dropped")
 
@@ -102,16 +124,19 @@
                     why=repr(exc),
                 )
             except Exception as exc:
-                # Failure: an error of ours over one message ends the only task that
-                # speaks to a host. That host would count this one as dead, and with all
-                # links alike no host would be named to callers but itself.
+                # Failure: a bug that one message triggers ends the only task that sends
+                # to a host. That host would consider this one dead. If the same happens
+                # on all links, each host would name only itself to callers.
                 logs.event(
                     "peer-failed", "ERROR", host_id=self.info.host_id, error=repr(exc)
                 )
             await asyncio.sleep(REDIAL_DELAY_S)
 
     def _note_refused(self) -> None:
-        """Note that the host's process has ended: nothing listens at its address."""
+        """Note that the host's process has ended: its address refuses connections.
+
+        Has no effect on the roster if the host has another address by now.
+        """
         entry = self._gateway.roster.entries.get(self.info.host_id)
         if entry is not None and entry.info == self.info:
             entry.refused_at = self._gateway.now()
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -1,4 +1,8 @@
-"""Streams to other entry hosts: which are kept, and what is told on them."""
+"""Keeps the links to other entry hosts and sends updates on them.
+
+Links are kept to the hosts from which this host wants updates and to the hosts that
+have subscribed to its updates.
+"""
 
 import asyncio
 
@@ -22,28 +26,31 @@
 from .link import CONNECT_TIMEOUT_S, REDIAL_DELAY_S, Link
 from .store_messages import changes_message
 
-# How often the links are reviewed when nothing was heard that changes them, in seconds.
+# How often the links are reviewed when no message has changed the known hosts, in
+# seconds.
 REVIEW_INTERVAL_S = 0.1
-# Time between two reviews while hosts come and go, in seconds: at once for people. With
-# more links than `REVIEW_LINKS` a review takes longer, and they are as much rarer.
+# Least time between two reviews while hosts come and go, in seconds; too short for
+# people to notice. With more links than `REVIEW_LINKS` a review takes longer, so this
+# time grows in proportion to the number of links.
 MIN_REVIEW_INTERVAL_S = 0.01
 REVIEW_LINKS = 20
-# A link that nothing needs any more is kept for so long, in seconds: reasons come and
-# go while hosts start.
+# How long a link is kept after it was last needed, in seconds: while hosts start, the
+# reasons for a link come and go.
 UNUSED_LINK_KEPT_S = 2.0
-# Hosts that may pass on what one of them has from the store: the host that follows it
-# tells active ones, these others beside them, and all of them those that stand by. One
-# more covers hosts that do not agree yet on who is active.
+# How many times a change of the store may be forwarded: the host that watches the store
+# sends it to active hosts, these forward it to the hosts beside them on the ring, and
+# all of them forward it to standby hosts. One more hop covers hosts that do not agree
+# yet on which hosts are active.
 MAX_HOPS = 3
 
 
 class Peers:
-    """Links to the hosts that this one speaks to, and the listener for theirs.
+    """Links to the hosts that get messages from this one, and the listener for theirs.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        Shared state of this host.
     """
 
     __slots__ = ("_gossip_receiver", "_links", "_gossip_sender", "gateway")
@@ -54,10 +61,8 @@
         self._gossip_receiver = GossipReceiver(gateway, self.send_to, self._forward)
         self._gossip_sender = GossipSender(gateway, self._links)
 
-    # Telling
-
     def publish(self, update: Update) -> None:
-        """Tell other hosts of an update from the store."""
+        """Send an update that this host has read from the store to other hosts."""
         frame = encode(changes_message(update, fresh=True))
         roster = self.gateway.roster
         receivers = first_hops(roster, self.gateway.now())
@@ -66,11 +71,19 @@
                 link.send_frame(frame, msg.StoreChanges)
 
     def _forward(self, info: HostInfo, message: msg.StoreChanges) -> None:
-        """Tell the hosts that depend on this one what another has from the store."""
+        """Forward a change of the store to the hosts that depend on this one for it.
+
+        Parameters
+        ----------
+        info : HostInfo
+            The host that has sent the change.
+        message : StoreChanges
+            The change as it was received.
+        """
         if message.hops >= MAX_HOPS:
             return
         roster = self.gateway.roster
-        # Only the host that follows the store tells of what passed through nobody.
+        # 0 hops: the message comes directly from the host that watches the store.
         ring_neighbours = next_hops(roster) if message.hops == 0 else frozenset()
         frame = b""
         for host_id, link in self._links.items():
@@ -81,27 +94,25 @@
             link.send_frame(frame, msg.StoreChanges)
 
     def announce(self) -> None:
-        """Tell all hosts at once whether callers should use this one."""
+        """Send all hosts at once whether callers should use this one."""
         for link in self._links.values():
             link.last_alive_at = float("-inf")
         self._gossip_sender.send_alive()
 
     async def send_updates(self) -> None:
-        """Tell counts and signs of life until cancelled."""
+        """Send counts, signs of life and server updates until cancelled."""
         while True:
             self._gossip_sender.send_alive()
             self.send_gossip()
             await asyncio.sleep(counts_every_s(self.gateway.roster))
 
     def send_gossip(self) -> None:
-        """Tell each host what it does not know yet of servers."""
+        """Send each host the crashes and signals of servers that are new to it."""
         self._gossip_sender.send_gossip()
         self._gossip_sender.send_signals()
 
-    # Links
-
     async def run(self) -> None:
-        """Listen, and keep the links that are needed, until cancelled."""
+        """Listen for other hosts and keep the links that are needed until cancelled."""
         cfg = self.gateway.cfg
         host, port = split_address(cfg.peer_listen or cfg.peer)
         server = await asyncio.start_server(
@@ -120,10 +131,11 @@
             self._links.clear()
 
     def _min_review_interval_s(self) -> float:
-        """Return how far apart reviews are at least, in seconds.
+        """Return the least time between two reviews, in seconds.
 
-        Failure: a fleet of 100 hosts starts. Each word of one of them had all others
-        reviewed at once, and told again, hundreds of times a second.
+        Guards against this failure: a fleet of 100 hosts starts. Each message from one
+        host makes this host review all others at once and send them its known hosts
+        again, hundreds of times a second.
         """
         return MIN_REVIEW_INTERVAL_S * max(1.0, len(self._links) / REVIEW_LINKS)
 
@@ -160,7 +172,7 @@
                 del self._links[host_id]
 
     def _open(self, info: HostInfo) -> Link:
-        """Open a link to a host, in place of one to an earlier address of it."""
+        """Open a link to a host; replaces a link to an earlier address of that host."""
         old = self._links.get(info.host_id)
         if old is not None:
             old.task.cancel()
@@ -169,15 +181,16 @@
         return link
 
     def send_to(self, info: HostInfo, message: msg.Message) -> None:
-        """Send one message to a host."""
+        """Send one message to a host; open a link if there is none."""
         link = self._links.get(info.host_id) or self._open(info)
         link.send(message)
 
     async def greet_seeds(self) -> None:
-        """Say hello to the seeds while no other host is known.
+        """Send `Hello` to the seeds while no other host is known.
 
-        Failure: a host starts while the store is away and cannot read who is there.
-        The seeds learn its address from the hello and tell it of the others.
+        Guards against this failure: a host starts while the store is unavailable and
+        cannot read the list of hosts. The seeds learn its address from the message and
+        send it the other hosts.
         """
         while True:
             if not self.gateway.roster.entries:
--- a/lacewingcross/gateway/quarantine_store.py
+++ b/lacewingcross/gateway/quarantine_store.py
@@ -1,4 +1,4 @@
-"""Keeps quarantined requests in the store, so that they outlive all hosts."""
+"""Keeps quarantined requests in the store, so that they survive a loss of all hosts."""
 
 import asyncio
 
@@ -10,22 +10,24 @@
 from ..platform.store import ObjectStore
 from .context import Gateway
 
+# How often quarantines are compared with the store, in seconds.
 REVIEW_INTERVAL_S = 0.1
-# The host that saw the deciding end stores it. When it dies over it, the others step in
-# one after the other, each so much later than the one before, in seconds.
+# The host that saw the crash that led to a quarantine stores it. If that host dies
+# first, the others step in by rank, each this much later than the one before it, in
+# seconds.
 STEP_IN_DELAY_S = 0.5
 
 
 class QuarantineStore:
-    """Stores what is quarantined and deletes what is not any more.
+    """Stores quarantined requests and deletes those that are no longer quarantined.
 
-    Failure: all hosts lose power while a request is refused. Nobody remembers it, and
-    it ends three servers again before it is refused anew.
+    Guards against this failure: all hosts lose power while a request is refused. No
+    host remembers it, and it crashes three servers again before it is refused again.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        Shared state of this host.
     store : ObjectStore
         Client of the store.
     """
@@ -37,7 +39,7 @@
         self._store = store
 
     async def run(self) -> None:
-        """Review again and again, until cancelled."""
+        """Compare quarantines with the store at intervals until cancelled."""
         backoff = Backoff(self._gateway.steering.rng)
         while True:
             await asyncio.sleep(REVIEW_INTERVAL_S)
@@ -73,7 +75,7 @@
         ]
 
     def _should_store(self, entry: Quarantine) -> bool:
-        """Tell whether this host has to store a quarantine now."""
+        """Return whether this host has to store a quarantine now."""
         if entry.own:
             return True
         rank = self._gateway.rank
@@ -81,6 +83,7 @@
         return rank is not None and waited_s > (1 + rank) * STEP_IN_DELAY_S
 
     def _surplus(self) -> set[str]:
-        # Read anew: what was stored may have been released during the writes before.
+        # Read again here, since the writes before take time: a request that was just
+        # stored may have been released meanwhile.
         quarantine = self._gateway.crashes.ledger.quarantine
         return {request for request in self._stored() if request not in quarantine}
--- a/lacewingcross/gateway/quota_admission.py
+++ b/lacewingcross/gateway/quota_admission.py
@@ -1,4 +1,10 @@
-"""Quotas on this host: requests that wait for a keeper's word, and the messages."""
+"""Admits requests under quotas and exchanges quota messages with other hosts.
+
+The keeper of an account is the host that grants credit for its requests. Other hosts
+send it charges, the requests that they have run, and it answers with receipts, which
+acknowledge paid charges. Requests that are run and not yet acknowledged as paid are
+debt.
+"""
 
 import asyncio
 import contextlib
@@ -13,30 +19,30 @@
 from ..core.roster import Roster
 from ..metrics import Metrics
 
-# How often charges and leases that are due are told, in seconds.
+# How often charges and leases that are due are sent, in seconds.
 SEND_INTERVAL_S = 0.04
-# The same at a host that holds no share and has nothing open: 25 idle turns a second
-# would be most of what a host that stands by does.
+# The same at a host that holds no share and has no charges that are to be sent or paid,
+# in seconds: 25 idle checks a second would be most of the work of a standby host.
 IDLE_INTERVAL_S = 0.25
-# Accounts with counters of their own; all others share one.
+# Number of accounts with counters of their own; all others share the name ``others``.
 MAX_COUNTED_ACCOUNTS = 100
 
 SendTo = Callable[[HostInfo, msg.Message], None]
 
 
 class QuotaAdmission:
-    """Admits requests of client accounts.
+    """Admits requests of client accounts and sends quota messages to other hosts.
 
     Parameters
     ----------
     quotas : Quotas
-        Decisions.
+        Decides on requests and keeps the state of the quotas.
     roster : Roster
         Addresses of other hosts.
     metrics : Metrics
-        Figures of this host.
+        Counters and gauges of this host.
     times : callable
-        Returns the moment on both clocks.
+        Returns the present time on both clocks.
     """
 
     __slots__ = (
@@ -62,11 +68,14 @@
         self._times = times
         self._waiters: dict[str, deque[asyncio.Future[Outcome]]] = {}
         self._counted_accounts: set[str] = set()
-        # Set by each request, so that a keeper is asked at once.
+        # Set by each request, so that its charge is sent to the keeper at once.
         self._request_arrived = asyncio.Event()
 
     async def admit(self, account: str) -> Admission:
-        """Return whether a request of an account may run; it waits moments at most."""
+        """Return whether a request of an account may run.
+
+        A request that needs credit of the keeper waits for it, at most `MAX_WAIT_S`.
+        """
         admission = self._quotas.ask(account, self._times())
         self._request_arrived.set()
         if admission.outcome is Outcome.WAITING:
@@ -87,7 +96,7 @@
         except TimeoutError:
             outcome = _late_outcome(fut)
         except asyncio.CancelledError:
-            # The caller has left in the moment in which its request was admitted.
+            # The caller has left just when its request was admitted.
             if _late_outcome(fut) is Outcome.ADMITTED:
                 self._quotas.ledger.cancel(account)
             raise
@@ -100,12 +109,12 @@
         return self._quotas.ledger.refusal(account, self._times().now)
 
     def cancel(self, account: str) -> None:
-        """Take back a request that was admitted and never ran."""
+        """Undo the admission of a request that was never run."""
         self._quotas.ledger.cancel(account)
         self._wake_decided(account)
 
     def _wake_decided(self, account: str) -> None:
-        """Wake the requests that were decided."""
+        """Wake the waiting requests of an account on which there is a decision now."""
         waiters = self._waiters.get(account)
         if not waiters:
             return
@@ -134,12 +143,25 @@
             kept_share = self._quotas.keeper.part(account)
             self._metrics.set_gauge(f"accounts.kept.{account}", kept_share)
 
-    # Other hosts
-
     def receive(
         self, info: HostInfo, incarnation: int, message: msg.QuotaMessage
     ) -> msg.QuotaReceipts | None:
-        """Take in what another host tells of quotas; return the answer, if any."""
+        """Apply a quota message of another host.
+
+        Parameters
+        ----------
+        info : HostInfo
+            The host that has sent the message.
+        incarnation : int
+            Incarnation of that host.
+        message : QuotaMessage
+            The message.
+
+        Returns
+        -------
+        answer : QuotaReceipts or None
+            Receipts to send to that host, if any.
+        """
         reading = self._times()
         host = (info.host_id, incarnation)
         if isinstance(message, msg.QuotaCharges):
@@ -152,7 +174,13 @@
         return None
 
     async def send_updates(self, send_to: SendTo) -> None:
-        """Tell other hosts what is due until cancelled."""
+        """Send the quota messages that are due until cancelled.
+
+        Parameters
+        ----------
+        send_to : callable
+            Sends a message to a host.
+        """
         while True:
             self.send_due(send_to)
             if self._quotas.busy(self._times().now):
@@ -164,7 +192,7 @@
                     await self._request_arrived.wait()
 
     def send_due(self, send_to: SendTo) -> None:
-        """Tell other hosts what is due."""
+        """Send the quota messages that are due now."""
         reading = self._times()
         was_good = self._quotas.watch.good
         self._quotas.review(reading)
@@ -186,7 +214,7 @@
 
 
 def _set_outcome(fut: asyncio.Future[Outcome], outcome: Outcome) -> bool:
-    """Hand a decision over; return whether anybody still waits for it."""
+    """Set the result of a future; return whether its request was still waiting."""
     if fut.done():
         return False
     fut.set_result(outcome)
@@ -194,7 +222,7 @@
 
 
 def _late_outcome(fut: asyncio.Future[Outcome]) -> Outcome:
-    """Return what was decided while its waiting was being broken off."""
+    """Return the decision if one was made while the wait timed out or was cancelled."""
     if fut.done() and not fut.cancelled():
         return fut.result()
     return Outcome.REFUSED
--- a/lacewingcross/gateway/signals.py
+++ b/lacewingcross/gateway/signals.py
@@ -1,4 +1,4 @@
-"""Takes what backend servers say of themselves into what this host believes."""
+"""Records the limits, departures and back-offs that backend servers announce."""
 
 from .. import logs
 from ..core import messages as msg
@@ -9,16 +9,28 @@
 from .attempt import MISDIRECTED
 from .context import Gateway
 
+# Source in log events for what a server has announced to this host itself.
 OWN = "own"
 
 
 def record_signals(
     gateway: Gateway, server: Server, head: ResponseHead, sent_at: float
 ) -> None:
-    """Take in the head of an answer to a request that was sent at `asked_at`.
+    """Record the signals in the head of a server's response.
 
-    A misdirected request was answered by whoever has the server's address now: that
-    says nothing of this one.
+    A misdirected request was answered by another process that now has the address of
+    the server. Its signals do not apply to this server, so they are ignored.
+
+    Parameters
+    ----------
+    gateway : Gateway
+        Shared state of this host.
+    server : Server
+        The server to which the request was sent.
+    head : ResponseHead
+        Status and headers of the response.
+    sent_at : float
+        When the request was sent, a monotonic time in seconds.
     """
     if head.status == MISDIRECTED:
         return
@@ -54,7 +66,17 @@
 def record_peer_signals(
     gateway: Gateway, source: str, message: msg.ServerLimits | msg.ServersLeaving
 ) -> None:
-    """Take in what another host has heard servers say."""
+    """Record what servers have announced to another host.
+
+    Parameters
+    ----------
+    gateway : Gateway
+        Shared state of this host.
+    source : str
+        Id of the other host.
+    message : ServerLimits or ServersLeaving
+        What servers have announced to it.
+    """
     if isinstance(message, msg.ServersLeaving):
         departures = gateway.steering.placement.gate.departures
         for server in message.servers:
@@ -88,7 +110,21 @@
     source: str,
     age_s: float = 0.0,
 ) -> None:
-    """Reckon this host's share by who serves now, and write what is believed."""
+    """Recompute this host's share of a changed limit and log both.
+
+    Parameters
+    ----------
+    gateway : Gateway
+        Shared state of this host.
+    server : Incarnation
+        The server that has announced the limit.
+    rate : float or None
+        Requests a second from all hosts together; None for no limit.
+    source : str
+        Id of the host that got the announcement, or `OWN`.
+    age_s : float, optional
+        Time since the limit was last known to hold, in seconds.
+    """
     rates = gateway.steering.placement.gate.rates
     now = gateway.now()
     rates.set_hosts(serving_hosts(gateway.roster, now), now)
--- a/lacewingcross/gateway/store_follower.py
+++ b/lacewingcross/gateway/store_follower.py
@@ -1,4 +1,8 @@
-"""Follows the store: by own watches when it is this host's duty, else by peers."""
+"""Keeps this host's copy of the store and its entry in the list of hosts up to date.
+
+A host reads and watches the store itself only while it is elected to watch it.
+Otherwise it gets all changes from other hosts.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -11,14 +15,15 @@
 from ..platform.store import ObjectStore
 from .context import Gateway
 
+# How often a host that is not elected checks whether it has to watch, in seconds.
 REVIEW_INTERVAL_S = 0.1
-# The same at a host that has nothing yet and cannot serve, in seconds.
+# The same for a host that has no data yet and cannot serve, in seconds.
 EMPTY_REVIEW_INTERVAL_S = 0.02
-# The list of hosts is read again at this pace, in seconds, for those whose hello was
-# missed; by active hosts only, who tell the others.
+# Interval at which active hosts read the list of hosts again, in seconds, to find those
+# whose `Hello` was missed. They send what they find to the standby hosts.
 HOST_LIST_INTERVAL_S = 10.0
-# A host that hears no other one reads it sooner, in seconds, but only so many times: it
-# may be the only one.
+# A host that receives messages from no other host reads the list at this shorter
+# interval, in seconds, but only a limited number of times: it may be the only host.
 ALONE_INTERVAL_S = 1.0
 MAX_ALONE_READS = 5
 
@@ -26,16 +31,16 @@
 
 
 class StoreFollower:
-    """Keeps the replica up to date.
+    """Reads and watches the store while this host is elected to watch it.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        Shared state of this host.
     store : ObjectStore
         Client of the store.
     publish : callable
-        Tells the other hosts of changes between two revisions of a kind.
+        Sends the changes between two revisions of a kind to the other hosts.
     """
 
     __slots__ = ("_watch_election", "_gateway", "_unreachable", "_publish", "_store")
@@ -48,7 +53,7 @@
         self._unreachable = False
 
     def watch_loop(self, kind: Kind) -> Callable:
-        """Return the coroutine function that follows one kind."""
+        """Return the coroutine function that keeps one kind up to date."""
 
         async def watch() -> None:
             await self._watch_when_elected(kind)
@@ -66,10 +71,10 @@
         return self._gateway.steering.replica.as_of(kind) > 0
 
     async def _watch_when_elected(self, kind: Kind) -> None:
-        """Read a kind and watch it whenever that is this host's duty.
+        """Read a kind and watch it whenever this host is elected to.
 
-        What peers have told is as good as a listing of its own: of 195 hosts that
-        start, one reads the store, not each.
+        A host that has got the objects from its peers watches without reading them
+        first. So when 195 hosts start together, only one of them reads the store.
         """
         backoff = Backoff(self._gateway.steering.rng)
         compacted = False
@@ -108,10 +113,10 @@
         self._apply(await self._store.watch(kind, since, wait_s), "watch")
 
     def _apply(self, update: Update, source: str) -> None:
-        """Take in an update and tell the other hosts all of it.
+        """Apply an update of the store and send all of it to the other hosts.
 
-        All, not only what is new here: a host that has less must not count itself as
-        up to date.
+        The update is sent whole and not only what is new on this host: a host that
+        lacks more must not consider itself up to date.
         """
         gateway = self._gateway
         fresh = gateway.take(update)
@@ -142,7 +147,19 @@
 def log_changes(
     gateway: Gateway, update: Update, fresh: list[Document], source: str
 ) -> None:
-    """Write one line for each change that this host now believes, or cannot read."""
+    """Log each change that this host has applied and each object it cannot read.
+
+    Parameters
+    ----------
+    gateway : Gateway
+        Shared state of this host.
+    update : Update
+        The update that was applied.
+    fresh : list of Document
+        The documents of the update that were new to this host.
+    source : str
+        Where the update came from: ``listing``, ``watch`` or the id of a host.
+    """
     steering = gateway.steering
     while steering.rejected:
         rejected = steering.rejected.pop()
@@ -170,12 +187,12 @@
 
 
 class HostDirectory:
-    """Names this host in the store and finds the others there.
+    """Registers this host in the store and finds the other hosts there.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        Shared state of this host.
     store : ObjectStore
         Client of the store.
     """
@@ -188,7 +205,7 @@
         self._store = store
 
     async def run(self) -> None:
-        """Introduce this host, then read the list again and again."""
+        """Register this host, then read the list of hosts at intervals."""
         registered = False
         backoff = Backoff(self._gateway.steering.rng)
         while True:
@@ -206,17 +223,19 @@
 
     async def _refresh_list(self) -> None:
         if not await self._read_list(stale=self._has_live_peers()):
-            # The deletion of an earlier run can be done seconds late.
+            # This host is missing from the list. An earlier run of it requested the
+            # deletion of its entry, and the store may carry that out seconds late.
             await self._store.put_host(self._gateway.roster.own)
 
     def _has_live_peers(self) -> bool:
         return len(self._gateway.roster.live(self._gateway.now())) > 1
 
     def _pause_s(self) -> float:
-        """Return when to read the list again, in seconds.
+        """Return the time until the list is read again, in seconds.
 
-        Failure: of hosts that start together, the first find a list in which no active
-        host is yet. They would stand by with nobody to tell them anything.
+        Guards against this failure: of hosts that start together, the first ones read a
+        list that does not contain an active host yet. They would become standby hosts
+        without any host that sends them updates.
         """
         if self._has_live_peers() or self._alone_reads >= MAX_ALONE_READS:
             return HOST_LIST_INTERVAL_S
@@ -224,12 +243,13 @@
         return ALONE_INTERVAL_S
 
     async def _register(self) -> None:
-        """Name this host unless it is named already, and find the others.
+        """Register this host unless it is registered already, and find the others.
 
-        The list is read after the name is in it: of two hosts that start together at
-        least one finds the other, and its hello tells the other one. A host that was
-        killed finds its name there; that saves two calls of six when a fleet starts
-        again. When the whole system starts for the first time, nobody is named.
+        The list is read after this host was added to it: of two hosts that start
+        together, at least one finds the other and sends it a `Hello`. A host that was
+        killed is still in the list when it starts again, and need not be written. That
+        saves two of six calls when a fleet starts again. When the whole system starts
+        for the first time, no host is registered, so the list is not read first.
         """
         if not self._gateway.cfg.first_start and await self._read_list(stale=False):
             self._gateway.roster.was_listed = True
@@ -238,7 +258,13 @@
         await self._read_list(stale=False)
 
     async def _read_list(self, *, stale: bool) -> bool:
-        """Learn the named hosts; return whether this one is among them as it is."""
+        """Add the registered hosts to the roster.
+
+        Returns
+        -------
+        registered : bool
+            Whether this host is in the list with its present fields.
+        """
         roster = self._gateway.roster
         now = self._gateway.now()
         infos = await self._store.hosts(stale=stale)
@@ -252,7 +278,7 @@
         return roster.own in infos
 
     async def leave(self) -> None:
-        """Take this host's name away."""
+        """Remove this host from the list."""
         try:
             await self._store.delete_host(self._gateway.roster.own.host_id)
         except PlatformError as exc:
--- a/lacewingcross/gateway/store_messages.py
+++ b/lacewingcross/gateway/store_messages.py
@@ -1,4 +1,4 @@
-"""Updates of the store as hosts tell them to each other."""
+"""Converts updates of the store to and from the messages between hosts."""
 
 import json
 
@@ -7,7 +7,16 @@
 
 
 def changes_message(update: Update, *, fresh: bool) -> msg.StoreChanges:
-    """Return the message that tells an update; `fresh` as it says there."""
+    """Return the message that carries an update.
+
+    Parameters
+    ----------
+    update : Update
+        The changes.
+    fresh : bool
+        Value of the field `fresh` of `StoreChanges`: whether the update has just been
+        read from the store rather than requested by a host that was behind.
+    """
     packed = [
         (doc.name, doc.revision, "" if doc.spec is None else json.dumps(doc.spec))
         for doc in update.documents
@@ -20,8 +29,9 @@
 def update_in(message: msg.StoreChanges, replica: Replica) -> Update:
     """Return the update in a message.
 
-    Documents are decoded only when they are news to `replica`: two relays tell each
-    change, and decoding a configuration of 350 routes takes milliseconds each time.
+    A document is decoded only when it is new to `replica`: a standby host gets each
+    change from two relays, and decoding a configuration of 350 routes takes
+    milliseconds each time.
     """
     kind = Kind(message.kind)
     documents = [_document(kind, replica, *fields) for fields in message.documents]
