--- a/lacewingcross/platform/__init__.py
+++ b/lacewingcross/platform/__init__.py
@@ -1,4 +1,5 @@
-"""What the users' platform speaks: names, formats and calls; no decisions.
+"""Names, formats and calls of the users' platform, without any decisions.
 
-Everything is decoded once into the project's types, whose fields say what they hold.
+Data of the platform is decoded here once into the project's own types, whose field
+names say what they hold.
 """
--- a/lacewingcross/platform/answer_signals.py
+++ b/lacewingcross/platform/answer_signals.py
@@ -1,4 +1,4 @@
-"""Decodes what a backend server says of itself in the head of an answer."""
+"""Decodes the signals of a backend server from the head of a response."""
 
 import re
 from collections.abc import Collection
@@ -7,7 +7,8 @@
 from ..core.server_signals import NO_SIGNALS, ServerSignals
 from . import headers as ph
 
-# Longer numbers, before and behind the point, are errors of their sender.
+# Most digits that are accepted before and after the decimal point. Longer numbers are
+# errors of the server.
 MAX_INTEGER_DIGITS = 9
 MAX_FRACTION_DIGITS = 20
 _DECIMAL = re.compile(
@@ -18,14 +19,14 @@
 def read_signals(
     status: int, headers: Collection[tuple[bytes, bytes]]
 ) -> ServerSignals:
-    """Return the signals in a head.
+    """Return the signals in the head of a response.
 
     Parameters
     ----------
     status : int
-        Status of the answer.
+        HTTP status of the response.
     headers : collection of (bytes, bytes)
-        Names in lower case, and values.
+        Header names in lower case, and values.
     """
     found = {name: value for name, value in headers if name in ph.SIGNAL_HEADERS}
     if not found:
@@ -48,10 +49,10 @@
 
 
 def _retry_after_s(value: bytes, response_date: bytes) -> float | None:
-    """Return a time from now on in seconds, or None.
+    """Return the time in a ``Retry-After`` header in seconds, or None if unreadable.
 
-    A date is taken from the one at which the answer was made: this host's own clock may
-    be seconds off.
+    A time that is given as a date is counted from the ``Date`` header of the response,
+    since the clock of this host may be seconds off.
     """
     seconds = _decimal(value)
     if seconds is not None:
@@ -65,7 +66,7 @@
 
 
 def _decimal(value: bytes) -> float | None:
-    """Return a number of 0 or more, or None."""
+    """Return a number of 0 or more, or None if the value is not a plain decimal."""
     text = value.decode("latin-1").strip()
     if not _DECIMAL.fullmatch(text):
         return None
--- a/lacewingcross/platform/directory.py
+++ b/lacewingcross/platform/directory.py
@@ -1,4 +1,4 @@
-"""What callers and the platform ask an entry host itself: formats of both calls."""
+"""Formats of the two calls that an entry host answers itself: readiness and look-up."""
 
 import json
 from dataclasses import dataclass
@@ -10,9 +10,17 @@
 
 @dataclass(slots=True, frozen=True)
 class LookupQuestion:
-    """Which entry hosts a caller in `region` should use for a host name.
-
-    The platform calls the caller's failure domain its zone.
+    """Asks which entry hosts a caller should use for a host name.
+
+    Attributes
+    ----------
+    host_name : str
+        Host name of the service, in lower case.
+    region : str
+        Region of the caller.
+    failure_domain : str
+        Failure domain of the caller, which the platform calls its zone. Empty if it is
+        unknown.
     """
 
     host_name: str
@@ -21,7 +29,7 @@
 
 
 def decode_question(target: str) -> LookupQuestion | None:
-    """Return the question in a request target, or None when it is another call."""
+    """Return the look-up in a request target, or None if the path is another one."""
     path, _, query = target.partition("?")
     if path != LOOKUP_PATH:
         return None
@@ -32,5 +40,13 @@
 
 
 def encode_answer(addresses: list[str], lifetime_s: float) -> bytes:
-    """Return the body that names entry hosts for `lifetime_s` seconds."""
+    """Return the body of the answer to a look-up.
+
+    Parameters
+    ----------
+    addresses : list of str
+        Addresses of the entry hosts that the caller should use.
+    lifetime_s : float
+        How long the caller may use the answer, in seconds.
+    """
     return json.dumps({"addresses": addresses, "ttl_s": lifetime_s}).encode()
--- a/lacewingcross/platform/headers.py
+++ b/lacewingcross/platform/headers.py
@@ -1,26 +1,28 @@
-"""The platform's header names, in the lower case that h11 gives."""
+"""Names of the platform's HTTP headers, in lower case as h11 returns them."""
 
 REQUEST_ID = b"x-lacewingcross-request-id"
 AFFINITY_KEY = b"x-lacewingcross-affinity-key"
-# Milliseconds that remain when the request is sent.
+# Time that remains for the request when it is sent, in milliseconds.
 REMAINING_MS = b"x-lacewingcross-request-deadline"
-# Id of the incarnation that may run the request; any other answers 421.
+# Id of the incarnation of the backend server that may run the request. Any other
+# incarnation answers with status 421.
 EXPECTED_INCARNATION = b"x-lacewingcross-expected-instance"
-# Present when a backend server says that it did not run the request.
+# Present when a backend server reports that it did not run the request.
 NOT_RUN = b"x-lacewingcross-not-executed"
-# Name of the client account, for backend servers only.
+# Name of the client account; sent to backend servers only.
 ACCOUNT = b"x-lacewingcross-tenant-id"
 SIGNATURE = b"x-lacewingcross-response-signature"
-# "running,waiting,slots"
+# Load of a backend server, as "running,waiting,slots".
 LOAD = b"x-lacewingcross-server-load"
-# Requests a second that a server takes from all hosts together.
+# Requests a second that a backend server accepts from all hosts together.
 SERVER_LIMIT = b"server-limit"
-# Present when a server is about to end.
+# Present, with a value other than 0, when a backend server is about to shut down.
 SERVER_LEAVING = b"server-leaving"
-# With a status in `RESTING`: seconds for which the server wants nothing from this host.
+# With a status in `BACKOFF_STATUSES`: the back-off that a backend server requests from
+# this host, in seconds or as a date.
 RETRY_AFTER = b"retry-after"
 BACKOFF_STATUSES = frozenset((429, 503))
-# When an answer was made, by its server's clock.
+# When a response was made, by the clock of the backend server.
 DATE = b"date"
-# What a server says of itself, besides its load.
+# Headers with signals of a backend server, other than its load.
 SIGNAL_HEADERS = frozenset((SERVER_LIMIT, SERVER_LEAVING, RETRY_AFTER))
--- a/lacewingcross/platform/object_api.py
+++ b/lacewingcross/platform/object_api.py
@@ -1,7 +1,7 @@
-"""Client of the platform's object API: one call each, errors with codes.
+"""Client of the platform's object API: one method for each call, errors with codes.
 
-A call that got no answer may have been done, or may be done seconds later if its
-condition still holds; the error's code ``unknown-outcome`` says so.
+A write without an answer may have been carried out, or may be carried out seconds later
+if its condition still holds. The error then has the code ``unknown-outcome``.
 """
 
 import json
@@ -14,8 +14,9 @@
 from ..http1_client import HttpClient, HttpError, Response
 from ..http1_json import JSON_TYPE
 
-# A platform that is only slow answers in a few hundred milliseconds; a longer silence
-# is taken for an outage, so that another source is asked in time. In seconds.
+# Timeout of a call, in seconds. A platform that is only slow answers within a few
+# hundred milliseconds. A longer silence counts as an outage, so that another source is
+# used in time.
 CALL_TIMEOUT_S = 1.0
 _ERROR_CODES = {
     400: "bad-request",
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ApiObject:
-    """One object at one revision; `spec` is None for a deleted one."""
+    """One object at one revision; `spec` is None if the object was deleted."""
 
     name: str
     revision: int
@@ -39,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ApiObjects:
-    """Objects or changes of one kind, complete up to revision `as_of`."""
+    """All objects of one kind, or their changes, complete up to revision `as_of`."""
 
     as_of: int
     items: list[ApiObject]
@@ -53,9 +54,14 @@
     address : str
         ``ip:port`` of the platform.
     ssl : ssl.SSLContext, optional
-        For TLS.
+        Context for TLS; without it the connection is not encrypted.
     timeout_s : float, optional
-        How long a call may take, in seconds, besides a watch's wait.
+        Timeout of a call, in seconds. A watch may take its wait on top of that.
+
+    Attributes
+    ----------
+    calls : int
+        Number of calls made.
     """
 
     __slots__ = ("_http", "_timeout_s", "calls")
@@ -71,9 +77,14 @@
         self.calls = 0
 
     async def list(self, kind: str, *, stale: bool = False) -> ApiObjects:
-        """Return all objects of a kind, page by page.
-
-        A stale reading costs a tenth of the price and may be some seconds old.
+        """Read all pages of a listing and return the objects of a kind.
+
+        Parameters
+        ----------
+        kind : str
+            Kind in the path of the API.
+        stale : bool, optional
+            Accept data that may be some seconds old, at a tenth of the price.
         """
         found: list[ApiObject] = []
         while True:
@@ -85,12 +96,21 @@
             items = [_decode_or_none(kind, item) for item in data["items"]]
             readable = [item for item in items if item is not None]
             found += readable
-            # Without a name there is nothing to go on from.
+            # The next page starts after the last name. Without one the listing ends.
             if not data.get("has_more") or not readable:
                 return ApiObjects(int(data["as_of"]), found)
 
     async def watch(self, kind: str, revision: int, wait_s: float) -> ApiObjects:
-        """Wait for changes of a kind after a revision; none when there were none.
+        """Wait for changes of a kind after a revision.
+
+        Parameters
+        ----------
+        kind : str
+            Kind in the path of the API.
+        revision : int
+            Changes after this revision are returned.
+        wait_s : float
+            How long to wait for a change, in seconds. Without one the result is empty.
 
         Raises
         ------
@@ -108,18 +128,22 @@
         return ApiObjects(int(data["as_of"]), known)
 
     async def get(self, kind: str, name: str) -> ApiObject:
-        """Return an object; code ``not-found`` when there is none."""
+        """Return an object; the error code is ``not-found`` if it does not exist."""
         return _decode_object(await self.call("GET", _target(kind, name)))
 
     async def create(self, kind: str, name: str, spec: object) -> ApiObject:
-        """Create an object; code ``conflict`` when it exists."""
+        """Create an object; the error code is ``conflict`` if it exists already."""
         body = {"metadata": {"name": name}, "spec": spec}
         return _decode_object(await self.call("POST", _target(kind), body))
 
     async def replace(
         self, kind: str, name: str, spec: object, revision: int = 0
     ) -> ApiObject:
-        """Replace an object; code ``conflict`` when it is not at `revision`."""
+        """Replace an object.
+
+        With a `revision` other than 0, the error code is ``conflict`` if the object is
+        at another revision.
+        """
         metadata: dict[str, object] = {"name": name}
         if revision:
             metadata["revision"] = revision
@@ -127,7 +151,16 @@
         return _decode_object(await self.call("PUT", _target(kind, name), body))
 
     async def delete(self, kind: str, name: str, revision: int = 0) -> int:
-        """Delete an object; return the revision of the deletion, 0 when not told."""
+        """Delete an object.
+
+        With a `revision` other than 0, the error code is ``conflict`` if the object is
+        at another revision.
+
+        Returns
+        -------
+        deleted_at : int
+            Revision of the deletion; 0 if the platform does not return it.
+        """
         query = {"revision": revision or ""}
         data = await self.call("DELETE", _target(kind, name, query))
         return int(data.get("metadata", {}).get("revision", 0))
@@ -135,7 +168,18 @@
     async def call(
         self, method: str, target: str, body: object = None, wait_s: float = 0.0
     ) -> dict:
-        """Make one call and return its decoded answer.
+        """Make one call and return the decoded body of the response.
+
+        Parameters
+        ----------
+        method : str
+            HTTP method.
+        target : str
+            Path and query.
+        body : object, optional
+            Sent as JSON; None for no body.
+        wait_s : float, optional
+            Time that is added to the timeout, in seconds.
 
         Raises
         ------
@@ -157,12 +201,12 @@
         return _decode(response, f"{method} {target}")
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self._http.close()
 
 
 def encode(body: object) -> bytes:
-    """Return a body as the platform takes it."""
+    """Return the JSON of a body as bytes."""
     return json.dumps(body, separators=(",", ":")).encode()
 
 
@@ -177,12 +221,12 @@
 
 def _decode(response: Response, call: str) -> dict:
     try:
-        # Bytes that are no text may stand in what others wrote; they spoil that object
-        # and must not keep the rest of the answer from being read.
+        # Other writers may have stored bytes that are not UTF-8. That makes their
+        # object invalid, but the rest of the response must stay readable.
         text = response.body.decode("utf-8", "replace")
         data = json.loads(text) if text else {}
     except ValueError as exc:
-        raise PlatformError("unavailable", f"{call}: the answer is not JSON") from exc
+        raise PlatformError("unavailable", f"{call}: the response is not JSON") from exc
     if response.status >= 300:
         code = _ERROR_CODES.get(response.status, "unavailable")
         detail = data.get("message", "") if isinstance(data, dict) else ""
@@ -193,10 +237,11 @@
 def _decode_or_none(
     kind: str, item: object, *, deleted: bool = False
 ) -> ApiObject | None:
-    """Return an object that anybody may have written, None when it has no name.
+    """Return a stored object, or None if its metadata cannot be read.
 
-    Failure: one object without metadata among five hundred. The listing would be given
-    up as a whole, again and again, and the host would know no server at all.
+    Any writer may have stored the object. Guards against this failure: one object of
+    five hundred lacks its metadata. Each listing would fail as a whole, and the host
+    would not learn of any server.
     """
     try:
         return _decode_object(item, deleted=deleted)
@@ -209,6 +254,6 @@
     meta = item["metadata"]
     if deleted:
         return ApiObject(meta["name"], int(meta["revision"]), None)
-    # An object without a spec exists all the same: an evacuation may say no more.
+    # An object without a spec exists nonetheless: an evacuation may have only a name.
     spec = item.get("spec")
     return ApiObject(meta["name"], int(meta["revision"]), {} if spec is None else spec)
--- a/lacewingcross/platform/objects.py
+++ b/lacewingcross/platform/objects.py
@@ -1,4 +1,4 @@
-"""Decodes the platform's objects into the project's types."""
+"""Decodes the objects of the platform's store into the project's types."""
 
 from math import inf
 
@@ -10,6 +10,7 @@
 from ..core.routes import CallerLimits, Configuration, Part, Route, Service
 from ..errors import PlatformError
 
+# Kinds in the paths of the object API.
 KIND_PATHS = {
     Kind.CONFIG: "config",
     Kind.EVACUATION: "evacuations",
@@ -18,7 +19,7 @@
 }
 HOSTS_PATH = "entry-hosts"
 CONFIG_NAME = "main"
-# Whether a server in a state is leaving.
+# Whether a backend server is draining, by the state in its entry.
 DRAINING_BY_STATE = {"ready": False, "draining": True}
 
 
@@ -30,7 +31,7 @@
     PlatformError
         With code ``bad-object`` when a field is missing or of the wrong type.
     AccountError
-        When two accounts share a key.
+        When two accounts have the same API key.
     """
     try:
         services = {
@@ -86,11 +87,13 @@
     accounts = []
     for name, data in (spec.get("tenants") or {}).items():
         keys = data.get("api_keys") or []
-        # The error holds no key, whatever stands in the place of one.
+        # The error must not contain the value, which may be a misplaced key.
         if not isinstance(keys, list) or not all(
             isinstance(k, str) and k for k in keys
         ):
-            raise ValueError(f"account {name}: expected keys as texts")
+            raise ValueError(
+                f"account {name}: expected a list of non-empty strings as keys"
+            )
         accounts.append((_account(name, data), keys))
     return Accounts(accounts)
 
@@ -120,15 +123,22 @@
 
 
 def decode_server(name: str, spec: object) -> ServerEntry:
-    """Return a backend server's entry; `name` is the id that it was given.
+    """Return the entry of a backend server.
 
-    Others than the servers can write there too, so nothing is taken on trust.
+    Other programs than the servers can write entries too, so every field is validated.
+
+    Parameters
+    ----------
+    name : str
+        Name of the object, which is the id that the server was given.
+    spec : object
+        Decoded JSON of the entry.
 
     Raises
     ------
     PlatformError
         With code ``bad-object`` when a field is missing, of the wrong type or out of
-        range, or when the state is none that the platform names.
+        range, or when the state is not one that the platform defines.
     """
     try:
         entry = ServerEntry(
@@ -139,7 +149,7 @@
             slots=_integer(spec, "slots", minimum=1),
             draining=DRAINING_BY_STATE[_non_empty_string(spec, "state")],
             cold_left_s=_non_negative(spec, "cold_left_s"),
-            # Unix milliseconds of its start; servers of older versions do not tell it.
+            # Start of the server in Unix milliseconds; older versions do not send it.
             born_ms=_integer(spec, "born") if "born" in spec else 0,
         )
         split_address(entry.address)
@@ -151,7 +161,7 @@
 def _non_empty_string(spec: dict, field: str) -> str:
     value = spec[field]
     if not isinstance(value, str) or not value:
-        raise TypeError(f"{field}: expected a text, got {value!r:.80}")
+        raise TypeError(f"{field}: expected a non-empty string, got {value!r:.80}")
     return value
 
 
@@ -174,12 +184,19 @@
 
 
 def decode_quarantine(name: str, spec: object) -> tuple[str, ...]:
-    """Return the ids of servers that ended under a quarantined request.
+    """Return the ids of the servers that crashed while running a quarantined request.
+
+    Parameters
+    ----------
+    name : str
+        Name of the object, which is the fingerprint of the request.
+    spec : object
+        Decoded JSON of the object.
 
     Raises
     ------
     PlatformError
-        With code ``bad-object`` when they are not texts.
+        With code ``bad-object`` when the ids are not a list of strings.
     """
     servers = spec.get("servers", ()) if isinstance(spec, dict) else None
     if not isinstance(servers, list) or not all(isinstance(s, str) for s in servers):
@@ -188,7 +205,7 @@
 
 
 class ObjectDecoder:
-    """Decodes stored objects for the core."""
+    """Decodes stored objects; passed to the core, which does not know their format."""
 
     __slots__ = ()
 
@@ -197,9 +214,9 @@
         return decode_configuration(spec)
 
     def server(self, name: str, spec: object) -> ServerEntry:
-        """Return a backend server's entry."""
+        """Return the entry of a backend server."""
         return decode_server(name, spec)
 
     def quarantine(self, name: str, spec: object) -> tuple[str, ...]:
-        """Return the servers that ended under a quarantined request."""
+        """Return the servers that crashed while running a quarantined request."""
         return decode_quarantine(name, spec)
--- a/lacewingcross/platform/settings.py
+++ b/lacewingcross/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the platform renders from our template."""
+"""Reads the settings file that the platform renders from the template in `deploy`."""
 
 import os
 from dataclasses import fields
@@ -9,10 +9,11 @@
 from ..gateway.settings import Bounds, GatewaySettings
 from ..settings import read_json
 
+# Environment variable with the path of the settings file.
 SETTINGS_VARIABLE = "LACEWINGCROSS_BOOT"
 
-# The platform's names for the promises, and ours. Others may come; they are passed
-# over, as the platform says.
+# Fields of `Bounds` by the platform's names for these guarantees. The platform may add
+# names and requires that unknown ones are ignored.
 _BOUND_FIELDS = {
     "drain_s": "drain_s",
     "grace_s": "grace_s",
@@ -33,17 +34,22 @@
 
 
 def settings_path() -> str:
-    """Return the path that the platform names, or an empty string."""
+    """Return the path in `SETTINGS_VARIABLE`, or an empty string if it is not set."""
     return os.environ.get(SETTINGS_VARIABLE, "")
 
 
 def load_gateway(path: str) -> GatewaySettings:
-    """Read the settings of an entry host on the platform.
+    """Read the settings of an entry host.
+
+    Parameters
+    ----------
+    path : str
+        Path of the settings file.
 
     Raises
     ------
     SettingsError
-        Names the file, the field and what was expected.
+        With a message that names the file, the field and the expected value.
     """
     reader = Reader(read_json(path), path, SettingsError)
     cfg = GatewaySettings(
@@ -73,7 +79,7 @@
 
 
 def _read_cores(reader: Reader) -> float:
-    """Return the part of a core that a host gets, times how fast that core is."""
+    """Return the share of a core that a host gets, times the speed of that core."""
     share = reader.number("processor_share", 1.0, low=0.01)
     return share * reader.number("processor_speed", 1.0, low=0.01)
 
--- a/lacewingcross/platform/store.py
+++ b/lacewingcross/platform/store.py
@@ -1,4 +1,4 @@
-"""What an entry host reads and writes in the platform's metadata store."""
+"""Reads and writes the objects of an entry host in the platform's metadata store."""
 
 from ..core.membership import HostInfo
 from ..core.replica import Document, Kind, Update
@@ -8,7 +8,7 @@
 
 
 class ObjectStore:
-    """The store's objects in the project's types.
+    """Client of the store that uses the project's types.
 
     Parameters
     ----------
@@ -23,17 +23,26 @@
 
     @property
     def calls(self) -> int:
-        """Return how many calls were made."""
+        """Return the number of calls made."""
         return self._api.calls
 
     async def read_all(self, kind: Kind) -> Update:
-        """Return all documents of a kind, linearizable."""
+        """Return all documents of a kind, from a linearizable read."""
         found = await self._api.list(KIND_PATHS[kind])
         documents = _documents(kind, found.items)
         return Update(kind, 0, found.as_of, documents, whole=True)
 
     async def watch(self, kind: Kind, revision: int, wait_s: float) -> Update:
-        """Wait for changes of a kind after a revision; none when there were none.
+        """Wait for changes of a kind after a revision.
+
+        Parameters
+        ----------
+        kind : Kind
+            Which kind.
+        revision : int
+            Changes after this revision are returned.
+        wait_s : float
+            How long to wait for a change, in seconds. Without one the update is empty.
 
         Raises
         ------
@@ -44,12 +53,18 @@
         return Update(kind, revision, found.as_of, _documents(kind, found.items))
 
     async def hosts(self, *, stale: bool = False) -> list[HostInfo]:
-        """Return the entry hosts that have named themselves, see `ObjectApi.list`."""
+        """Return the registered entry hosts.
+
+        Parameters
+        ----------
+        stale : bool, optional
+            Accept a list that may be some seconds old, see `ObjectApi.list`.
+        """
         found = await self._api.list(HOSTS_PATH, stale=stale)
         return [_host(item) for item in found.items]
 
     async def put_host(self, info: HostInfo) -> None:
-        """Name an entry host, whether or not it was named before."""
+        """Register an entry host, whether or not it was registered before."""
         spec = {
             "region": info.region,
             "failure_domain": info.failure_domain,
@@ -65,11 +80,19 @@
             await self._api.replace(HOSTS_PATH, info.host_id, spec)
 
     async def delete_host(self, host_id: str) -> None:
-        """Take an entry host's name away."""
+        """Remove an entry host from the list."""
         await self._delete(HOSTS_PATH, host_id)
 
     async def put_quarantine(self, request: str, servers: tuple[str, ...]) -> None:
-        """Store that a request is quarantined, and which servers ended under it."""
+        """Store the quarantine of a request.
+
+        Parameters
+        ----------
+        request : str
+            Fingerprint of the request.
+        servers : tuple of str
+            Ids of the servers that crashed while running it.
+        """
         kind = KIND_PATHS[Kind.QUARANTINE]
         try:
             await self._api.create(kind, request, {"servers": list(servers)})
@@ -78,11 +101,11 @@
                 raise
 
     async def delete_quarantine(self, request: str) -> None:
-        """Take back that a request is quarantined."""
+        """Delete the quarantine of a request."""
         await self._delete(KIND_PATHS[Kind.QUARANTINE], request)
 
     async def _delete(self, kind: str, name: str) -> None:
-        """Delete an object, whether or not it is still there."""
+        """Delete an object; do nothing if it no longer exists."""
         try:
             await self._api.delete(kind, name)
         except PlatformError as exc:
@@ -90,12 +113,12 @@
                 raise
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self._api.close()
 
 
 def _documents(kind: Kind, items: list[ApiObject]) -> list[Document]:
-    """Return the documents that count; of the configurations only the main one."""
+    """Return the documents of a kind; of configurations only the main one is used."""
     return [
         Document(kind, item.name, item.revision, item.spec)
         for item in items
@@ -116,5 +139,5 @@
 
 
 def _cores(value: object) -> float:
-    """Return a host's processor time; hosts of an older version do not tell it."""
+    """Return the processor capacity of a host; older versions do not store it."""
     return float(value) if isinstance(value, int | float) and value > 0 else 1.0
