--- a/tests/test_answer_signals.py
+++ b/tests/test_answer_signals.py
@@ -20,22 +20,22 @@
 @pytest.mark.parametrize(
     "text", [b"", b"-1", b"nan", b"inf", b"1e9", b"7,6", b"9" * 99]
 )
-def test_an_unreadable_limit_is_named_and_left_out(text):
-    said = read_signals(200, [(b"server-limit", text)])
-    assert (said.rate, said.unreadable) == (None, ("limit",))
+def test_an_unreadable_limit_is_reported_and_ignored(text):
+    signals = read_signals(200, [(b"server-limit", text)])
+    assert (signals.rate, signals.unreadable) == (None, ("limit",))
 
 
 @pytest.mark.parametrize(("text", "leaving"), [(b"1", True), (b"0", False)])
-def test_a_server_that_leaves_says_so(text, leaving):
+def test_a_server_announces_that_it_is_leaving(text, leaving):
     assert read_signals(200, [(b"server-leaving", text)]).leaving is leaving
 
 
 @pytest.mark.parametrize(("status", "rest_s"), [(503, 3.5), (429, 3.5), (200, 0.0)])
-def test_a_server_that_turns_requests_away_may_ask_for_rest(status, rest_s):
+def test_a_server_that_refuses_requests_may_request_a_backoff(status, rest_s):
     assert read_signals(status, [(b"retry-after", b"3.5")]).rest_s == rest_s
 
 
-def test_a_rest_may_end_at_a_date_by_the_servers_own_clock():
+def test_a_backoff_may_end_at_a_date_by_the_servers_own_clock():
     headers = [
         (b"retry-after", b"Fri, 31 Dec 1999 23:59:59 GMT"),
         (b"date", b"Fri, 31 Dec 1999 23:59:55 GMT"),
@@ -45,9 +45,9 @@
 
 
 @pytest.mark.parametrize("text", [b"-3", b"inf", b"soon", b""])
-def test_an_unreadable_rest_is_named_and_left_out(text):
-    said = read_signals(503, [(b"retry-after", text)])
-    assert (said.rest_s, said.unreadable) == (0.0, ("rest",))
+def test_an_unreadable_backoff_is_reported_and_ignored(text):
+    signals = read_signals(503, [(b"retry-after", text)])
+    assert (signals.rest_s, signals.unreadable) == (0.0, ("rest",))
 
 
 @given(
@@ -64,7 +64,7 @@
     read_signals(503, headers)
 
 
-def test_other_hosts_can_read_the_largest_limit_that_a_server_may_name():
+def test_other_hosts_can_read_the_largest_limit_that_a_server_may_announce():
     for digits in range(1, 25):
         rate = read_signals(200, [(b"server-limit", b"9" * digits)]).rate
         if rate is not None:
@@ -72,7 +72,7 @@
             assert decode(encode(message)[4:]) == message
 
 
-def test_a_head_without_signals_says_nothing():
+def test_a_head_without_signals_gives_no_signals():
     assert read_signals(200, [(b"content-length", b"2")]) is NO_SIGNALS
 
 
@@ -83,23 +83,23 @@
 
 
 @in_loop
-async def test_signals_are_heard_in_answers_of_every_status():
+async def test_signals_are_read_from_responses_of_every_status():
     for status in (200, 404, 500, 503):
         async with fleet() as made:
             made.configure()
 
-            async def names(received, writer, status=status):
+            async def announces_limit(received, writer, status=status):
                 extra = b"Server-Limit: 3.5\r\n"
                 writer.write(answer(received.request_id, status=status, extra=extra))
 
-            await made.add_server(names)
+            await made.add_server(announces_limit)
             app = await made.ready(await made.add_host())
             await ask(app, "/safe/a")
             assert rate_of(app) == 3.5
 
 
 @in_loop
-async def test_signals_of_another_run_at_the_same_address_do_not_count():
+async def test_signals_of_another_process_at_the_same_address_are_ignored():
     async def misdirected(received, writer):
         extra = b"Server-Limit: 3.5\r\n"
         writer.write(answer(received.request_id, status=421, extra=extra))
--- a/tests/test_gossip_sender.py
+++ b/tests/test_gossip_sender.py
@@ -12,7 +12,7 @@
 
 
 @given(st.lists(COUNTS, max_size=8))
-def test_changes_add_up_to_the_counts(steps):
+def test_changed_counts_add_up_to_the_counts_of_the_sender(steps):
     # Whatever a host has in flight from turn to turn, the other one knows the same.
     class NoHomes:
         def add(self, server): ...
@@ -32,7 +32,7 @@
 
 
 @in_loop
-async def test_another_host_knows_what_is_in_flight_and_when_it_has_ended():
+async def test_another_host_gets_counts_in_flight_and_their_return_to_zero():
     async with fleet() as made:
         made.configure()
         await made.add_server(answers_at_once)
--- a/tests/test_object_api.py
+++ b/tests/test_object_api.py
@@ -28,7 +28,7 @@
     asyncio.run(run())
 
 
-def code_of(caught):
+def error_code(caught):
     return caught.value.code
 
 
@@ -40,15 +40,15 @@
         second = await api.replace("notes", "n", 2, first.revision)
         with pytest.raises(PlatformError) as caught:
             await api.replace("notes", "n", 3, first.revision)
-        assert code_of(caught) == "conflict"
+        assert error_code(caught) == "conflict"
         with pytest.raises(PlatformError) as caught:
             await api.delete("notes", "n", first.revision)
-        assert code_of(caught) == "conflict"
+        assert error_code(caught) == "conflict"
         assert (await api.get("notes", "n")).spec == 2
         assert await api.delete("notes", "n", second.revision) > second.revision
         with pytest.raises(PlatformError) as caught:
             await api.get("notes", "n")
-        assert code_of(caught) == "not-found"
+        assert error_code(caught) == "not-found"
 
     with_api(check)
 
@@ -66,7 +66,7 @@
     with_api(check)
 
 
-def test_names_with_odd_characters_come_back_as_they_were():
+def test_names_with_special_characters_are_returned_unchanged():
     async def check(_standin, api, _client):
         await api.create("notes", "a/b c:d", 1)
         assert (await api.get("notes", "a/b c:d")).name == "a/b c:d"
@@ -74,7 +74,7 @@
     with_api(check)
 
 
-def test_one_watch_tells_of_all_that_hosts_follow():
+def test_one_watch_returns_changes_of_several_kinds():
     async def check(standin, _api, client):
         await client.create("ShiftCap/booking", {"fraction": 0.1})
         await client.create("HostReport/host-1", {"in_flight": 1})
@@ -88,7 +88,7 @@
     with_api(check)
 
 
-def test_a_watch_does_not_pass_over_what_came_with_other_kinds():
+def test_a_watch_does_not_skip_changes_that_came_with_other_kinds():
     async def check(_standin, _api, client):
         first = await client.create("ShiftCap/booking", {"fraction": 0.1})
         await client.create("Drain/d", {"server": "s"})
@@ -99,7 +99,7 @@
     with_api(check)
 
 
-def test_a_write_whose_answer_was_lost_is_found_again_by_its_id():
+def test_a_write_whose_response_was_lost_is_recognised_by_its_id():
     # The store creates the object and the answer is lost. Creating it again conflicts,
     # with the operator's own write: that is a success, not somebody else's change.
     async def check(standin, _api, client):
@@ -112,14 +112,14 @@
     with_api(check)
 
 
-def test_history_is_dropped_after_many_deletions_and_watches_are_told():
+def test_watches_fail_as_compacted_after_many_deletions():
     async def check(standin, api, _client):
         standin.put("claims", "first", 1)
-        for number in range(5001):
-            standin.put("claims", "c", number)
+        for value in range(5001):
+            standin.put("claims", "c", value)
             standin.delete("claims", "c")
         with pytest.raises(PlatformError) as caught:
             await api.watch("claims", 1, 1.0)
-        assert code_of(caught) == "compacted"
+        assert error_code(caught) == "compacted"
 
     with_api(check)
--- a/tests/test_platform_directory.py
+++ b/tests/test_platform_directory.py
@@ -13,14 +13,14 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_a_question_names_host_region_and_failure_domain():
-    asked = decode_question("/v1/resolve?name=A.example&region=norte&zone=mty-a")
-    assert asked == LookupQuestion("a.example", "norte", "mty-a")
+def test_a_look_up_contains_host_region_and_failure_domain():
+    question = decode_question("/v1/resolve?name=A.example&region=norte&zone=mty-a")
+    assert question == LookupQuestion("a.example", "norte", "mty-a")
     assert decode_question("/v1/resolve") == LookupQuestion("", "", "")
     assert decode_question("/v1/other?name=a") is None
 
 
-def test_an_answer_names_addresses_and_their_lifetime():
+def test_an_answer_contains_addresses_and_their_lifetime():
     body = encode_answer(["10.0.0.1:80"], 1.5)
     assert json.loads(body) == {"addresses": ["10.0.0.1:80"], "ttl_s": 1.5}
 
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -10,7 +10,7 @@
 from lacewingcross.platform.settings import load_gateway
 
 TEMPLATE = Path(__file__).parent.parent / "deploy" / "host.json.tmpl"
-GIVEN = {
+PLACEHOLDERS = {
     "node": "front-a-1",
     "region": "north",
     "zone": "a",
@@ -33,10 +33,10 @@
 
 def rendered(**changes):
     """Render the template as the platform does for plain placeholders."""
-    given = {**GIVEN, **changes}
+    values = {**PLACEHOLDERS, **changes}
     text = TEMPLATE.read_text()
     return re.sub(
-        r"\{\{([\w.]+)\|json\}\}", lambda match: json.dumps(given[match[1]]), text
+        r"\{\{([\w.]+)\|json\}\}", lambda match: json.dumps(values[match[1]]), text
     )
 
 
@@ -46,7 +46,7 @@
     return load_gateway(str(path))
 
 
-def test_the_template_gives_all_that_a_host_needs(tmp_path):
+def test_the_template_contains_all_settings_that_a_host_needs(tmp_path):
     cfg = load(tmp_path, rendered())
     assert cfg.host_id == "front-a-1"
     assert cfg.region_of == {"a": "north", "b": "south"}
@@ -68,13 +68,13 @@
         ("seeds", "10.1.0.1:8544"),
     ],
 )
-def test_bad_settings_name_the_field(tmp_path, field, value):
+def test_invalid_settings_raise_a_bad_field_error(tmp_path, field, value):
     with pytest.raises(SettingsError) as caught:
         load(tmp_path, rendered(**{field: value}))
     assert caught.value.code == "bad-field"
 
 
-def test_settings_that_are_not_json_say_so(tmp_path):
+def test_settings_that_are_not_json_have_their_own_error_code(tmp_path):
     with pytest.raises(SettingsError) as caught:
         load(tmp_path, "node: x")
     assert caught.value.code == "bad-json"
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -43,8 +43,8 @@
 
 def test_all_pages_of_a_listing_are_read():
     async def check(standin, client):
-        for number in range(7):
-            standin.put("servers", f"i-{number}", SERVER)
+        for index in range(7):
+            standin.put("servers", f"i-{index}", SERVER)
         update = await client.read_all(Kind.SERVER)
         assert [doc.name for doc in update.documents] == [f"i-{i}" for i in range(7)]
         assert (update.whole, update.as_of) == (True, 7)
@@ -52,7 +52,7 @@
     with_store(check, page=3)
 
 
-def test_a_watch_returns_changes_and_deletions_as_they_come():
+def test_a_watch_returns_a_deletion_as_soon_as_it_happens():
     async def check(standin, client):
         standin.put("servers", "i-1", SERVER)
         watching = asyncio.ensure_future(client.watch(Kind.SERVER, 1, 5.0))
@@ -73,7 +73,7 @@
     with_store(check)
 
 
-def test_a_watch_from_before_the_kept_history_is_told_so():
+def test_a_watch_from_before_the_kept_history_fails_as_compacted():
     async def check(standin, client):
         standin.put("servers", "i-1", SERVER)
         standin.compact()
@@ -84,7 +84,7 @@
     with_store(check)
 
 
-def test_only_the_main_configuration_counts():
+def test_only_the_main_configuration_is_read():
     async def check(standin, client):
         standin.put("config", "main", {"version": "r1"})
         standin.put("config", "draft", {"version": "r9"})
@@ -94,7 +94,7 @@
     with_store(check)
 
 
-def test_a_host_names_itself_again_after_a_crash():
+def test_a_host_registers_again_after_a_crash():
     async def check(standin, client):
         await client.put_host(HOST)
         moved = HostInfo("host-1", "a", "a1", "10.0.0.2:1", "10.0.0.2:2")
@@ -107,7 +107,7 @@
     with_store(check)
 
 
-def test_a_stale_reading_may_lack_what_is_new_and_others_do_not():
+def test_a_stale_listing_may_lack_new_hosts_and_a_full_one_does_not():
     # The store's replicas are seconds behind. The list of hosts is read stale after the
     # first time; whoever is missing from it must not be missing from a full reading.
     async def check(standin, client):
@@ -125,7 +125,7 @@
     ("down", "code"),
     [("busy", "unavailable"), ("many", "too-many-calls"), ("reset", "unavailable")],
 )
-def test_an_outage_has_a_code(down, code):
+def test_an_outage_raises_an_error_with_a_code(down, code):
     async def check(standin, client):
         standin.faults.down = down
         with pytest.raises(PlatformError) as caught:
@@ -135,7 +135,7 @@
     with_store(check)
 
 
-def test_a_write_without_an_answer_is_not_called_refused():
+def test_a_write_without_a_response_has_an_unknown_outcome():
     # The store does the write and the answer is lost. Taken for a failure it would be
     # written twice, or never be deleted.
     async def check(standin, client):
@@ -148,7 +148,7 @@
     with_store(check)
 
 
-def test_a_silent_store_is_given_up_in_time():
+def test_a_call_to_a_silent_store_times_out():
     async def check(standin, client):
         standin.faults.down = "silent"
         started = time.monotonic()
@@ -159,7 +159,7 @@
     with_store(check)
 
 
-def test_a_configuration_is_decoded_into_our_types():
+def test_a_configuration_is_decoded_into_the_projects_types():
     standin = ObjectStoreStandin(time.monotonic)
     made = Fleet(standin, "")
     made.configure(
@@ -181,7 +181,7 @@
     "spec",
     [None, {}, {"version": "r1"}, {"version": 3, "routes": {}, "services": {}}, []],
 )
-def test_a_configuration_that_cannot_be_read_has_a_code(spec):
+def test_an_invalid_configuration_raises_an_error_with_a_code(spec):
     with pytest.raises(PlatformError) as caught:
         decode_configuration(spec)
     assert caught.value.code == "bad-object"
@@ -211,18 +211,18 @@
 
 
 @pytest.mark.parametrize("spec", BAD_ENTRIES)
-def test_a_server_entry_that_cannot_be_read_has_a_code(spec):
+def test_an_invalid_server_entry_raises_an_error_with_a_code(spec):
     with pytest.raises(PlatformError) as caught:
         decode_server("i-1", spec)
     assert caught.value.code == "bad-object"
 
 
-def test_a_server_tells_its_runs_apart_by_their_start():
+def test_incarnations_of_a_server_differ_by_their_start_time():
     assert decode_server("i-1", SERVER).born_ms == 0
     assert decode_server("i-1", {**SERVER, "born": 1790000000000}).born_ms > 0
     first, second = ({**SERVER, "born": at} for at in (1, 2))
-    runs = {decode_server("i-1", spec).incarnation for spec in (first, second)}
-    assert len(runs) == 2
+    incarnations = {decode_server("i-1", spec).incarnation for spec in (first, second)}
+    assert len(incarnations) == 2
 
 
 def test_an_object_without_a_name_does_not_hide_the_others():
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -15,7 +15,7 @@
 from lacewingcross.metrics import Metrics
 
 
-class Desk:
+class HostWithoutShare:
     """A desk of a host without a share, whose keeper is another host."""
 
     def __init__(self):
@@ -29,61 +29,61 @@
         quotas.configure(accounts_with({"a": Quota(10.0, 10.0)}), self.times())
         quotas.ledger.set_keeper("a", self.keeper.host_id)
         self.ledger = quotas.ledger
-        self.desk = QuotaAdmission(quotas, roster, Metrics(), self.times)
+        self.quota_admission = QuotaAdmission(quotas, roster, Metrics(), self.times)
 
     def times(self):
         return ClockReading(self.now, self.now)
 
-    def pay(self, count):
+    def receive_receipt(self, count):
         items = [("a", 0, count, 0.0)]
-        self.desk.receive(self.keeper, 1, msg.QuotaReceipts(items))
+        self.quota_admission.receive(self.keeper, 1, msg.QuotaReceipts(items))
 
-    def counted(self):
+    def charged(self):
         """Return how many requests count as run or waiting."""
-        told = self.ledger.charge_of("a", self.now)
-        return told.charged - told.returned
+        charge = self.ledger.charge_of("a", self.now)
+        return charge.charged - charge.returned
 
 
 def run(test):
     asyncio.run(asyncio.wait_for(test(), 5.0))
 
 
-def test_a_request_waits_for_its_keeper_s_word():
-    async def play():
-        made = Desk()
-        waiting = asyncio.ensure_future(made.desk.admit("a"))
+def test_a_request_waits_for_credit_of_its_keeper():
+    async def scenario():
+        host = HostWithoutShare()
+        waiting = asyncio.ensure_future(host.quota_admission.admit("a"))
         await asyncio.sleep(0)
-        made.pay(1)
+        host.receive_receipt(1)
         assert (await waiting).outcome is Outcome.ADMITTED
 
-    run(play)
+    run(scenario)
 
 
-def test_a_request_that_hears_nothing_is_refused_with_a_time():
-    async def play():
-        found = await Desk().desk.admit("a")
-        assert found.outcome is Outcome.REFUSED
-        assert found.retry_after_s > 0
+def test_a_request_without_an_answer_of_its_keeper_is_refused_with_a_time():
+    async def scenario():
+        admission = await HostWithoutShare().quota_admission.admit("a")
+        assert admission.outcome is Outcome.REFUSED
+        assert admission.retry_after_s > 0
 
-    run(play)
+    run(scenario)
 
 
 @pytest.mark.parametrize("paid_first", [True, False])
 def test_credit_of_a_caller_that_leaves_while_it_waits_goes_back(paid_first):
     # The keeper pays and the caller leaves in the same moment. The request never runs;
     # its credit must not be lost to the account's other callers.
-    async def play():
-        made = Desk()
-        waiting = asyncio.ensure_future(made.desk.admit("a"))
+    async def scenario():
+        host = HostWithoutShare()
+        waiting = asyncio.ensure_future(host.quota_admission.admit("a"))
         await asyncio.sleep(0)
         if paid_first:
-            made.pay(1)
+            host.receive_receipt(1)
             waiting.cancel()
         else:
             waiting.cancel()
-            made.pay(1)
+            host.receive_receipt(1)
         await asyncio.wait((waiting,))
         assert waiting.cancelled()
-        assert made.counted() == 0
+        assert host.charged() == 0
 
-    run(play)
+    run(scenario)
--- a/tests/test_quotas_gateway.py
+++ b/tests/test_quotas_gateway.py
@@ -12,20 +12,20 @@
     return {"school": {"api_keys": [KEY], "rate_per_s": rate, "burst": burst}}
 
 
-async def hosts_that_know(made, count):
+async def start_hosts_with_shares(made, count):
     """Start hosts and wait until each lends its share and knows the keeper."""
     apps = [
-        await made.add_host(domain=("a1", "a2", "b1")[number % 3])
-        for number in range(count)
+        await made.add_host(domain=("a1", "a2", "b1")[index % 3])
+        for index in range(count)
     ]
     for app in apps:
         await made.ready(app)
 
-    def whole():
-        parts = [app.gateway.quotas.keeper.part("school") for app in apps]
-        return abs(sum(parts) - 1.0) < 1e-6
+    def shares_are_whole():
+        shares = [app.gateway.quotas.keeper.part("school") for app in apps]
+        return abs(sum(shares) - 1.0) < 1e-6
 
-    await until(whole)
+    await until(shares_are_whole)
     return apps
 
 
@@ -33,18 +33,18 @@
     """Send requests to all hosts at once; return the responses."""
     return await asyncio.gather(
         *(
-            ask(apps[number % len(apps)], "/safe/a", f"r{number}", extra=bearer(KEY))
-            for number in range(requests)
+            ask(apps[index % len(apps)], "/safe/a", f"r{index}", extra=bearer(KEY))
+            for index in range(requests)
         )
     )
 
 
 @in_loop
-async def test_three_hosts_keep_to_one_quota_and_say_when_to_come_back():
+async def test_three_hosts_keep_to_one_quota_and_send_retry_after():
     async with fleet() as made:
         made.configure(accounts=accounts(10, 10))
         server = await made.add_server(answers_at_once)
-        apps = await hosts_that_know(made, 3)
+        apps = await start_hosts_with_shares(made, 3)
         responses = await flood(apps, 150)
         refused = [r for r in responses if r.status == 429]
         assert refused
@@ -56,14 +56,14 @@
 
 
 @in_loop
-async def test_a_calm_caller_is_never_refused_by_any_host():
+async def test_a_caller_below_its_quota_is_never_refused_by_any_host():
     async with fleet() as made:
         made.configure(accounts=accounts(50, 50))
         await made.add_server(answers_at_once, slots=8)
-        apps = await hosts_that_know(made, 3)
-        for number in range(60):
-            app = apps[number % 3]
-            got = await ask(app, "/safe/a", f"r{number}", extra=bearer(KEY))
+        apps = await start_hosts_with_shares(made, 3)
+        for index in range(60):
+            app = apps[index % 3]
+            got = await ask(app, "/safe/a", f"r{index}", extra=bearer(KEY))
             assert got.status == 200
             await asyncio.sleep(0.02)
 
@@ -74,16 +74,16 @@
     # are back, the account has all of its credit.
     async with fleet() as made:
         made.configure(accounts=accounts(10, 10))
-        (app,) = await hosts_that_know_none(made)
+        (app,) = await start_host_without_servers(made)
         before = app.gateway.quotas.keeper.credit("school", app.gateway.times().boot)
-        for number in range(100):
-            got = await ask(app, "/safe/a", f"r{number}", extra=bearer(KEY))
+        for index in range(100):
+            got = await ask(app, "/safe/a", f"r{index}", extra=bearer(KEY))
             assert got.status == 503
         after = app.gateway.quotas.keeper.credit("school", app.gateway.times().boot)
         assert after >= before
 
 
-async def hosts_that_know_none(made):
+async def start_host_without_servers(made):
     """Start one host of a fleet without servers."""
     app = await made.add_host()
     await until(lambda: app.gateway.steering.table is not None)
@@ -96,14 +96,14 @@
 async def test_counters_name_a_bounded_number_of_accounts():
     async with fleet() as made:
         many = {
-            f"account-{number}": {"api_keys": [f"key-{number}"], "rate_per_s": 100}
-            for number in range(130)
+            f"account-{index}": {"api_keys": [f"key-{index}"], "rate_per_s": 100}
+            for index in range(130)
         }
         made.configure(accounts=many)
         (app,) = [await made.add_host()]
         await until(lambda: app.gateway.steering.table is not None)
-        for number in range(130):
-            await app.gateway.quota_admission.admit(f"account-{number}")
+        for index in range(130):
+            await app.gateway.quota_admission.admit(f"account-{index}")
         counters = app.gateway.metrics.counters
         named = [name for name in counters if name.startswith("accounts.")]
         assert len({name.split(".", 2)[2] for name in named}) <= 101
--- a/tests/test_server_fields.py
+++ b/tests/test_server_fields.py
@@ -21,8 +21,13 @@
     assert (ROOT / "tests" / test.strip("` ")).exists()
 
 
-def test_each_field_that_the_folder_names_is_on_the_page():
+def test_each_response_header_in_the_code_is_on_the_page():
     source = (ROOT / "lacewingcross" / "platform" / "headers.py").read_text()
     names = {line.partition(" = ")[0] for line in source.splitlines() if " = b" in line}
-    of_requests = {"AFFINITY_KEY", "REMAINING_MS", "EXPECTED_INCARNATION", "ACCOUNT"}
-    assert names - of_requests == names & {name for _, name, _, _ in fields()}
+    request_headers = {
+        "AFFINITY_KEY",
+        "REMAINING_MS",
+        "EXPECTED_INCARNATION",
+        "ACCOUNT",
+    }
+    assert names - request_headers == names & {name for _, name, _, _ in fields()}
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -16,20 +16,20 @@
 class CountingStore:
     """Names of hosts in memory; notes each call."""
 
-    def __init__(self, *named):
-        self.named = {info.host_id: info for info in named}
+    def __init__(self, *registered):
+        self.registered = {info.host_id: info for info in registered}
         self.calls = []
 
     async def hosts(self, *, stale=False):
         self.calls.append("stale-list" if stale else "list")
-        return list(self.named.values())
+        return list(self.registered.values())
 
     async def put_host(self, info):
         self.calls.append("put")
-        self.named[info.host_id] = info
+        self.registered[info.host_id] = info
 
 
-def introduced(store, *, first_start):
+def roster_after_registration(store, *, first_start):
     gateway = SimpleNamespace(
         cfg=SimpleNamespace(first_start=first_start),
         roster=Roster(OWN),
@@ -41,7 +41,7 @@
 
     async def run():
         running = asyncio.ensure_future(HostDirectory(gateway, store).run())
-        while not (gateway.roster.listed and OWN in store.named.values()):
+        while not (gateway.roster.listed and OWN in store.registered.values()):
             await asyncio.sleep(0)
         await asyncio.sleep(0.05)
         running.cancel()
@@ -50,22 +50,22 @@
     return gateway.roster
 
 
-def test_a_host_that_was_killed_finds_its_name_and_writes_nothing():
+def test_a_host_that_was_killed_finds_its_entry_and_writes_nothing():
     # All hosts lose power and start again. Naming themselves once more would cost each
     # of them a creation that conflicts and a replacement that changes nothing.
     store = CountingStore(OWN, OTHER)
-    roster = introduced(store, first_start=False)
+    roster = roster_after_registration(store, first_start=False)
     assert store.calls == ["list"]
     assert set(roster.entries) == {"host-1"}
 
 
-def test_a_host_whose_name_has_an_old_address_writes_the_new_one():
+def test_a_host_whose_entry_has_an_old_address_writes_the_new_one():
     store = CountingStore(MOVED)
-    introduced(store, first_start=False)
+    roster_after_registration(store, first_start=False)
     assert store.calls == ["list", "put", "list"]
 
 
-def test_a_first_start_names_the_host_before_it_reads_the_list():
+def test_a_first_start_registers_the_host_before_it_reads_the_list():
     store = CountingStore()
-    introduced(store, first_start=True)
+    roster_after_registration(store, first_start=True)
     assert store.calls == ["put", "list"]
