--- a/tests/test_answer_signals.py
+++ b/tests/test_answer_signals.py
@@ -1,4 +1,4 @@
-"""What servers say of themselves in the heads of their answers."""
+"""Signals of servers in the heads of their responses."""
 
 import pytest
 from hypothesis import given
@@ -77,7 +77,7 @@
 
 
 def rate_of(app):
-    """Return the rate that a host believes of any server, None for no limit."""
+    """Return the rate limit that a host has recorded for any server, or None."""
     rates = app.gateway.steering.placement.gate.rates
     return next((limit.rate for _, limit in rates.in_force()), None)
 
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""A host finds out whether a server has ended, and what it tells of it."""
+"""How a host detects the crash of a server and what it announces to other hosts."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class ScriptedBackends:
-    """Connections to servers that answer when the test says so."""
+    """Connections to servers; attempts to open one end when the test sets `go`."""
 
     def __init__(self, reason=""):
         self.reason = reason
@@ -60,7 +60,7 @@
         await first
         assert backends.attempts == 1
         assert crashes.ledger.crash_requests(SERVER) == {"r1", "r2"}
-        # A request that breaks later needs no question any more.
+        # For a connection that breaks later the server is not checked again.
         assert crashes.broke(ENTRY, "r3") is None
         assert crashes.ledger.crash_requests(SERVER) == {"r1", "r2", "r3"}
 
@@ -82,10 +82,10 @@
 
 @pytest.mark.parametrize("reason", ["connect-refused", "connect-failed"])
 def test_requests_here_count_also_when_another_host_reports_the_crash_first(reason):
-    # A request ends a server of another region. A host beside that server has a request
-    # there, too, and tells of the end before this host's own question is answered. The
-    # request that did it was never counted, and went on to the next server: what broke
-    # here was told only if nobody had told of that server yet.
+    # A request crashes a server of another region. A host near that server also has a
+    # request there and reports the crash before this host's own check has ended. If
+    # requests here were reported only for crashes that are not known yet, the request
+    # that caused the crash would never count and would go on to the next server.
     backends = ScriptedBackends(reason)
 
     async def scenario(crashes):
--- a/tests/test_gossip_sender.py
+++ b/tests/test_gossip_sender.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of requests in flight."""
+"""Counts of requests in flight as hosts send them to each other."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,7 +13,7 @@
 
 @given(st.lists(COUNTS, max_size=8))
 def test_changed_counts_add_up_to_the_counts_of_the_sender(steps):
-    # Whatever a host has in flight from turn to turn, the other one knows the same.
+    # After each message the other host must have the same counts as the sender.
     class NoHomes:
         def add(self, server): ...
 
--- a/tests/test_object_api.py
+++ b/tests/test_object_api.py
@@ -1,4 +1,4 @@
-"""The object API's calls, and operators' resources on them, against the stand-in."""
+"""The object API and the operators' client on top of it, against the stand-in."""
 
 import asyncio
 import time
@@ -33,8 +33,8 @@
 
 
 def test_a_write_at_an_old_revision_conflicts_and_changes_nothing():
-    # Two operators change one object; the second one has not seen the first one's
-    # change and must not undo it.
+    # Two operators change one object. The second operator has not seen the change of
+    # the first one and must not undo it.
     async def check(_standin, api, _client):
         first = await api.create("notes", "n", 1)
         second = await api.replace("notes", "n", 2, first.revision)
@@ -54,8 +54,8 @@
 
 
 def test_an_object_without_a_spec_is_not_a_deleted_one():
-    # An evacuation may consist of its name alone. Taken for a deletion, requests would
-    # go on to the failure domain that is being emptied.
+    # An evacuation may consist of its name alone. If it were treated as deleted,
+    # requests would still go to the failure domain that is being evacuated.
     async def check(standin, api, _client):
         standin.put("evacuations", "a1", None)
         found = await api.list("evacuations")
@@ -100,8 +100,9 @@
 
 
 def test_a_write_whose_response_was_lost_is_recognised_by_its_id():
-    # The store creates the object and the answer is lost. Creating it again conflicts,
-    # with the operator's own write: that is a success, not somebody else's change.
+    # The store creates the object and its response is lost. Creating it again conflicts
+    # with the operator's own write. That is a success and not the change of another
+    # operator.
     async def check(standin, _api, client):
         standin.faults.lose_answers = 1
         stored = await client.create("ShiftCap/booking", {"fraction": 0.1})
--- a/tests/test_platform_directory.py
+++ b/tests/test_platform_directory.py
@@ -1,4 +1,4 @@
-"""Formats of the look-up, and the two lists of dependencies."""
+"""Formats of the look-up call, and whether the two lists of dependencies agree."""
 
 import json
 import tomllib
@@ -26,7 +26,7 @@
 
 
 def test_deployed_dependencies_are_those_of_the_package():
-    # The platform builds from requirements.txt, developers from pyproject.toml.
+    # The platform installs from requirements.txt, developers from pyproject.toml.
     package = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     deployed = (ROOT / "requirements.txt").read_text().split()
     assert sorted(deployed) == sorted(package["dependencies"])
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the platform renders from our template."""
+"""Settings files that the platform renders from the template in `deploy`."""
 
 import json
 import re
@@ -32,7 +32,7 @@
 
 
 def rendered(**changes):
-    """Render the template as the platform does for plain placeholders."""
+    """Return the template with its JSON placeholders filled in as by the platform."""
     values = {**PLACEHOLDERS, **changes}
     text = TEMPLATE.read_text()
     return re.sub(
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -108,8 +108,9 @@
 
 
 def test_a_stale_listing_may_lack_new_hosts_and_a_full_one_does_not():
-    # The store's replicas are seconds behind. The list of hosts is read stale after the
-    # first time; whoever is missing from it must not be missing from a full reading.
+    # The replicas of the store are seconds behind. The list of hosts is read stale
+    # after the first time. A host that is missing there must not be missing from a full
+    # listing.
     async def check(standin, client):
         await client.put_host(HOST)
         standin.faults.stale_since = standin.revision
@@ -136,8 +137,8 @@
 
 
 def test_a_write_without_a_response_has_an_unknown_outcome():
-    # The store does the write and the answer is lost. Taken for a failure it would be
-    # written twice, or never be deleted.
+    # The store carries out the write and its response is lost. If that counted as a
+    # failure, the object would be written twice or never be deleted.
     async def check(standin, client):
         standin.faults.lost_writes = True
         with pytest.raises(PlatformError) as caught:
@@ -226,8 +227,8 @@
 
 
 def test_an_object_without_a_name_does_not_hide_the_others():
-    # Another writer leaves an entry that has no metadata, and one whose bytes are no
-    # text. Every listing failed on them, and hosts that started knew no server.
+    # Another writer stores an entry without metadata, and one with bytes that are not
+    # UTF-8. If listings failed on them, hosts that start would not know any server.
     body = (
         b'{"items":[7,{"spec":{}},{"metadata":{"name":"i-1","revision":"x"}},'
         b'{"metadata":{"name":"i-2","revision":4},"spec":{"service":"\xff\xfe"}},'
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -1,4 +1,4 @@
-"""Requests that wait at a host for their keeper's word."""
+"""Requests that wait on a host for credit of their account's keeper."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class HostWithoutShare:
-    """A desk of a host without a share, whose keeper is another host."""
+    """Quota admission of a host without a share; the keeper is another host."""
 
     def __init__(self):
         self.now = 100.0
@@ -35,11 +35,12 @@
         return ClockReading(self.now, self.now)
 
     def receive_receipt(self, count):
+        """Deliver a receipt of the keeper for `count` paid requests."""
         items = [("a", 0, count, 0.0)]
         self.quota_admission.receive(self.keeper, 1, msg.QuotaReceipts(items))
 
     def charged(self):
-        """Return how many requests count as run or waiting."""
+        """Return the number of requests that are charged as run or waiting."""
         charge = self.ledger.charge_of("a", self.now)
         return charge.charged - charge.returned
 
@@ -70,8 +71,8 @@
 
 @pytest.mark.parametrize("paid_first", [True, False])
 def test_credit_of_a_caller_that_leaves_while_it_waits_goes_back(paid_first):
-    # The keeper pays and the caller leaves in the same moment. The request never runs;
-    # its credit must not be lost to the account's other callers.
+    # The keeper's receipt arrives just when the caller leaves. The request never runs,
+    # and its credit must not be lost for the other callers of the account.
     async def scenario():
         host = HostWithoutShare()
         waiting = asyncio.ensure_future(host.quota_admission.admit("a"))
--- a/tests/test_quotas_gateway.py
+++ b/tests/test_quotas_gateway.py
@@ -13,7 +13,7 @@
 
 
 async def start_hosts_with_shares(made, count):
-    """Start hosts and wait until each lends its share and knows the keeper."""
+    """Start hosts and wait until the shares that they keep add up to the whole."""
     apps = [
         await made.add_host(domain=("a1", "a2", "b1")[index % 3])
         for index in range(count)
@@ -70,8 +70,8 @@
 
 @in_loop
 async def test_a_request_that_no_server_could_take_costs_no_credit():
-    # All servers are gone for a while and every caller is refused with 503. When they
-    # are back, the account has all of its credit.
+    # No server is available and every caller is refused with 503. The account must
+    # still have all of its credit when servers return.
     async with fleet() as made:
         made.configure(accounts=accounts(10, 10))
         (app,) = await start_host_without_servers(made)
@@ -84,7 +84,7 @@
 
 
 async def start_host_without_servers(made):
-    """Start one host of a fleet without servers."""
+    """Start one host without servers; wait until it keeps the whole quota."""
     app = await made.add_host()
     await until(lambda: app.gateway.steering.table is not None)
     await until(lambda: app.entry.server.listening)
--- a/tests/test_server_fields.py
+++ b/tests/test_server_fields.py
@@ -1,4 +1,4 @@
-"""Each field that a server may tell has a reader and a test that plays it."""
+"""Each field that a server may send has a reader in the code and a test."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 
 
 def fields():
-    """Return the rows of the page's table: field, name in code, reader, test."""
+    """Return the rows of the table on the page: field, name in code, reader, test."""
     table = PAGE.read_text(encoding="utf-8").split("\n\n")[3]
     rows = [line.strip("| ").split(" | ") for line in table.splitlines()[2:]]
     return [(row[0], row[1].strip("`"), row[2].strip("`"), row[4]) for row in rows]
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -1,4 +1,7 @@
-"""How a host introduces itself, in calls of the store that are paid for."""
+"""Store calls that a host makes to register itself.
+
+Every call of the store is paid for, so the tests compare all calls.
+"""
 
 import asyncio
 import random
@@ -14,7 +17,7 @@
 
 
 class CountingStore:
-    """Names of hosts in memory; notes each call."""
+    """Keeps the list of hosts in memory and records each call."""
 
     def __init__(self, *registered):
         self.registered = {info.host_id: info for info in registered}
@@ -51,8 +54,8 @@
 
 
 def test_a_host_that_was_killed_finds_its_entry_and_writes_nothing():
-    # All hosts lose power and start again. Naming themselves once more would cost each
-    # of them a creation that conflicts and a replacement that changes nothing.
+    # All hosts lose power and start again. Registering again would cost each of them a
+    # creation that conflicts and a replacement that changes nothing.
     store = CountingStore(OWN, OTHER)
     roster = roster_after_registration(store, first_start=False)
     assert store.calls == ["list"]
