--- a/lacewingcross/gateway/gossip_receiver.py
+++ b/lacewingcross/gateway/gossip_receiver.py
@@ -140,10 +140,10 @@
 
     def _pull_missing(self, info: HostInfo, revisions: list[int], now: float) -> None:
         replica = self._gateway.steering.replica
-        for kind, theirs in zip(Kind, revisions, strict=False):
-            own = replica.as_of(kind)
-            if self._catch_up.should_ask(kind, own, theirs, now):
-                self._send_to(info, msg.StorePull(int(kind), own))
+        for kind, peer_revision in zip(Kind, revisions, strict=False):
+            own_revision = replica.as_of(kind)
+            if self._catch_up.should_ask(kind, own_revision, peer_revision, now):
+                self._send_to(info, msg.StorePull(int(kind), own_revision))
 
     def _handle_known_hosts(
         self, info: HostInfo, message: msg.KnownHosts, now: float
@@ -166,13 +166,13 @@
         update = update_in(message, steering.replica)
         new_documents = gateway.take(update, fresh=message.fresh)
         log_changes(gateway, update, new_documents, info.host_id)
-        own = steering.replica.as_of(update.kind)
+        own_revision = steering.replica.as_of(update.kind)
         if message.fresh:
             self._forward(info, message)
-            if own >= message.as_of:
+            if own_revision >= message.as_of:
                 gateway.watch_election.note_peer_update(update.kind, now)
-        if own < message.since and self._catch_up.may_ask(update.kind, now):
-            self._send_to(info, msg.StorePull(int(update.kind), own))
+        if own_revision < message.since and self._catch_up.may_ask(update.kind, now):
+            self._send_to(info, msg.StorePull(int(update.kind), own_revision))
 
     def _answer_pull(self, info: HostInfo, message: msg.StorePull) -> None:
         kind = Kind(message.kind)
--- a/lacewingcross/gateway/gossip_sender.py
+++ b/lacewingcross/gateway/gossip_sender.py
@@ -101,23 +101,25 @@
                 continue
             if not active or now - link.last_full_counts_at >= FULL_COUNTS_INTERVAL_S:
                 link.last_counts = None
-            form = (host_id in subscribes, active, id(link.last_counts))
-            if form not in frames:
+            variant = (host_id in subscribes, active, id(link.last_counts))
+            if variant not in frames:
                 state = (
                     (counts, handled, link.last_counts) if active else ({}, [], None)
                 )
-                frames[form] = encode(self._alive_message(*state, subscribes=form[0]))
+                frames[variant] = encode(
+                    self._alive_message(*state, subscribes=variant[0])
+                )
             if link.last_counts is None:
                 link.last_full_counts_at = now
             link.last_counts = counts if active else None
             link.last_alive_at = now
-            link.send_frame(frames[form], msg.Alive)
+            link.send_frame(frames[variant], msg.Alive)
 
     def _alive_message(
         self,
         counts: dict[str, int] | None = None,
         handled: list[tuple[str, str]] | None = None,
-        before: dict[str, int] | None = None,
+        previous: dict[str, int] | None = None,
         *,
         subscribes: bool,
     ) -> msg.Alive:
@@ -129,7 +131,7 @@
             Requests in flight by server id.
         handled : list of (str, str), optional
             Servers and the objects that they have handled since the last message.
-        before : dict of str to int or None
+        previous : dict of str to int or None
             The counts that were sent last; None if all counts are to be sent.
         subscribes : bool
             Whether this host wants updates from the receiver.
@@ -143,9 +145,9 @@
             roster.store_unreachable,
             subscribes,
             [replica.as_of(kind) for kind in Kind],
-            list(changed_counts(counts, before or {})),
+            list(changed_counts(counts, previous or {})),
             handled or [],
-            before is None,
+            previous is None,
         )
 
     def _known_hosts_message(
@@ -181,15 +183,15 @@
         messages: dict[tuple[bool, bool], msg.KnownHosts] = {}
         frames: dict[tuple[bool, bool], bytes] = {}
         for host_id, link in self._links.items():
-            form = (host_id in active, host_id in full_view)
-            if form not in messages:
-                messages[form] = self._known_hosts_message(host_id, full_view)
-            if messages[form] == link.last_known_hosts:
+            variant = (host_id in active, host_id in full_view)
+            if variant not in messages:
+                messages[variant] = self._known_hosts_message(host_id, full_view)
+            if messages[variant] == link.last_known_hosts:
                 continue
-            link.last_known_hosts = messages[form]
-            if form not in frames:
-                frames[form] = encode(messages[form])
-            link.send_frame(frames[form], msg.KnownHosts)
+            link.last_known_hosts = messages[variant]
+            if variant not in frames:
+                frames[variant] = encode(messages[variant])
+            link.send_frame(frames[variant], msg.KnownHosts)
 
     def send_gossip(self) -> None:
         """Send each host the crashes and answered requests that are new to it.
@@ -252,13 +254,13 @@
 
 
 def changed_counts(
-    counts: dict[str, int], before: dict[str, int]
+    counts: dict[str, int], previous: dict[str, int]
 ) -> Iterator[tuple[str, int]]:
     """Yield the id and the new count of each server whose count has changed."""
     for server_id, count in counts.items():
-        if before.get(server_id) != count:
+        if previous.get(server_id) != count:
             yield server_id, count
-    for server_id in before.keys() - counts.keys():
+    for server_id in previous.keys() - counts.keys():
         yield server_id, 0
 
 
--- a/lacewingcross/gateway/quarantine_store.py
+++ b/lacewingcross/gateway/quarantine_store.py
@@ -51,11 +51,11 @@
                 await backoff.wait()
 
     async def _review(self) -> None:
-        for request, entry in self._missing():
+        for request, entry in self._to_store():
             await self._store.put_quarantine(request, entry.servers)
             logs.event("quarantine-stored", request=request, servers=entry.servers)
         if self._gateway.rank == 0:
-            for request in self._surplus():
+            for request in self._to_delete():
                 await self._store.delete_quarantine(request)
                 logs.event("quarantine-deleted", request=request)
 
@@ -63,7 +63,7 @@
         documents = self._gateway.steering.replica.known(Kind.QUARANTINE)
         return {doc.name for doc in documents}
 
-    def _missing(self) -> list[tuple[str, Quarantine]]:
+    def _to_store(self) -> list[tuple[str, Quarantine]]:
         quarantine = self._gateway.crashes.ledger.quarantine
         if not quarantine:
             return []
@@ -82,7 +82,7 @@
         waited_s = self._gateway.now() - entry.since
         return rank is not None and waited_s > (1 + rank) * STEP_IN_DELAY_S
 
-    def _surplus(self) -> set[str]:
+    def _to_delete(self) -> set[str]:
         # Read again here, since the writes before take time: a request that was just
         # stored may have been released meanwhile.
         quarantine = self._gateway.crashes.ledger.quarantine
--- a/lacewingcross/platform/object_api.py
+++ b/lacewingcross/platform/object_api.py
@@ -86,19 +86,19 @@
         stale : bool, optional
             Accept data that may be some seconds old, at a tenth of the price.
         """
-        found: list[ApiObject] = []
+        objects: list[ApiObject] = []
         while True:
             query = {
-                "after": found[-1].name if found else "",
+                "after": objects[-1].name if objects else "",
                 "allow_stale": "1" if stale else "",
             }
             data = await self.call("GET", _target(kind, query=query))
             items = [_decode_or_none(kind, item) for item in data["items"]]
             readable = [item for item in items if item is not None]
-            found += readable
+            objects += readable
             # The next page starts after the last name. Without one the listing ends.
             if not data.get("has_more") or not readable:
-                return ApiObjects(int(data["as_of"]), found)
+                return ApiObjects(int(data["as_of"]), objects)
 
     async def watch(self, kind: str, revision: int, wait_s: float) -> ApiObjects:
         """Wait for changes of a kind after a revision.
@@ -124,8 +124,8 @@
             _decode_or_none(kind, event["object"], deleted=bool(event["deleted"]))
             for event in data["events"]
         ]
-        known = [event for event in events if event is not None]
-        return ApiObjects(int(data["as_of"]), known)
+        readable = [event for event in events if event is not None]
+        return ApiObjects(int(data["as_of"]), readable)
 
     async def get(self, kind: str, name: str) -> ApiObject:
         """Return an object; the error code is ``not-found`` if it does not exist."""
--- a/lacewingcross/platform/store.py
+++ b/lacewingcross/platform/store.py
@@ -28,9 +28,9 @@
 
     async def read_all(self, kind: Kind) -> Update:
         """Return all documents of a kind, from a linearizable read."""
-        found = await self._api.list(KIND_PATHS[kind])
-        documents = _documents(kind, found.items)
-        return Update(kind, 0, found.as_of, documents, whole=True)
+        listing = await self._api.list(KIND_PATHS[kind])
+        documents = _documents(kind, listing.items)
+        return Update(kind, 0, listing.as_of, documents, whole=True)
 
     async def watch(self, kind: Kind, revision: int, wait_s: float) -> Update:
         """Wait for changes of a kind after a revision.
@@ -49,8 +49,8 @@
         PlatformError
             With code ``compacted`` when the store no longer has the changes.
         """
-        found = await self._api.watch(KIND_PATHS[kind], revision, wait_s)
-        return Update(kind, revision, found.as_of, _documents(kind, found.items))
+        changes = await self._api.watch(KIND_PATHS[kind], revision, wait_s)
+        return Update(kind, revision, changes.as_of, _documents(kind, changes.items))
 
     async def hosts(self, *, stale: bool = False) -> list[HostInfo]:
         """Return the registered entry hosts.
@@ -60,8 +60,8 @@
         stale : bool, optional
             Accept a list that may be some seconds old, see `ObjectApi.list`.
         """
-        found = await self._api.list(HOSTS_PATH, stale=stale)
-        return [_host(item) for item in found.items]
+        listing = await self._api.list(HOSTS_PATH, stale=stale)
+        return [_host(item) for item in listing.items]
 
     async def put_host(self, info: HostInfo) -> None:
         """Register an entry host, whether or not it was registered before."""
--- a/tests/test_answer_signals.py
+++ b/tests/test_answer_signals.py
@@ -85,15 +85,15 @@
 @in_loop
 async def test_signals_are_read_from_responses_of_every_status():
     for status in (200, 404, 500, 503):
-        async with fleet() as made:
-            made.configure()
+        async with fleet() as env:
+            env.configure()
 
             async def announces_limit(received, writer, status=status):
                 extra = b"Server-Limit: 3.5\r\n"
                 writer.write(answer(received.request_id, status=status, extra=extra))
 
-            await made.add_server(announces_limit)
-            app = await made.ready(await made.add_host())
+            await env.add_server(announces_limit)
+            app = await env.ready(await env.add_host())
             await ask(app, "/safe/a")
             assert rate_of(app) == 3.5
 
@@ -104,9 +104,9 @@
         extra = b"Server-Limit: 3.5\r\n"
         writer.write(answer(received.request_id, status=421, extra=extra))
 
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(misdirected)
-        app = await made.ready(await made.add_host())
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(misdirected)
+        app = await env.ready(await env.add_host())
         await ask(app, "/safe/a")
         assert rate_of(app) is None
--- a/tests/test_gossip_sender.py
+++ b/tests/test_gossip_sender.py
@@ -33,11 +33,11 @@
 
 @in_loop
 async def test_another_host_gets_counts_in_flight_and_their_return_to_zero():
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(answers_at_once)
-        first = await made.ready(await made.add_host())
-        second = await made.ready(await made.add_host(domain="a2"))
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(answers_at_once)
+        first = await env.ready(await env.add_host())
+        second = await env.ready(await env.add_host(domain="a2"))
         await until(lambda: len(second.gateway.roster.entries) == 1)
         here = first.gateway.steering.placement.known.servers["i-1"]
         there = second.gateway.steering.placement.known.servers["i-1"]
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -162,8 +162,8 @@
 
 def test_a_configuration_is_decoded_into_the_projects_types():
     standin = ObjectStoreStandin(time.monotonic)
-    made = Fleet(standin, "")
-    made.configure(
+    env = Fleet(standin, "")
+    env.configure(
         version=12,
         traffic_split=[{"service": "a", "weight": 9}, {"service": "b", "weight": 1}],
     )
--- a/tests/test_quotas_gateway.py
+++ b/tests/test_quotas_gateway.py
@@ -12,14 +12,14 @@
     return {"school": {"api_keys": [KEY], "rate_per_s": rate, "burst": burst}}
 
 
-async def start_hosts_with_shares(made, count):
+async def start_hosts_with_shares(env, count):
     """Start hosts and wait until the shares that they keep add up to the whole."""
     apps = [
-        await made.add_host(domain=("a1", "a2", "b1")[index % 3])
+        await env.add_host(domain=("a1", "a2", "b1")[index % 3])
         for index in range(count)
     ]
     for app in apps:
-        await made.ready(app)
+        await env.ready(app)
 
     def shares_are_whole():
         shares = [app.gateway.quotas.keeper.part("school") for app in apps]
@@ -41,26 +41,26 @@
 
 @in_loop
 async def test_three_hosts_keep_to_one_quota_and_send_retry_after():
-    async with fleet() as made:
-        made.configure(accounts=accounts(10, 10))
-        server = await made.add_server(answers_at_once)
-        apps = await start_hosts_with_shares(made, 3)
+    async with fleet() as env:
+        env.configure(accounts=accounts(10, 10))
+        server = await env.add_server(answers_at_once)
+        apps = await start_hosts_with_shares(env, 3)
         responses = await flood(apps, 150)
         refused = [r for r in responses if r.status == 429]
         assert refused
         assert all(float(header(r, "retry-after")) > 0 for r in refused)
         assert len(server.requests) == sum(r.status == 200 for r in responses)
         assert len(server.requests) <= Bounds().quotas.most(
-            made.apps[0].gateway.steering.table.config.accounts.by_name["school"].quota
+            env.apps[0].gateway.steering.table.config.accounts.by_name["school"].quota
         )
 
 
 @in_loop
 async def test_a_caller_below_its_quota_is_never_refused_by_any_host():
-    async with fleet() as made:
-        made.configure(accounts=accounts(50, 50))
-        await made.add_server(answers_at_once, slots=8)
-        apps = await start_hosts_with_shares(made, 3)
+    async with fleet() as env:
+        env.configure(accounts=accounts(50, 50))
+        await env.add_server(answers_at_once, slots=8)
+        apps = await start_hosts_with_shares(env, 3)
         for index in range(60):
             app = apps[index % 3]
             got = await ask(app, "/safe/a", f"r{index}", extra=bearer(KEY))
@@ -72,9 +72,9 @@
 async def test_a_request_that_no_server_could_take_costs_no_credit():
     # No server is available and every caller is refused with 503. The account must
     # still have all of its credit when servers return.
-    async with fleet() as made:
-        made.configure(accounts=accounts(10, 10))
-        (app,) = await start_host_without_servers(made)
+    async with fleet() as env:
+        env.configure(accounts=accounts(10, 10))
+        (app,) = await start_host_without_servers(env)
         before = app.gateway.quotas.keeper.credit("school", app.gateway.times().boot)
         for index in range(100):
             got = await ask(app, "/safe/a", f"r{index}", extra=bearer(KEY))
@@ -83,9 +83,9 @@
         assert after >= before
 
 
-async def start_host_without_servers(made):
+async def start_host_without_servers(env):
     """Start one host without servers; wait until it keeps the whole quota."""
-    app = await made.add_host()
+    app = await env.add_host()
     await until(lambda: app.gateway.steering.table is not None)
     await until(lambda: app.entry.server.listening)
     await until(lambda: app.gateway.quotas.keeper.part("school") == 1.0)
@@ -94,13 +94,13 @@
 
 @in_loop
 async def test_counters_name_a_bounded_number_of_accounts():
-    async with fleet() as made:
+    async with fleet() as env:
         many = {
             f"account-{index}": {"api_keys": [f"key-{index}"], "rate_per_s": 100}
             for index in range(130)
         }
-        made.configure(accounts=many)
-        (app,) = [await made.add_host()]
+        env.configure(accounts=many)
+        (app,) = [await env.add_host()]
         await until(lambda: app.gateway.steering.table is not None)
         for index in range(130):
             await app.gateway.quota_admission.admit(f"account-{index}")
