--- a/lacewingcross/gateway/crashes.py
+++ b/lacewingcross/gateway/crashes.py
@@ -143,7 +143,7 @@
         reason = "silent"
         for _ in range(MAX_CHECKS):
             try:
-                is_open = await self._backends.spare(entry, CONNECTION_SETTLE_S)
+                is_open = await self._backends.open_spare(entry, CONNECTION_SETTLE_S)
             except HttpError as exc:
                 reason = exc.reason
                 break
--- a/lacewingcross/gateway/gossip_receiver.py
+++ b/lacewingcross/gateway/gossip_receiver.py
@@ -8,7 +8,7 @@
 from ..core.catch_up import CatchUp
 from ..core.membership import HostInfo, member_info
 from ..core.replica import Kind
-from ..core.roster import ALIVE_EVERY_S, PeerView
+from ..core.roster import ALIVE_INTERVAL_S, PeerView
 from ..errors import FrameError
 from ..greeting import host_of
 from ..sockets import watch_silence
@@ -20,7 +20,7 @@
 
 # Time without a message after which a stream is closed, in seconds. The sender opens a
 # new one.
-SILENCE_TIMEOUT_S = 3 * ALIVE_EVERY_S
+SILENCE_TIMEOUT_S = 3 * ALIVE_INTERVAL_S
 
 # Prefix of the counters of messages from other hosts; the name of the message follows.
 RECEIVED = "peers.heard."
--- a/lacewingcross/gateway/gossip_sender.py
+++ b/lacewingcross/gateway/gossip_sender.py
@@ -14,7 +14,7 @@
 from ..core.membership import member_fields
 from ..core.peer_selection import full_view_peers, hosts_to_advertise, subscriptions
 from ..core.replica import Kind
-from ..core.roster import ALIVE_EVERY_S
+from ..core.roster import ALIVE_INTERVAL_S
 from ..core.send_gate import SendGate
 from ..wire import PROTOCOL, encode
 from .context import Gateway
@@ -97,7 +97,7 @@
         for host_id, link in self._links.items():
             active = host_id in gateway.roster.active
             changed = active and (counts != link.last_counts or bool(handled))
-            if not changed and now - link.last_alive_at < ALIVE_EVERY_S:
+            if not changed and now - link.last_alive_at < ALIVE_INTERVAL_S:
                 continue
             if not active or now - link.last_full_counts_at >= FULL_COUNTS_INTERVAL_S:
                 link.last_counts = None
@@ -211,9 +211,9 @@
                 link.last_gossip = None
             if link.last_gossip != gossip.newest:
                 for item in self._gossip_for(host_id, link):
-                    if item.number not in frames:
-                        frames[item.number] = self._gossip_frame(item)
-                    link.send_frame(*frames[item.number])
+                    if item.sequence not in frames:
+                        frames[item.sequence] = self._gossip_frame(item)
+                    link.send_frame(*frames[item.sequence])
                 link.last_gossip = gossip.newest
 
     def send_signals(self) -> None:
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -13,7 +13,7 @@
 from ..core import messages as msg
 from ..core.membership import HostInfo
 from ..core.peer_selection import (
-    counts_every_s,
+    counts_interval_s,
     first_hops,
     next_hops,
     subscriptions,
@@ -104,7 +104,7 @@
         while True:
             self._gossip_sender.send_alive()
             self.send_gossip()
-            await asyncio.sleep(counts_every_s(self.gateway.roster))
+            await asyncio.sleep(counts_interval_s(self.gateway.roster))
 
     def send_gossip(self) -> None:
         """Send each host the crashes and signals of servers that are new to it."""
--- a/lacewingcross/gateway/quota_admission.py
+++ b/lacewingcross/gateway/quota_admission.py
@@ -140,7 +140,7 @@
         ledger = self._quotas.ledger
         for account in self._counted_accounts:
             self._metrics.set_gauge(f"accounts.unpaid.{account}", ledger.debt(account))
-            kept_share = self._quotas.keeper.part(account)
+            kept_share = self._quotas.keeper.lent_share(account)
             self._metrics.set_gauge(f"accounts.kept.{account}", kept_share)
 
     def receive(
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -26,7 +26,7 @@
         self.attempts = 0
         self.go = asyncio.Event()
 
-    async def spare(self, entry, settle_s):
+    async def open_spare(self, entry, settle_s):
         self.attempts += 1
         await self.go.wait()
         if self.reason:
@@ -74,7 +74,7 @@
     async def scenario(crashes):
         backends.go.set()
         await crashes.broke(ENTRY, "r1")
-        assert not crashes.ledger.watches
+        assert not crashes.ledger.has_suspects
         assert not crashes.ledger.has_crashed(SERVER)
 
     run_scenario(backends, scenario)
--- a/tests/test_gossip_sender.py
+++ b/tests/test_gossip_sender.py
@@ -28,7 +28,7 @@
         else:
             known.change_peer_counts("p", changes, 0.0)
         before = counts
-        assert known._told.get("p", {}) == counts
+        assert known._peer_counts.get("p", {}) == counts
 
 
 @in_loop
--- a/tests/test_quota_admission.py
+++ b/tests/test_quota_admission.py
@@ -41,7 +41,7 @@
 
     def charged(self):
         """Return the number of requests that are charged as run or waiting."""
-        charge = self.ledger.charge_of("a", self.now)
+        charge = self.ledger.next_charge("a", self.now)
         return charge.charged - charge.returned
 
 
--- a/tests/test_quotas_gateway.py
+++ b/tests/test_quotas_gateway.py
@@ -22,7 +22,7 @@
         await env.ready(app)
 
     def shares_are_whole():
-        shares = [app.gateway.quotas.keeper.part("school") for app in apps]
+        shares = [app.gateway.quotas.keeper.lent_share("school") for app in apps]
         return abs(sum(shares) - 1.0) < 1e-6
 
     await until(shares_are_whole)
@@ -50,7 +50,7 @@
         assert refused
         assert all(float(header(r, "retry-after")) > 0 for r in refused)
         assert len(server.requests) == sum(r.status == 200 for r in responses)
-        assert len(server.requests) <= Bounds().quotas.most(
+        assert len(server.requests) <= Bounds().quotas.max_per_window(
             env.apps[0].gateway.steering.table.config.accounts.by_name["school"].quota
         )
 
@@ -88,7 +88,7 @@
     app = await env.add_host()
     await until(lambda: app.gateway.steering.table is not None)
     await until(lambda: app.entry.server.listening)
-    await until(lambda: app.gateway.quotas.keeper.part("school") == 1.0)
+    await until(lambda: app.gateway.quotas.keeper.lent_share("school") == 1.0)
     return [app]
 
 
