--- a/lacewingcross/gateway/attempt_series.py
+++ b/lacewingcross/gateway/attempt_series.py
@@ -21,7 +21,7 @@
 from .repeats import RepeatedRequest
 from .reply import HostAnswer, Reply
 from .routed_request import RoutedRequest
-from .signals import learn_signals
+from .signals import record_signals
 
 # Request bodies up to this size are read before a server is chosen. A caller that sends
 # slowly then holds no slot, and the request can be sent again to another server.
@@ -273,7 +273,7 @@
         if not req.body.complete:
             await run.send_rest()
         head = await self._read_head_in_time(run, request_id)
-        learn_signals(self._gateway, run.server, head, sent_at)
+        record_signals(self._gateway, run.server, head, sent_at)
         return await run.read_body(head)
 
     async def _read_head_in_time(
--- a/lacewingcross/gateway/crashes.py
+++ b/lacewingcross/gateway/crashes.py
@@ -1,4 +1,4 @@
-"""Finds out which backend servers have ended, and under which requests."""
+"""Detects crashes of backend servers and the requests that were running there."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,41 +15,50 @@
 from .backends import Backends
 
 # A process that ends closes its connections and its listener one after the other. A
-# connection that was still accepted in between is lost within this time, in seconds.
-SETTLE_S = 0.02
-# How often a server is asked until its answer counts.
-CHECKS_MOST = 3
+# connection that it still accepted in between is lost within this time, in seconds.
+CONNECTION_SETTLE_S = 0.02
+# How many connections a check opens at most. A connection that the server accepts and
+# closes again shows nothing, so the check opens another one.
+MAX_CHECKS = 3
 
 
 class CrashWatch:
-    """Checks servers whose connections broke, and keeps the ledger of those that ended.
+    """Checks servers whose connections broke and records crashes in the ledger.
 
-    Failure: a request ends each server that begins to run it and comes again at any
-    host. What a host sees is a connection that was closed; so does a server that only
-    dropped it. A server whose port then refuses connections has ended, and its entry in
-    the store will say so seconds later only.
+    Guards against this failure: a request crashes each server that begins to run it,
+    and its caller sends it again to any host. A host only sees that a connection was
+    closed, which also happens when a server merely drops the connection. If the port of
+    the server then refuses connections, the server has crashed. Its entry in the store
+    shows that only seconds later.
 
     Parameters
     ----------
     steering : Steering
-        The ledger, and the servers that are passed over.
+        Holds the ledger of crashes and the servers that are skipped.
     backends : Backends
         Connections to servers.
     metrics : Metrics
-        Figures of this host.
+        Counters and gauges of this host.
     now : callable
         Monotonic clock in seconds.
+
+    Attributes
+    ----------
+    gossip : CrashGossip
+        What is to be sent to other hosts.
+    on_gossip : callable
+        Called when `gossip` has a new item.
     """
 
     __slots__ = (
         "_backends",
-        "_broken",
+        "_suspect_requests",
         "_checks",
         "_metrics",
         "_now",
         "_steering",
-        "news",
-        "on_news",
+        "gossip",
+        "on_gossip",
     )
 
     def __init__(
@@ -63,32 +72,38 @@
         self._backends = backends
         self._metrics = metrics
         self._now = now
-        # Requests whose connections broke, until it is known why.
-        self._broken: dict[Incarnation, set[str]] = {}
+        # Requests whose connections broke, until the check of the server has ended.
+        self._suspect_requests: dict[Incarnation, set[str]] = {}
         self._checks: dict[Incarnation, asyncio.Task[None]] = {}
-        self.news = CrashGossip(steering.crashes)
-        self.on_news: Callable[[], None] = lambda: None
+        self.gossip = CrashGossip(steering.crashes)
+        self.on_gossip: Callable[[], None] = lambda: None
 
     @property
     def ledger(self) -> CrashLedger:
-        """Return the ledger."""
+        """Return the ledger of crashes."""
         return self._steering.crashes
 
-    # What this host sees
-
     def broke(self, entry: ServerEntry, request: str) -> asyncio.Task[None] | None:
-        """Note that a server's connection ended under a request.
+        """Note that the connection to a server broke while it ran a request.
+
+        Parameters
+        ----------
+        entry : ServerEntry
+            The server.
+        request : str
+            Fingerprint of the request.
 
         Returns
         -------
         check : asyncio.Task or None
-            Ends when it is known whether the server has ended; None if that is known.
+            Ends when it is known whether the server has crashed. None if the crash is
+            known already.
         """
         server = entry.incarnation
         if self.ledger.has_crashed(server):
-            self._take(ServerCrash(server, frozenset((request,))))
+            self._record(ServerCrash(server, frozenset((request,))))
             return None
-        self._broken.setdefault(server, set()).add(request)
+        self._suspect_requests.setdefault(server, set()).add(request)
         if server not in self._checks:
             task = asyncio.get_running_loop().create_task(self._check(entry))
             self._checks[server] = task
@@ -96,113 +111,126 @@
         return self._checks[server]
 
     def refused(self, entry: ServerEntry) -> None:
-        """Note that nothing listens at a server's address any more.
+        """Note that the address of a server refuses connections.
 
-        Failure: another host tells of the end before this one has asked. What broke
-        here, often just the request that did it, would not count.
+        The requests whose connections broke here count even if the crash is known.
+        Guards against this failure: another host reports the crash before the check of
+        this host has ended. The requests here, often including the one that caused the
+        crash, would not be counted.
         """
         server = entry.incarnation
-        requests = frozenset(self._broken.pop(server, ()))
+        requests = frozenset(self._suspect_requests.pop(server, ()))
         if requests or not self.ledger.has_crashed(server):
-            self._take(ServerCrash(server, requests))
+            self._record(ServerCrash(server, requests))
 
     def answered(self, request: str) -> None:
-        """Note that a server has answered a request."""
+        """Note that a server has answered a request.
+
+        Parameters
+        ----------
+        request : str
+            Fingerprint of the request.
+        """
         if self.ledger.answered(request):
-            self._clear(request, "")
+            self._announce_cleared(request, "")
 
     async def _check(self, entry: ServerEntry) -> None:
-        """Ask whether a server still listens.
+        """Check whether a server still accepts connections.
 
-        The connection that shows it is kept: it takes the place of the one that broke.
+        A connection that the server accepts is kept for use: it replaces the one that
+        broke.
         """
-        why = "silent"
-        for _ in range(CHECKS_MOST):
+        reason = "silent"
+        for _ in range(MAX_CHECKS):
             try:
-                lives = await self._backends.open_spare(entry, SETTLE_S)
+                is_open = await self._backends.open_spare(entry, CONNECTION_SETTLE_S)
             except HttpError as exc:
-                why = exc.reason
+                reason = exc.reason
                 break
-            if lives:
-                why = "listens"
+            if is_open:
+                reason = "listens"
                 break
-        if why == REFUSED or self.ledger.has_crashed(entry.incarnation):
+        if reason == REFUSED or self.ledger.has_crashed(entry.incarnation):
             self.refused(entry)
             return
-        requests = self._broken.pop(entry.incarnation, set())
+        requests = self._suspect_requests.pop(entry.incarnation, set())
         logs.event(
-            "server-kept", server=entry.server_id, why=why, requests=sorted(requests)
+            "server-kept", server=entry.server_id, why=reason, requests=sorted(requests)
         )
 
-    # What other hosts tell
-
-    def heard(
+    def receive(
         self, source: str, message: msg.ServerEnded | msg.RequestAnswered
     ) -> None:
-        """Take in what another host tells."""
+        """Apply a message of another host.
+
+        Parameters
+        ----------
+        source : str
+            Id of the host.
+        message : ServerEnded or RequestAnswered
+            The message.
+        """
         if isinstance(message, msg.RequestAnswered):
             if self.ledger.answered(message.request):
-                self._clear(message.request, source)
+                self._announce_cleared(message.request, source)
             return
         server = (message.server_id, message.born_ms)
-        self._take(ServerCrash(server, frozenset(message.requests)), source)
-
-    # What follows from it
+        self._record(ServerCrash(server, frozenset(message.requests)), source)
 
-    def _take(self, end: ServerCrash, source: str = "") -> None:
+    def _record(self, crash: ServerCrash, source: str = "") -> None:
         now = self._now()
-        first = not self.ledger.has_crashed(end.server)
-        news, guilty = self.ledger.record_crash(end, now, own=not source)
-        if not news:
+        is_new = not self.ledger.has_crashed(crash.server)
+        changed, quarantined = self.ledger.record_crash(crash, now, own=not source)
+        if not changed:
             return
-        if first:
-            self._pass_over(end.server, now)
+        if is_new:
+            self._skip_server(crash.server, now)
             self._metrics.count("servers.ended")
         logs.event(
             "server-ended",
-            server=end.server[0],
-            born_ms=end.server[1],
-            requests=sorted(end.requests),
+            server=crash.server[0],
+            born_ms=crash.server[1],
+            requests=sorted(crash.requests),
             source=source or "own",
         )
-        for request in guilty:
+        for request in quarantined:
             self._note_quarantine(request)
-        self.news.crashed(end.server, source)
-        self.on_news()
+        self.gossip.crashed(crash.server, source)
+        self.on_gossip()
 
-    def _pass_over(self, server: Incarnation, now: float) -> None:
-        """Send nothing for a while to a server that some host saw end.
+    def _skip_server(self, server: Incarnation, now: float) -> None:
+        """Skip a server for a while after any host has seen it crash.
 
-        Failure: a server ends, and each host learns it by a request of its own that
-        finds nobody there. Callers are refused when both servers that were tried have
-        ended, above all where servers go down and up by turns.
+        Guards against this failure: a server crashes, and each host only finds out when
+        a request of its own cannot connect. Callers are refused when both servers that
+        were tried have crashed, above all when servers go down and up in rotation.
         """
         known = self._steering.placement.known.servers.get(server[0])
         if known is not None and known.entry.incarnation == server:
             known.passive_health.crashed(now)
 
     def _note_quarantine(self, request: str) -> None:
-        held = self.ledger.quarantine.get(request)
+        entry = self.ledger.quarantine.get(request)
         self._metrics.count("quarantines")
         logs.event(
             "request-quarantined",
             "WARNING",
             request=request,
-            servers=list(held.servers),
-            trial_in_s=round(held.refused_for(self._now()), 1),
+            servers=list(entry.servers),
+            trial_in_s=round(entry.refused_for(self._now()), 1),
         )
 
-    def _clear(self, request: str, source: str) -> None:
+    def _announce_cleared(self, request: str, source: str) -> None:
         logs.event("request-cleared", request=request, source=source or "own")
-        self.news.answered(request, source)
-        self.on_news()
+        self.gossip.answered(request, source)
+        self.on_gossip()
 
     def review(self) -> None:
-        """Forget what is too old."""
+        """Forget old crashes and release requests whose quarantine has expired."""
         for request in self.ledger.review(self._now()):
             logs.event("request-released", request=request, why="time")
 
     def close(self) -> None:
-        """End all checks."""
+        """Cancel all checks."""
         for task in list(self._checks.values()):
             task.cancel()
--- a/lacewingcross/gateway/gossip_sender.py
+++ b/lacewingcross/gateway/gossip_sender.py
@@ -1,4 +1,9 @@
-"""What another entry host is told: signs of life, counts, who lives, ended servers."""
+"""Sends gossip to the other entry hosts.
+
+The gossip consists of signs of life, the number of requests in flight at each backend
+server, the hosts that are alive, crashes of servers, and the limits and departures that
+servers announce in their responses.
+"""
 
 from collections.abc import Container, Iterator
 from typing import TypeVar
@@ -17,20 +22,23 @@
 
 T = TypeVar("T")
 
-# All counts are told again after so long, in seconds: a server may have become known
-# to the other host only after its count was told.
-COUNTS_WHOLE_S = 2.0
+# Interval after which a host gets all counts again instead of changes only, in seconds:
+# the host may learn of a server only after the count of that server was sent.
+FULL_COUNTS_INTERVAL_S = 2.0
 
 
 class GossipSender:
-    """Tells other hosts, on the links that `Peers` keeps, what they do not know yet.
+    """Sends updates to other hosts on the links that `Peers` keeps open.
+
+    Each link records what was sent on it last, so that a host gets only what is new to
+    it.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        Shared state of this host.
     links : dict of str to Link
-        Links by host id; kept by the caller.
+        Links by host id. The caller adds and removes them.
     """
 
     __slots__ = ("_gateway", "_links")
@@ -40,7 +48,14 @@
         self._links = links
 
     def greeting(self, link: Link | None) -> list[msg.Message]:
-        """Return what a host is told first on a new stream."""
+        """Return the first messages of a new stream.
+
+        Parameters
+        ----------
+        link : Link or None
+            The link that has opened the stream; None for a stream to a seed, whose host
+            id is not known.
+        """
         gateway = self._gateway
         own = gateway.roster.own
         hello = msg.Hello(
@@ -54,18 +69,22 @@
             own.cores,
         )
         if link is None:
-            return [hello, self._alive(subscribes=True)]
+            return [hello, self._alive_message(subscribes=True)]
         subscribes = link.info.host_id in subscriptions(gateway.roster, gateway.now())
-        told_all = full_view_peers(gateway.roster)
-        link.told_hosts = self._hosts_for(link.info.host_id, told_all)
-        return [hello, self._alive(subscribes=subscribes), link.told_hosts]
+        full_view = full_view_peers(gateway.roster)
+        link.last_known_hosts = self._known_hosts_message(link.info.host_id, full_view)
+        return [
+            hello,
+            self._alive_message(subscribes=subscribes),
+            link.last_known_hosts,
+        ]
 
-    def tell_counts(self) -> None:
-        """Tell each active host where the number in flight has changed.
+    def send_alive(self) -> None:
+        """Send each active host the counts of requests in flight that have changed.
 
-        The others get a sign of life; they place next to nothing. Few of a busy host's
-        servers have changed from one turn to the next; all of them in each message
-        would be much of what goes between regions.
+        Standby hosts only get a sign of life, since they place hardly any requests. On
+        a busy host few counts change between two calls. Sending all of them every time
+        would make up much of the traffic between regions.
         """
         gateway = self._gateway
         now = gateway.now()
@@ -73,34 +92,50 @@
         counts = known.in_flight()
         handled = known.take_newly_handled()
         subscribes = subscriptions(gateway.roster, now)
-        # Most links were told the same last, so they get the same frame now.
+        # Most links got the same counts last time, so they share one encoded frame.
         frames: dict[tuple[bool, bool, int], bytes] = {}
         for host_id, link in self._links.items():
             active = host_id in gateway.roster.active
-            news = active and (counts != link.told or bool(handled))
-            if not news and now - link.told_at < ALIVE_INTERVAL_S:
+            changed = active and (counts != link.last_counts or bool(handled))
+            if not changed and now - link.last_alive_at < ALIVE_INTERVAL_S:
                 continue
-            if not active or now - link.whole_at >= COUNTS_WHOLE_S:
-                link.told = None
-            form = (host_id in subscribes, active, id(link.told))
-            if form not in frames:
-                told = (counts, handled, link.told) if active else ({}, [], None)
-                frames[form] = encode(self._alive(*told, subscribes=form[0]))
-            if link.told is None:
-                link.whole_at = now
-            link.told = counts if active else None
-            link.told_at = now
-            link.send_frame(frames[form], msg.Alive)
-
-    def _alive(
+            if not active or now - link.last_full_counts_at >= FULL_COUNTS_INTERVAL_S:
+                link.last_counts = None
+            variant = (host_id in subscribes, active, id(link.last_counts))
+            if variant not in frames:
+                state = (
+                    (counts, handled, link.last_counts) if active else ({}, [], None)
+                )
+                frames[variant] = encode(
+                    self._alive_message(*state, subscribes=variant[0])
+                )
+            if link.last_counts is None:
+                link.last_full_counts_at = now
+            link.last_counts = counts if active else None
+            link.last_alive_at = now
+            link.send_frame(frames[variant], msg.Alive)
+
+    def _alive_message(
         self,
         counts: dict[str, int] | None = None,
         handled: list[tuple[str, str]] | None = None,
-        before: dict[str, int] | None = None,
+        previous: dict[str, int] | None = None,
         *,
         subscribes: bool,
     ) -> msg.Alive:
-        """Return a sign of life; `before` is what was told last, None for nothing."""
+        """Return a sign of life.
+
+        Parameters
+        ----------
+        counts : dict of str to int, optional
+            Requests in flight by server id.
+        handled : list of (str, str), optional
+            Servers and the objects that they have handled since the last message.
+        previous : dict of str to int or None
+            The counts that were sent last; None if all counts are to be sent.
+        subscribes : bool
+            Whether this host wants updates from the receiver.
+        """
         counts = counts or {}
         roster = self._gateway.roster
         replica = self._gateway.steering.replica
@@ -110,75 +145,90 @@
             roster.store_unreachable,
             subscribes,
             [replica.as_of(kind) for kind in Kind],
-            list(changed_counts(counts, before or {})),
+            list(changed_counts(counts, previous or {})),
             handled or [],
-            before is None,
+            previous is None,
         )
 
-    def _hosts_for(self, receiver: str, told_all: frozenset[str]) -> msg.KnownHosts:
-        """Return the message that tells another host who lives."""
+    def _known_hosts_message(
+        self, receiver: str, full_view: frozenset[str]
+    ) -> msg.KnownHosts:
+        """Return the message that names the hosts that are alive.
+
+        Parameters
+        ----------
+        receiver : str
+            Id of the host that gets the message.
+        full_view : frozenset of str
+            Active hosts that get all hosts from which this one receives messages.
+        """
         roster = self._gateway.roster
         entries = roster.entries
-        stands_by = receiver not in roster.active
-        infos = hosts_to_advertise(roster, receiver, self._gateway.now(), told_all)
+        is_standby = receiver not in roster.active
+        infos = hosts_to_advertise(roster, receiver, self._gateway.now(), full_view)
         starting = [
             info.host_id
             for info in infos
             if info.host_id in entries and entries[info.host_id].starting
         ]
-        if stands_by and roster.is_active and roster.starting:
+        if is_standby and roster.is_active and roster.starting:
             starting.append(roster.own.host_id)
         fields = [member_fields(info) for info in infos]
-        return msg.KnownHosts(stands_by, fields, starting)
+        return msg.KnownHosts(is_standby, fields, starting)
 
-    def tell_hosts(self) -> None:
-        """Tell each host that needs it who lives, when that has changed."""
+    def send_known_hosts(self) -> None:
+        """Send the hosts that are alive to each host whose message has changed."""
         active = self._gateway.roster.active
-        told_all = full_view_peers(self._gateway.roster)
-        told: dict[tuple[bool, bool], msg.KnownHosts] = {}
+        full_view = full_view_peers(self._gateway.roster)
+        messages: dict[tuple[bool, bool], msg.KnownHosts] = {}
         frames: dict[tuple[bool, bool], bytes] = {}
         for host_id, link in self._links.items():
-            form = (host_id in active, host_id in told_all)
-            if form not in told:
-                told[form] = self._hosts_for(host_id, told_all)
-            if told[form] == link.told_hosts:
+            variant = (host_id in active, host_id in full_view)
+            if variant not in messages:
+                messages[variant] = self._known_hosts_message(host_id, full_view)
+            if messages[variant] == link.last_known_hosts:
                 continue
-            link.told_hosts = told[form]
-            if form not in frames:
-                frames[form] = encode(told[form])
-            link.send_frame(frames[form], msg.KnownHosts)
+            link.last_known_hosts = messages[variant]
+            if variant not in frames:
+                frames[variant] = encode(messages[variant])
+            link.send_frame(frames[variant], msg.KnownHosts)
 
-    def tell_news(self) -> None:
-        """Tell each host what it does not know yet of servers that ended.
+    def send_gossip(self) -> None:
+        """Send each host the crashes and answered requests that are new to it.
 
-        Each piece is encoded once for all streams, and only what is new is looked at:
-        with hundreds of streams an end would hold the loop for many milliseconds.
+        Each item is encoded once for all streams, and only new items are examined.
+        Otherwise one crash would block the event loop for many milliseconds on a host
+        with hundreds of streams.
         """
-        news = self._gateway.crashes.news
+        gossip = self._gateway.crashes.gossip
         frames: dict[int, tuple[bytes, type[msg.Message]]] = {}
         for host_id, link in self._links.items():
             active = host_id in self._gateway.roster.active
-            if link.told_as_active != active:
-                # Whoever told it the news so far may have stopped in this moment.
-                link.told_as_active = active
-                link.told_news = None
-            if link.told_news != news.newest:
-                for piece in self._pieces_for(host_id, link):
-                    if piece.sequence not in frames:
-                        frames[piece.sequence] = self._news_frame(piece)
-                    link.send_frame(*frames[piece.sequence])
-                link.told_news = news.newest
-
-    def tell_signals(self) -> None:
-        """Tell each host what this one has heard servers say, when it is new."""
+            if link.gossip_as_active != active:
+                # Hosts that have sent items to this host so far may just have stopped,
+                # so it gets all items from the beginning.
+                link.gossip_as_active = active
+                link.last_gossip = None
+            if link.last_gossip != gossip.newest:
+                for item in self._gossip_for(host_id, link):
+                    if item.sequence not in frames:
+                        frames[item.sequence] = self._gossip_frame(item)
+                    link.send_frame(*frames[item.sequence])
+                link.last_gossip = gossip.newest
+
+    def send_signals(self) -> None:
+        """Send the limits and departures that servers have announced to this host.
+
+        A host gets them only when they have changed since they were last sent to it.
+        """
         gate = self._gateway.steering.placement.gate
         if not gate.version:
             return
         frames: list[tuple[bytes, type[msg.Message]]] = []
         for link in self._links.values():
-            if link.told_signals == gate.version:
+            if link.last_signals_version == gate.version:
                 continue
-            link.told_signals = gate.version
+            link.last_signals_version = gate.version
             frames = frames or [
                 (encode(message), type(message))
                 for message in self._signal_messages(gate)
@@ -187,61 +237,70 @@
                 link.send_frame(frame, kind)
 
     def _signal_messages(self, gate: SendGate) -> Iterator[msg.Message]:
-        """Yield what this host has heard known servers say."""
+        """Yield the messages with what known servers have announced to this host."""
         known = self._gateway.steering.placement.known.servers
         yield from signal_messages(gate, known.keys(), self._gateway.now())
 
-    def _pieces_for(self, host_id: str, link: Link) -> Iterator[GossipItem]:
+    def _gossip_for(self, host_id: str, link: Link) -> Iterator[GossipItem]:
         active = self._gateway.roster.active
-        fresh = link.told_news is None
-        for piece in self._gateway.crashes.news.since(link.told_news):
-            if should_pass_on(piece, host_id, active, fresh=fresh):
-                yield piece
+        fresh = link.last_gossip is None
+        for item in self._gateway.crashes.gossip.since(link.last_gossip):
+            if should_pass_on(item, host_id, active, fresh=fresh):
+                yield item
 
-    def _news_frame(self, piece: GossipItem) -> tuple[bytes, type[msg.Message]]:
-        message = news_message(piece, self._gateway.crashes.ledger)
+    def _gossip_frame(self, item: GossipItem) -> tuple[bytes, type[msg.Message]]:
+        message = gossip_message(item, self._gateway.crashes.ledger)
         return encode(message), type(message)
 
 
 def changed_counts(
-    counts: dict[str, int], before: dict[str, int]
+    counts: dict[str, int], previous: dict[str, int]
 ) -> Iterator[tuple[str, int]]:
-    """Yield the servers whose count has changed, and the count."""
+    """Yield the id and the new count of each server whose count has changed."""
     for server_id, count in counts.items():
-        if before.get(server_id) != count:
+        if previous.get(server_id) != count:
             yield server_id, count
-    for server_id in before.keys() - counts.keys():
+    for server_id in previous.keys() - counts.keys():
         yield server_id, 0
 
 
 def signal_messages(
     gate: SendGate, known: Container[str], now: float
 ) -> Iterator[msg.Message]:
-    """Yield the messages that tell what a host has heard servers say.
+    """Yield the messages with what servers have announced to a host itself.
+
+    Departures are sent only for servers that are still in `known`: hundreds of servers
+    leave each day, and a server that is already gone need not be announced.
 
-    Of those that leave only `known` ones are told: hundreds do so each day, and who is
-    gone needs no word.
+    Parameters
+    ----------
+    gate : SendGate
+        Holds the signals of servers.
+    known : container of str
+        Ids of the servers in the store.
+    now : float
+        Monotonic time in seconds.
     """
-    words = gate.departures.own_observations()
-    leaving = [server for server in words if server[0] in known]
-    for part in _in_parts(leaving):
-        yield msg.ServersLeaving(part)
+    departures = gate.departures.own_observations()
+    leaving = [server for server in departures if server[0] in known]
+    for batch in _batches(leaving):
+        yield msg.ServersLeaving(batch)
     items = [
         (*server, -1.0 if limit.rate is None else limit.rate, max(0.0, now - limit.at))
         for server, limit in gate.rates.own_observations()
     ]
-    for part in _in_parts(items):
-        yield msg.ServerLimits(part)
+    for batch in _batches(items):
+        yield msg.ServerLimits(batch)
 
 
-def _in_parts(items: list[T]) -> Iterator[list[T]]:
+def _batches(items: list[T]) -> Iterator[list[T]]:
     for first in range(0, len(items), msg.MAX_SERVERS_PER_MESSAGE):
         yield items[first : first + msg.MAX_SERVERS_PER_MESSAGE]
 
 
-def news_message(piece: GossipItem, ledger: CrashLedger) -> msg.Message:
-    """Return the message that tells a piece of news."""
-    if piece.answered:
-        return msg.RequestAnswered(piece.answered)
-    requests = sorted(ledger.crash_requests(piece.crashed))
-    return msg.ServerEnded(*piece.crashed, requests[: msg.MAX_REQUESTS_PER_MESSAGE])
+def gossip_message(item: GossipItem, ledger: CrashLedger) -> msg.Message:
+    """Return the message that carries an item of crash gossip."""
+    if item.answered:
+        return msg.RequestAnswered(item.answered)
+    requests = sorted(ledger.crash_requests(item.crashed))
+    return msg.ServerEnded(*item.crashed, requests[: msg.MAX_REQUESTS_PER_MESSAGE])
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -1,4 +1,8 @@
-"""Streams to other entry hosts: which are kept, and what is told on them."""
+"""Keeps the links to other entry hosts and sends updates on them.
+
+Links are kept to the hosts from which this host wants updates and to the hosts that
+have subscribed to its updates.
+"""
 
 import asyncio
 
@@ -17,33 +21,36 @@
 from ..core.replica import Update
 from ..wire import encode
 from .context import Gateway
-from .gossip_receiver import QUIET_S, GossipReceiver
+from .gossip_receiver import SILENCE_TIMEOUT_S, GossipReceiver
 from .gossip_sender import GossipSender
-from .link import CONNECT_S, REDIAL_S, Link
+from .link import CONNECT_TIMEOUT_S, REDIAL_DELAY_S, Link
 from .store_messages import changes_message
 
-# How often the links are reviewed when nothing was heard that changes them, in seconds.
-REVIEW_S = 0.1
-# Time between two reviews while hosts come and go, in seconds: at once for people. With
-# more links than `REVIEW_LINKS` a review takes longer, and they are as much rarer.
-REVIEW_APART_S = 0.01
+# How often the links are reviewed when no message has changed the known hosts, in
+# seconds.
+REVIEW_INTERVAL_S = 0.1
+# Least time between two reviews while hosts come and go, in seconds; too short for
+# people to notice. With more links than `REVIEW_LINKS` a review takes longer, so this
+# time grows in proportion to the number of links.
+MIN_REVIEW_INTERVAL_S = 0.01
 REVIEW_LINKS = 20
-# A link that nothing needs any more is kept for so long, in seconds: reasons come and
-# go while hosts start.
-KEEP_S = 2.0
-# Hosts that may pass on what one of them has from the store: the host that follows it
-# tells active ones, these others beside them, and all of them those that stand by. One
-# more covers hosts that do not agree yet on who is active.
-HOPS_MOST = 3
+# How long a link is kept after it was last needed, in seconds: while hosts start, the
+# reasons for a link come and go.
+UNUSED_LINK_KEPT_S = 2.0
+# How many times a change of the store may be forwarded: the host that watches the store
+# sends it to active hosts, these forward it to the hosts beside them on the ring, and
+# all of them forward it to standby hosts. One more hop covers hosts that do not agree
+# yet on which hosts are active.
+MAX_HOPS = 3
 
 
 class Peers:
-    """Links to the hosts that this one speaks to, and the listener for theirs.
+    """Links to the hosts that get messages from this one, and the listener for theirs.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        Shared state of this host.
     """
 
     __slots__ = ("_gossip_receiver", "_links", "_gossip_sender", "gateway")
@@ -51,57 +58,61 @@
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
         self._links: dict[str, Link] = {}
-        self._gossip_receiver = GossipReceiver(gateway, self.send_to, self._pass_on)
+        self._gossip_receiver = GossipReceiver(gateway, self.send_to, self._forward)
         self._gossip_sender = GossipSender(gateway, self._links)
 
-    # Telling
-
     def publish(self, update: Update) -> None:
-        """Tell other hosts of an update from the store."""
+        """Send an update that this host has read from the store to other hosts."""
         frame = encode(changes_message(update, fresh=True))
         roster = self.gateway.roster
-        told = first_hops(roster, self.gateway.now())
+        receivers = first_hops(roster, self.gateway.now())
         for host_id, link in self._links.items():
-            if host_id in told or host_id not in roster.active:
+            if host_id in receivers or host_id not in roster.active:
                 link.send_frame(frame, msg.StoreChanges)
 
-    def _pass_on(self, info: HostInfo, message: msg.StoreChanges) -> None:
-        """Tell the hosts that depend on this one what another has from the store."""
-        if message.hops >= HOPS_MOST:
+    def _forward(self, info: HostInfo, message: msg.StoreChanges) -> None:
+        """Forward a change of the store to the hosts that depend on this one for it.
+
+        Parameters
+        ----------
+        info : HostInfo
+            The host that has sent the change.
+        message : StoreChanges
+            The change as it was received.
+        """
+        if message.hops >= MAX_HOPS:
             return
         roster = self.gateway.roster
-        # Only the host that follows the store tells of what passed through nobody.
-        beside = next_hops(roster) if message.hops == 0 else frozenset()
+        # 0 hops: the message comes directly from the host that watches the store.
+        ring_neighbours = next_hops(roster) if message.hops == 0 else frozenset()
         frame = b""
         for host_id, link in self._links.items():
-            needs = host_id in beside or host_id not in roster.active
+            needs = host_id in ring_neighbours or host_id not in roster.active
             if not needs or host_id == info.host_id:
                 continue
             frame = frame or encode(replace(message, hops=message.hops + 1))
             link.send_frame(frame, msg.StoreChanges)
 
     def announce(self) -> None:
-        """Tell all hosts at once whether callers should use this one."""
+        """Send all hosts at once whether callers should use this one."""
         for link in self._links.values():
-            link.told_at = float("-inf")
-        self._gossip_sender.tell_counts()
+            link.last_alive_at = float("-inf")
+        self._gossip_sender.send_alive()
 
-    async def tell(self) -> None:
-        """Tell counts and signs of life until cancelled."""
+    async def send_updates(self) -> None:
+        """Send counts, signs of life and server updates until cancelled."""
         while True:
-            self._gossip_sender.tell_counts()
-            self.tell_news()
+            self._gossip_sender.send_alive()
+            self.send_gossip()
             await asyncio.sleep(counts_interval_s(self.gateway.roster))
 
-    def tell_news(self) -> None:
-        """Tell each host what it does not know yet of servers."""
-        self._gossip_sender.tell_news()
-        self._gossip_sender.tell_signals()
-
-    # Links
+    def send_gossip(self) -> None:
+        """Send each host the crashes and signals of servers that are new to it."""
+        self._gossip_sender.send_gossip()
+        self._gossip_sender.send_signals()
 
     async def run(self) -> None:
-        """Listen, and keep the links that are needed, until cancelled."""
+        """Listen for other hosts and keep the links that are needed until cancelled."""
         cfg = self.gateway.cfg
         host, port = split_address(cfg.peer_listen or cfg.peer)
         server = await asyncio.start_server(
@@ -110,8 +121,8 @@
         try:
             while True:
                 self._review()
-                await asyncio.sleep(self._review_apart_s())
-                await self.gateway.wait_for_hosts(REVIEW_S)
+                await asyncio.sleep(self._min_review_interval_s())
+                await self.gateway.wait_for_hosts(REVIEW_INTERVAL_S)
         finally:
             server.close()
             self._gossip_receiver.close()
@@ -119,13 +130,14 @@
                 link.task.cancel()
             self._links.clear()
 
-    def _review_apart_s(self) -> float:
-        """Return how far apart reviews are at least, in seconds.
+    def _min_review_interval_s(self) -> float:
+        """Return the least time between two reviews, in seconds.
 
-        Failure: a fleet of 100 hosts starts. Each word of one of them had all others
-        reviewed at once, and told again, hundreds of times a second.
+        Guards against this failure: a fleet of 100 hosts starts. Each message from one
+        host makes this host review all others at once and send them its known hosts
+        again, hundreds of times a second.
         """
-        return REVIEW_APART_S * max(1.0, len(self._links) / REVIEW_LINKS)
+        return MIN_REVIEW_INTERVAL_S * max(1.0, len(self._links) / REVIEW_LINKS)
 
     def _review(self) -> None:
         gateway = self.gateway
@@ -139,7 +151,7 @@
                 own=roster.is_active,
             )
         self._keep_links(now)
-        self._gossip_sender.tell_hosts()
+        self._gossip_sender.send_known_hosts()
 
     def _keep_links(self, now: float) -> None:
         entries = self.gateway.roster.entries
@@ -153,14 +165,14 @@
             link = self._links.get(host_id)
             if link is None or link.info != entries[host_id].info:
                 link = self._open(entries[host_id].info)
-            link.needed_at = now
+            link.last_needed_at = now
         for host_id, link in list(self._links.items()):
-            if now - link.needed_at > KEEP_S:
+            if now - link.last_needed_at > UNUSED_LINK_KEPT_S:
                 link.task.cancel()
                 del self._links[host_id]
 
     def _open(self, info: HostInfo) -> Link:
-        """Open a link to a host, in place of one to an earlier address of it."""
+        """Open a link to a host; replaces a link to an earlier address of that host."""
         old = self._links.get(info.host_id)
         if old is not None:
             old.task.cancel()
@@ -169,28 +181,29 @@
         return link
 
     def send_to(self, info: HostInfo, message: msg.Message) -> None:
-        """Send one message to a host."""
+        """Send one message to a host; open a link if there is none."""
         link = self._links.get(info.host_id) or self._open(info)
         link.send(message)
 
-    async def seek(self) -> None:
-        """Say hello to the seeds while no other host is known.
+    async def greet_seeds(self) -> None:
+        """Send `Hello` to the seeds while no other host is known.
 
-        Failure: a host starts while the store is away and cannot read who is there.
-        The seeds learn its address from the hello and tell it of the others.
+        Guards against this failure: a host starts while the store is unavailable and
+        cannot read the list of hosts. The seeds learn its address from the message and
+        send it the other hosts.
         """
         while True:
             if not self.gateway.roster.entries:
                 seeds = [
                     s for s in self.gateway.cfg.seeds if s != self.gateway.cfg.peer
                 ]
-                await asyncio.gather(*(self._greet(seed) for seed in seeds))
-            await asyncio.sleep(2 * REDIAL_S)
+                await asyncio.gather(*(self._greet_seed(seed) for seed in seeds))
+            await asyncio.sleep(2 * REDIAL_DELAY_S)
 
-    async def _greet(self, seed: str) -> None:
+    async def _greet_seed(self, seed: str) -> None:
         host, port = split_address(seed)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(host, port)
         except (OSError, TimeoutError) as exc:
             logs.event("seed-unreachable", "DEBUG", seed=seed, why=repr(exc))
@@ -199,7 +212,7 @@
             for message in self._gossip_sender.greeting(None):
                 writer.write(encode(message))
             await writer.drain()
-            await asyncio.sleep(QUIET_S)
+            await asyncio.sleep(SILENCE_TIMEOUT_S)
         except OSError as exc:
             logs.event("seed-unreachable", "DEBUG", seed=seed, why=repr(exc))
         finally:
--- a/lacewingcross/gateway/quarantine_store.py
+++ b/lacewingcross/gateway/quarantine_store.py
@@ -1,4 +1,4 @@
-"""Keeps quarantined requests in the store, so that they outlive all hosts."""
+"""Keeps quarantined requests in the store, so that they survive a loss of all hosts."""
 
 import asyncio
 
@@ -10,22 +10,24 @@
 from ..platform.store import ObjectStore
 from .context import Gateway
 
-REVIEW_S = 0.1
-# The host that saw the deciding end stores it. When it dies over it, the others step in
-# one after the other, each so much later than the one before, in seconds.
-STEP_IN_EACH_S = 0.5
+# How often quarantines are compared with the store, in seconds.
+REVIEW_INTERVAL_S = 0.1
+# The host that saw the crash that led to a quarantine stores it. If that host dies
+# first, the others step in by rank, each this much later than the one before it, in
+# seconds.
+STEP_IN_DELAY_S = 0.5
 
 
 class QuarantineStore:
-    """Stores what is quarantined and deletes what is not any more.
+    """Stores quarantined requests and deletes those that are no longer quarantined.
 
-    Failure: all hosts lose power while a request is refused. Nobody remembers it, and
-    it ends three servers again before it is refused anew.
+    Guards against this failure: all hosts lose power while a request is refused. No
+    host remembers it, and it crashes three servers again before it is refused again.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        Shared state of this host.
     store : ObjectStore
         Client of the store.
     """
@@ -37,10 +39,10 @@
         self._store = store
 
     async def run(self) -> None:
-        """Review again and again, until cancelled."""
+        """Compare quarantines with the store at intervals until cancelled."""
         backoff = Backoff(self._gateway.steering.rng)
         while True:
-            await asyncio.sleep(REVIEW_S)
+            await asyncio.sleep(REVIEW_INTERVAL_S)
             try:
                 await self._review()
                 backoff.reset()
@@ -49,11 +51,11 @@
                 await backoff.wait()
 
     async def _review(self) -> None:
-        for request, held in self._missing():
-            await self._store.put_quarantine(request, held.servers)
-            logs.event("quarantine-stored", request=request, servers=held.servers)
+        for request, entry in self._to_store():
+            await self._store.put_quarantine(request, entry.servers)
+            logs.event("quarantine-stored", request=request, servers=entry.servers)
         if self._gateway.rank == 0:
-            for request in self._surplus():
+            for request in self._to_delete():
                 await self._store.delete_quarantine(request)
                 logs.event("quarantine-deleted", request=request)
 
@@ -61,26 +63,27 @@
         documents = self._gateway.steering.replica.known(Kind.QUARANTINE)
         return {doc.name for doc in documents}
 
-    def _missing(self) -> list[tuple[str, Quarantine]]:
+    def _to_store(self) -> list[tuple[str, Quarantine]]:
         quarantine = self._gateway.crashes.ledger.quarantine
         if not quarantine:
             return []
         stored = self._stored()
         return [
-            (request, held)
-            for request, held in quarantine.items()
-            if request not in stored and self._my_turn(held)
+            (request, entry)
+            for request, entry in quarantine.items()
+            if request not in stored and self._should_store(entry)
         ]
 
-    def _my_turn(self, held: Quarantine) -> bool:
-        """Tell whether this host has to store a quarantine now."""
-        if held.own:
+    def _should_store(self, entry: Quarantine) -> bool:
+        """Return whether this host has to store a quarantine now."""
+        if entry.own:
             return True
         rank = self._gateway.rank
-        waited_s = self._gateway.now() - held.since
-        return rank is not None and waited_s > (1 + rank) * STEP_IN_EACH_S
+        waited_s = self._gateway.now() - entry.since
+        return rank is not None and waited_s > (1 + rank) * STEP_IN_DELAY_S
 
-    def _surplus(self) -> set[str]:
-        # Read anew: what was stored may have been released during the writes before.
+    def _to_delete(self) -> set[str]:
+        # Read again here, since the writes before take time: a request that was just
+        # stored may have been released meanwhile.
         quarantine = self._gateway.crashes.ledger.quarantine
         return {request for request in self._stored() if request not in quarantine}
--- a/lacewingcross/gateway/store_follower.py
+++ b/lacewingcross/gateway/store_follower.py
@@ -1,4 +1,8 @@
-"""Follows the store: by own watches when it is this host's duty, else by peers."""
+"""Keeps this host's copy of the store and its entry in the list of hosts up to date.
+
+A host reads and watches the store itself only while it is elected to watch it.
+Otherwise it gets all changes from other hosts.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -11,75 +15,78 @@
 from ..platform.store import ObjectStore
 from .context import Gateway
 
-REVIEW_S = 0.1
-# The same at a host that has nothing yet and cannot serve, in seconds.
-EMPTY_REVIEW_S = 0.02
-# The list of hosts is read again at this pace, in seconds, for those whose hello was
-# missed; by active hosts only, who tell the others.
-HOSTS_EVERY_S = 10.0
-# A host that hears no other one reads it sooner, in seconds, but only so many times: it
-# may be the only one.
-LONELY_EVERY_S = 1.0
-LONELY_MOST = 5
+# How often a host that is not elected checks whether it has to watch, in seconds.
+REVIEW_INTERVAL_S = 0.1
+# The same for a host that has no data yet and cannot serve, in seconds.
+EMPTY_REVIEW_INTERVAL_S = 0.02
+# Interval at which active hosts read the list of hosts again, in seconds, to find those
+# whose `Hello` was missed. They send what they find to the standby hosts.
+HOST_LIST_INTERVAL_S = 10.0
+# A host that receives messages from no other host reads the list at this shorter
+# interval, in seconds, but only a limited number of times: it may be the only host.
+ALONE_INTERVAL_S = 1.0
+MAX_ALONE_READS = 5
 
 Publish = Callable[[Update], None]
 
 
 class StoreFollower:
-    """Keeps the replica up to date.
+    """Reads and watches the store while this host is elected to watch it.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        Shared state of this host.
     store : ObjectStore
         Client of the store.
     publish : callable
-        Tells the other hosts of changes between two revisions of a kind.
+        Sends the changes between two revisions of a kind to the other hosts.
     """
 
-    __slots__ = ("_watch_election", "_gateway", "_lost", "_publish", "_store")
+    __slots__ = ("_watch_election", "_gateway", "_unreachable", "_publish", "_store")
 
     def __init__(self, gateway: Gateway, store: ObjectStore, publish: Publish) -> None:
         self._watch_election = gateway.watch_election
         self._gateway = gateway
         self._store = store
         self._publish = publish
-        self._lost = False
+        self._unreachable = False
 
-    def following(self, kind: Kind) -> Callable:
-        """Return the coroutine function that follows one kind."""
+    def watch_loop(self, kind: Kind) -> Callable:
+        """Return the coroutine function that keeps one kind up to date."""
 
-        async def follow() -> None:
-            await self._follow(kind)
+        async def watch() -> None:
+            await self._watch_when_elected(kind)
 
-        return follow
+        return watch
 
-    def _my_duty(self, kind: Kind) -> bool:
-        empty = not self._known(kind) and self._gateway.roster.is_active
+    def _should_watch(self, kind: Kind) -> bool:
+        empty = not self._has_data(kind) and self._gateway.roster.is_active
         now = self._gateway.now()
         return self._watch_election.should_watch(
             kind, self._gateway.rank, now, empty=empty
         )
 
-    def _known(self, kind: Kind) -> bool:
+    def _has_data(self, kind: Kind) -> bool:
         return self._gateway.steering.replica.as_of(kind) > 0
 
-    async def _follow(self, kind: Kind) -> None:
-        """Read a kind and watch it whenever that is this host's duty.
+    async def _watch_when_elected(self, kind: Kind) -> None:
+        """Read a kind and watch it whenever this host is elected to.
 
-        What peers have told is as good as a listing of its own: of 195 hosts that
-        start, one reads the store, not each.
+        A host that has got the objects from its peers watches without reading them
+        first. So when 195 hosts start together, only one of them reads the store.
         """
         backoff = Backoff(self._gateway.steering.rng)
         compacted = False
         wait_s = FIRST_WAIT_S
         while True:
-            known = self._known(kind)
-            if not self._my_duty(kind):
+            known = self._has_data(kind)
+            if not self._should_watch(kind):
                 wait_s = FIRST_WAIT_S
                 compacted = False
-                await asyncio.sleep(REVIEW_S if known else EMPTY_REVIEW_S)
+                await asyncio.sleep(
+                    REVIEW_INTERVAL_S if known else EMPTY_REVIEW_INTERVAL_S
+                )
                 continue
             try:
                 if known and not compacted:
@@ -88,7 +95,7 @@
                 else:
                     await self._list(kind)
                     compacted = False
-                self._regained()
+                self._note_success()
                 backoff.reset()
             except PlatformError as exc:
                 compacted = exc.code == "compacted"
@@ -99,17 +106,17 @@
                 await backoff.wait()
 
     async def _list(self, kind: Kind) -> None:
-        self._take(await self._store.read_all(kind), "listing")
+        self._apply(await self._store.read_all(kind), "listing")
 
     async def _watch(self, kind: Kind, wait_s: float) -> None:
         since = self._gateway.steering.replica.as_of(kind)
-        self._take(await self._store.watch(kind, since, wait_s), "watch")
+        self._apply(await self._store.watch(kind, since, wait_s), "watch")
 
-    def _take(self, update: Update, source: str) -> None:
-        """Take in an update and tell the other hosts all of it.
+    def _apply(self, update: Update, source: str) -> None:
+        """Apply an update of the store and send all of it to the other hosts.
 
-        All, not only what is new here: a host that has less must not count itself as
-        up to date.
+        The update is sent whole and not only what is new on this host: a host that
+        lacks more must not consider itself up to date.
         """
         gateway = self._gateway
         fresh = gateway.take(update)
@@ -119,8 +126,8 @@
     def _note_failure(self, kind: Kind, exc: PlatformError) -> None:
         self._gateway.metrics.count(f"store.{exc.code}")
         self._watch_election.failed(self._gateway.now())
-        if not self._lost:
-            self._lost = True
+        if not self._unreachable:
+            self._unreachable = True
             logs.event(
                 "store-lost",
                 "WARNING",
@@ -130,17 +137,29 @@
                 age_s=self._gateway.steering.store_age(self._gateway.now()),
             )
 
-    def _regained(self) -> None:
+    def _note_success(self) -> None:
         self._watch_election.succeeded()
-        if self._lost:
-            self._lost = False
+        if self._unreachable:
+            self._unreachable = False
             logs.event("store-regained")
 
 
 def log_changes(
     gateway: Gateway, update: Update, fresh: list[Document], source: str
 ) -> None:
-    """Write one line for each change that this host now believes, or cannot read."""
+    """Log each change that this host has applied and each object it cannot read.
+
+    Parameters
+    ----------
+    gateway : Gateway
+        Shared state of this host.
+    update : Update
+        The update that was applied.
+    fresh : list of Document
+        The documents of the update that were new to this host.
+    source : str
+        Where the update came from: ``listing``, ``watch`` or the id of a host.
+    """
     steering = gateway.steering
     while steering.rejected:
         rejected = steering.rejected.pop()
@@ -168,75 +187,84 @@
 
 
 class HostDirectory:
-    """Names this host in the store and finds the others there.
+    """Registers this host in the store and finds the other hosts there.
 
     Parameters
     ----------
     gateway : Gateway
-        What the parts of this host share.
+        Shared state of this host.
     store : ObjectStore
         Client of the store.
     """
 
-    __slots__ = ("_gateway", "_lonely", "_store")
+    __slots__ = ("_gateway", "_alone_reads", "_store")
 
     def __init__(self, gateway: Gateway, store: ObjectStore) -> None:
         self._gateway = gateway
-        self._lonely = 0
+        self._alone_reads = 0
         self._store = store
 
     async def run(self) -> None:
-        """Introduce this host, then read the list again and again."""
-        introduced = False
+        """Register this host, then read the list of hosts at intervals."""
+        registered = False
         backoff = Backoff(self._gateway.steering.rng)
         while True:
             try:
-                if not introduced:
-                    await self._introduce()
-                    introduced = True
+                if not registered:
+                    await self._register()
+                    registered = True
                 elif not self._gateway.roster.has_live_relay(self._gateway.now()):
-                    await self._read_again()
+                    await self._refresh_list()
                 backoff.reset()
                 await asyncio.sleep(self._pause_s())
             except PlatformError as exc:
                 self._gateway.metrics.count(f"store.hosts-{exc.code}")
                 await backoff.wait()
 
-    async def _read_again(self) -> None:
-        if not await self._read(stale=self._in_company()):
-            # The deletion of an earlier run can be done seconds late.
+    async def _refresh_list(self) -> None:
+        if not await self._read_list(stale=self._has_live_peers()):
+            # This host is missing from the list. An earlier run of it requested the
+            # deletion of its entry, and the store may carry that out seconds late.
             await self._store.put_host(self._gateway.roster.own)
 
-    def _in_company(self) -> bool:
+    def _has_live_peers(self) -> bool:
         return len(self._gateway.roster.live(self._gateway.now())) > 1
 
     def _pause_s(self) -> float:
-        """Return when to read the list again, in seconds.
+        """Return the time until the list is read again, in seconds.
 
-        Failure: of hosts that start together, the first find a list in which no active
-        host is yet. They would stand by with nobody to tell them anything.
+        Guards against this failure: of hosts that start together, the first ones read a
+        list that does not contain an active host yet. They would become standby hosts
+        without any host that sends them updates.
         """
-        if self._in_company() or self._lonely >= LONELY_MOST:
-            return HOSTS_EVERY_S
-        self._lonely += 1
-        return LONELY_EVERY_S
-
-    async def _introduce(self) -> None:
-        """Name this host unless it is named already, and find the others.
-
-        The list is read after the name is in it: of two hosts that start together at
-        least one finds the other, and its hello tells the other one. A host that was
-        killed finds its name there; that saves two calls of six when a fleet starts
-        again. When the whole system starts for the first time, nobody is named.
+        if self._has_live_peers() or self._alone_reads >= MAX_ALONE_READS:
+            return HOST_LIST_INTERVAL_S
+        self._alone_reads += 1
+        return ALONE_INTERVAL_S
+
+    async def _register(self) -> None:
+        """Register this host unless it is registered already, and find the others.
+
+        The list is read after this host was added to it: of two hosts that start
+        together, at least one finds the other and sends it a `Hello`. A host that was
+        killed is still in the list when it starts again, and need not be written. That
+        saves two of six calls when a fleet starts again. When the whole system starts
+        for the first time, no host is registered, so the list is not read first.
         """
-        if not self._gateway.cfg.first_start and await self._read(stale=False):
+        if not self._gateway.cfg.first_start and await self._read_list(stale=False):
             self._gateway.roster.was_listed = True
             return
         await self._store.put_host(self._gateway.roster.own)
-        await self._read(stale=False)
+        await self._read_list(stale=False)
 
-    async def _read(self, *, stale: bool) -> bool:
-        """Learn the named hosts; return whether this one is among them as it is."""
+    async def _read_list(self, *, stale: bool) -> bool:
+        """Add the registered hosts to the roster.
+
+        Returns
+        -------
+        registered : bool
+            Whether this host is in the list with its present fields.
+        """
         roster = self._gateway.roster
         now = self._gateway.now()
         infos = await self._store.hosts(stale=stale)
@@ -250,7 +278,7 @@
         return roster.own in infos
 
     async def leave(self) -> None:
-        """Take this host's name away."""
+        """Remove this host from the list."""
         try:
             await self._store.delete_host(self._gateway.roster.own.host_id)
         except PlatformError as exc:
--- a/lacewingcross/platform/answer_signals.py
+++ b/lacewingcross/platform/answer_signals.py
@@ -1,4 +1,4 @@
-"""Decodes what a backend server says of itself in the head of an answer."""
+"""Decodes the signals of a backend server from the head of a response."""
 
 import re
 from collections.abc import Collection
@@ -7,25 +7,28 @@
 from ..core.server_signals import NO_SIGNALS, ServerSignals
 from . import headers as ph
 
-# Longer numbers, before and behind the point, are errors of their sender.
-WHOLE_DIGITS = 9
-FRACTION_DIGITS = 20
-_DECIMAL = re.compile(rf"[0-9]{{1,{WHOLE_DIGITS}}}(\.[0-9]{{0,{FRACTION_DIGITS}}})?")
+# Most digits that are accepted before and after the decimal point. Longer numbers are
+# errors of the server.
+MAX_INTEGER_DIGITS = 9
+MAX_FRACTION_DIGITS = 20
+_DECIMAL = re.compile(
+    rf"[0-9]{{1,{MAX_INTEGER_DIGITS}}}(\.[0-9]{{0,{MAX_FRACTION_DIGITS}}})?"
+)
 
 
 def read_signals(
     status: int, headers: Collection[tuple[bytes, bytes]]
 ) -> ServerSignals:
-    """Return the signals in a head.
+    """Return the signals in the head of a response.
 
     Parameters
     ----------
     status : int
-        Status of the answer.
+        HTTP status of the response.
     headers : collection of (bytes, bytes)
-        Names in lower case, and values.
+        Header names in lower case, and values.
     """
-    found = {name: value for name, value in headers if name in ph.SIGNALS}
+    found = {name: value for name, value in headers if name in ph.SIGNAL_HEADERS}
     if not found:
         return NO_SIGNALS
     rate = None
@@ -35,33 +38,35 @@
         if rate is None:
             unreadable.append("limit")
     leaving = found.get(ph.SERVER_LEAVING, b"0").strip() != b"0"
-    rest_s = 0.0
-    if ph.RETRY_AFTER in found and status in ph.RESTING:
-        rest_s = _rest_s(found[ph.RETRY_AFTER], dict(headers).get(ph.DATE, b""))
-        if rest_s is None:
+    retry_after_s = 0.0
+    if ph.RETRY_AFTER in found and status in ph.BACKOFF_STATUSES:
+        retry_after_s = _retry_after_s(
+            found[ph.RETRY_AFTER], dict(headers).get(ph.DATE, b"")
+        )
+        if retry_after_s is None:
             unreadable.append("rest")
-    return ServerSignals(rate, leaving, rest_s or 0.0, tuple(unreadable))
+    return ServerSignals(rate, leaving, retry_after_s or 0.0, tuple(unreadable))
 
 
-def _rest_s(value: bytes, made_at: bytes) -> float | None:
-    """Return a time from now on in seconds, or None.
+def _retry_after_s(value: bytes, response_date: bytes) -> float | None:
+    """Return the time in a ``Retry-After`` header in seconds, or None if unreadable.
 
-    A date is taken from the one at which the answer was made: this host's own clock may
-    be seconds off.
+    A time that is given as a date is counted from the ``Date`` header of the response,
+    since the clock of this host may be seconds off.
     """
     seconds = _decimal(value)
     if seconds is not None:
         return seconds
     try:
         until = parsedate_to_datetime(value.decode("latin-1"))
-        rest = until - parsedate_to_datetime(made_at.decode("latin-1"))
+        remaining = until - parsedate_to_datetime(response_date.decode("latin-1"))
     except (TypeError, ValueError):
         return None
-    return max(0.0, rest.total_seconds())
+    return max(0.0, remaining.total_seconds())
 
 
 def _decimal(value: bytes) -> float | None:
-    """Return a number of 0 or more, or None."""
+    """Return a number of 0 or more, or None if the value is not a plain decimal."""
     text = value.decode("latin-1").strip()
     if not _DECIMAL.fullmatch(text):
         return None
--- a/tests/test_gossip_sender.py
+++ b/tests/test_gossip_sender.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of requests in flight."""
+"""Counts of requests in flight as hosts send them to each other."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -12,8 +12,8 @@
 
 
 @given(st.lists(COUNTS, max_size=8))
-def test_changes_add_up_to_the_counts(steps):
-    # Whatever a host has in flight from turn to turn, the other one knows the same.
+def test_changed_counts_add_up_to_the_counts_of_the_sender(steps):
+    # After each message the other host must have the same counts as the sender.
     class NoHomes:
         def add(self, server): ...
 
@@ -32,12 +32,12 @@
 
 
 @in_loop
-async def test_another_host_knows_what_is_in_flight_and_when_it_has_ended():
-    async with fleet() as made:
-        made.configure()
-        await made.add_server(answers_at_once)
-        first = await made.ready(await made.add_host())
-        second = await made.ready(await made.add_host(domain="a2"))
+async def test_another_host_gets_counts_in_flight_and_their_return_to_zero():
+    async with fleet() as env:
+        env.configure()
+        await env.add_server(answers_at_once)
+        first = await env.ready(await env.add_host())
+        second = await env.ready(await env.add_host(domain="a2"))
         await until(lambda: len(second.gateway.roster.entries) == 1)
         here = first.gateway.steering.placement.known.servers["i-1"]
         there = second.gateway.steering.placement.known.servers["i-1"]
--- a/tests/test_quotas_gateway.py
+++ b/tests/test_quotas_gateway.py
@@ -12,20 +12,20 @@
     return {"school": {"api_keys": [KEY], "rate_per_s": rate, "burst": burst}}
 
 
-async def hosts_that_know(made, count):
-    """Start hosts and wait until each lends its share and knows the keeper."""
+async def start_hosts_with_shares(env, count):
+    """Start hosts and wait until the shares that they keep add up to the whole."""
     apps = [
-        await made.add_host(domain=("a1", "a2", "b1")[number % 3])
-        for number in range(count)
+        await env.add_host(domain=("a1", "a2", "b1")[index % 3])
+        for index in range(count)
     ]
     for app in apps:
-        await made.ready(app)
+        await env.ready(app)
 
-    def whole():
-        parts = [app.gateway.quotas.keeper.lent_share("school") for app in apps]
-        return abs(sum(parts) - 1.0) < 1e-6
+    def shares_are_whole():
+        shares = [app.gateway.quotas.keeper.lent_share("school") for app in apps]
+        return abs(sum(shares) - 1.0) < 1e-6
 
-    await until(whole)
+    await until(shares_are_whole)
     return apps
 
 
@@ -33,59 +33,59 @@
     """Send requests to all hosts at once; return the responses."""
     return await asyncio.gather(
         *(
-            ask(apps[number % len(apps)], "/safe/a", f"r{number}", extra=bearer(KEY))
-            for number in range(requests)
+            ask(apps[index % len(apps)], "/safe/a", f"r{index}", extra=bearer(KEY))
+            for index in range(requests)
         )
     )
 
 
 @in_loop
-async def test_three_hosts_keep_to_one_quota_and_say_when_to_come_back():
-    async with fleet() as made:
-        made.configure(accounts=accounts(10, 10))
-        server = await made.add_server(answers_at_once)
-        apps = await hosts_that_know(made, 3)
+async def test_three_hosts_keep_to_one_quota_and_send_retry_after():
+    async with fleet() as env:
+        env.configure(accounts=accounts(10, 10))
+        server = await env.add_server(answers_at_once)
+        apps = await start_hosts_with_shares(env, 3)
         responses = await flood(apps, 150)
         refused = [r for r in responses if r.status == 429]
         assert refused
         assert all(float(header(r, "retry-after")) > 0 for r in refused)
         assert len(server.requests) == sum(r.status == 200 for r in responses)
         assert len(server.requests) <= Bounds().quotas.max_per_window(
-            made.apps[0].gateway.steering.table.config.accounts.by_name["school"].quota
+            env.apps[0].gateway.steering.table.config.accounts.by_name["school"].quota
         )
 
 
 @in_loop
-async def test_a_calm_caller_is_never_refused_by_any_host():
-    async with fleet() as made:
-        made.configure(accounts=accounts(50, 50))
-        await made.add_server(answers_at_once, slots=8)
-        apps = await hosts_that_know(made, 3)
-        for number in range(60):
-            app = apps[number % 3]
-            got = await ask(app, "/safe/a", f"r{number}", extra=bearer(KEY))
+async def test_a_caller_below_its_quota_is_never_refused_by_any_host():
+    async with fleet() as env:
+        env.configure(accounts=accounts(50, 50))
+        await env.add_server(answers_at_once, slots=8)
+        apps = await start_hosts_with_shares(env, 3)
+        for index in range(60):
+            app = apps[index % 3]
+            got = await ask(app, "/safe/a", f"r{index}", extra=bearer(KEY))
             assert got.status == 200
             await asyncio.sleep(0.02)
 
 
 @in_loop
 async def test_a_request_that_no_server_could_take_costs_no_credit():
-    # All servers are gone for a while and every caller is refused with 503. When they
-    # are back, the account has all of its credit.
-    async with fleet() as made:
-        made.configure(accounts=accounts(10, 10))
-        (app,) = await hosts_that_know_none(made)
+    # No server is available and every caller is refused with 503. The account must
+    # still have all of its credit when servers return.
+    async with fleet() as env:
+        env.configure(accounts=accounts(10, 10))
+        (app,) = await start_host_without_servers(env)
         before = app.gateway.quotas.keeper.credit("school", app.gateway.times().boot)
-        for number in range(100):
-            got = await ask(app, "/safe/a", f"r{number}", extra=bearer(KEY))
+        for index in range(100):
+            got = await ask(app, "/safe/a", f"r{index}", extra=bearer(KEY))
             assert got.status == 503
         after = app.gateway.quotas.keeper.credit("school", app.gateway.times().boot)
         assert after >= before
 
 
-async def hosts_that_know_none(made):
-    """Start one host of a fleet without servers."""
-    app = await made.add_host()
+async def start_host_without_servers(env):
+    """Start one host without servers; wait until it keeps the whole quota."""
+    app = await env.add_host()
     await until(lambda: app.gateway.steering.table is not None)
     await until(lambda: app.entry.server.listening)
     await until(lambda: app.gateway.quotas.keeper.lent_share("school") == 1.0)
@@ -94,16 +94,16 @@
 
 @in_loop
 async def test_counters_name_a_bounded_number_of_accounts():
-    async with fleet() as made:
+    async with fleet() as env:
         many = {
-            f"account-{number}": {"api_keys": [f"key-{number}"], "rate_per_s": 100}
-            for number in range(130)
+            f"account-{index}": {"api_keys": [f"key-{index}"], "rate_per_s": 100}
+            for index in range(130)
         }
-        made.configure(accounts=many)
-        (app,) = [await made.add_host()]
+        env.configure(accounts=many)
+        (app,) = [await env.add_host()]
         await until(lambda: app.gateway.steering.table is not None)
-        for number in range(130):
-            await app.gateway.quota_admission.admit(f"account-{number}")
+        for index in range(130):
+            await app.gateway.quota_admission.admit(f"account-{index}")
         counters = app.gateway.metrics.counters
         named = [name for name in counters if name.startswith("accounts.")]
         assert len({name.split(".", 2)[2] for name in named}) <= 101
--- a/tests/test_server_fields.py
+++ b/tests/test_server_fields.py
@@ -1,4 +1,4 @@
-"""Each field that a server may tell has a reader and a test that plays it."""
+"""Each field that a server may send has a reader in the code and a test."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 
 
 def fields():
-    """Return the rows of the page's table: field, name in code, reader, test."""
+    """Return the rows of the table on the page: field, name in code, reader, test."""
     table = PAGE.read_text(encoding="utf-8").split("\n\n")[3]
     rows = [line.strip("| ").split(" | ") for line in table.splitlines()[2:]]
     return [(row[0], row[1].strip("`"), row[2].strip("`"), row[4]) for row in rows]
@@ -21,8 +21,13 @@
     assert (ROOT / "tests" / test.strip("` ")).exists()
 
 
-def test_each_field_that_the_folder_names_is_on_the_page():
+def test_each_response_header_in_the_code_is_on_the_page():
     source = (ROOT / "lacewingcross" / "platform" / "headers.py").read_text()
     names = {line.partition(" = ")[0] for line in source.splitlines() if " = b" in line}
-    of_requests = {"AFFINITY_KEY", "REMAINING_MS", "EXPECTED_INCARNATION", "ACCOUNT"}
-    assert names - of_requests == names & {name for _, name, _, _ in fields()}
+    request_headers = {
+        "AFFINITY_KEY",
+        "REMAINING_MS",
+        "EXPECTED_INCARNATION",
+        "ACCOUNT",
+    }
+    assert names - request_headers == names & {name for _, name, _, _ in fields()}
