--- a/lacewingcross/backoff.py
+++ b/lacewingcross/backoff.py
@@ -22,22 +22,22 @@
         Bounds of the pauses, in seconds.
     """
 
-    __slots__ = ("_least_s", "_most_s", "_pause_s", "_rng")
+    __slots__ = ("_max_s", "_min_s", "_pause_s", "_rng")
 
     def __init__(
         self,
         rng: RandomSource,
-        least_s: float = RETRY_MIN_S,
-        most_s: float = RETRY_MAX_S,
+        min_s: float = RETRY_MIN_S,
+        max_s: float = RETRY_MAX_S,
     ) -> None:
         self._rng = rng
-        self._least_s = least_s
-        self._most_s = most_s
-        self._pause_s = least_s
+        self._min_s = min_s
+        self._max_s = max_s
+        self._pause_s = min_s
 
     def reset(self) -> None:
         """Start over after a success."""
-        self._pause_s = self._least_s
+        self._pause_s = self._min_s
 
     async def wait(self) -> None:
         """Sleep for the next pause.
@@ -46,4 +46,4 @@
         to it together.
         """
         await asyncio.sleep(self._rng.uniform(0.5, 1.0) * self._pause_s)
-        self._pause_s = min(self._most_s, self._pause_s * 2)
+        self._pause_s = min(self._max_s, self._pause_s * 2)
--- a/lacewingcross/checks.py
+++ b/lacewingcross/checks.py
@@ -73,8 +73,8 @@
         value = self.raw(field, default)
         if value is default and default is not REQUIRED:
             return value
-        good = isinstance(value, int | float) and not isinstance(value, bool)
-        if not good or not low <= value <= high:
+        valid = isinstance(value, int | float) and not isinstance(value, bool)
+        if not valid or not low <= value <= high:
             raise self.fail(field, f"a number from {low:g} to {high:g}", value)
         return float(value)
 
@@ -85,8 +85,8 @@
         value = self.raw(field, default)
         if value is default and default is not REQUIRED:
             return value
-        good = isinstance(value, int) and not isinstance(value, bool)
-        if not good or not low <= value <= high:
+        valid = isinstance(value, int) and not isinstance(value, bool)
+        if not valid or not low <= value <= high:
             raise self.fail(field, f"a whole number from {low} to {high}", value)
         return value
 
@@ -107,10 +107,10 @@
     def addresses(self, field: str, default: object = REQUIRED) -> list[str]:
         """Return a list of ``ip:port``."""
         value = self.raw(field, default)
-        good = isinstance(value, list) and all(
+        valid = isinstance(value, list) and all(
             isinstance(item, str) and is_address(item) for item in value
         )
-        if not good:
+        if not valid:
             raise self.fail(field, "a list of addresses like 127.0.0.1:8080", value)
         return list(value)
 
--- a/lacewingcross/core/send_gate.py
+++ b/lacewingcross/core/send_gate.py
@@ -20,7 +20,7 @@
         This host.
     """
 
-    __slots__ = ("departures", "rates", "backoffs")
+    __slots__ = ("backoffs", "departures", "rates")
 
     def __init__(self, host_id: str) -> None:
         self.departures = Departures()
--- a/lacewingcross/frame_queue.py
+++ b/lacewingcross/frame_queue.py
@@ -15,16 +15,16 @@
         Frames that may wait; the oldest is dropped for a newer one.
     """
 
-    __slots__ = ("_frames", "_most", "_wake")
+    __slots__ = ("_frames", "_max_frames", "_wake")
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_frames: int) -> None:
         self._frames: deque[bytes] = deque()
-        self._most = most
+        self._max_frames = max_frames
         self._wake = asyncio.Event()
 
     def put(self, frame: bytes) -> bool:
         """Queue a frame; return whether an older one was dropped for it."""
-        full = len(self._frames) >= self._most
+        full = len(self._frames) >= self._max_frames
         if full:
             self._frames.popleft()
         self._frames.append(frame)
@@ -39,10 +39,10 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Write frames as they come, until the other side closes the stream."""
-        gone = asyncio.get_running_loop().create_task(reader.read(1))
-        gone.add_done_callback(lambda _task: self._wake.set())
+        closed = asyncio.get_running_loop().create_task(reader.read(1))
+        closed.add_done_callback(lambda _task: self._wake.set())
         try:
-            while not gone.done():
+            while not closed.done():
                 if not self._frames:
                     self._wake.clear()
                     await self._wake.wait()
@@ -52,5 +52,5 @@
                 writer.write(b"".join(batch))
                 await writer.drain()
         finally:
-            gone.cancel()
-            await asyncio.gather(gone, return_exceptions=True)
+            closed.cancel()
+            await asyncio.gather(closed, return_exceptions=True)
--- a/lacewingcross/gateway/context.py
+++ b/lacewingcross/gateway/context.py
@@ -48,7 +48,6 @@
         "backends",
         "cfg",
         "crashes",
-        "watch_election",
         "incarnation",
         "metrics",
         "quota_admission",
@@ -56,6 +55,7 @@
         "rank",
         "roster",
         "steering",
+        "watch_election",
     )
 
     def __init__(
--- a/lacewingcross/gateway/link.py
+++ b/lacewingcross/gateway/link.py
@@ -50,8 +50,8 @@
         "told_as_active",
         "told_at",
         "told_hosts",
-        "told_signals",
         "told_news",
+        "told_signals",
         "whole_at",
     )
 
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -46,7 +46,7 @@
         What the parts of this host share.
     """
 
-    __slots__ = ("_gossip_receiver", "_links", "_gossip_sender", "gateway")
+    __slots__ = ("_gossip_receiver", "_gossip_sender", "_links", "gateway")
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
--- a/lacewingcross/gateway/store_follower.py
+++ b/lacewingcross/gateway/store_follower.py
@@ -38,7 +38,7 @@
         Tells the other hosts of changes between two revisions of a kind.
     """
 
-    __slots__ = ("_watch_election", "_gateway", "_lost", "_publish", "_store")
+    __slots__ = ("_gateway", "_lost", "_publish", "_store", "_watch_election")
 
     def __init__(self, gateway: Gateway, store: ObjectStore, publish: Publish) -> None:
         self._watch_election = gateway.watch_election
--- a/lacewingcross/greeting.py
+++ b/lacewingcross/greeting.py
@@ -7,7 +7,7 @@
 from .wire import PROTOCOL
 
 # More processor time than any host has; a larger figure is an error of the sender.
-MOST_CORES = 10_000.0
+MAX_CORES = 10_000.0
 
 
 def host_of(hello: msg.Message) -> HostInfo:
@@ -27,7 +27,7 @@
         raise FrameError("bad-hello", "expected names for host, region, domain")
     if not (is_address(hello.entry) and is_address(hello.peer)):
         raise FrameError("bad-hello", "expected addresses like 127.0.0.1:8080")
-    if not 0 < hello.cores < MOST_CORES:
+    if not 0 < hello.cores < MAX_CORES:
         raise FrameError("bad-hello", f"expected cores above 0, {hello.cores}")
     return HostInfo(
         hello.host_id,
--- a/lacewingcross/logs.py
+++ b/lacewingcross/logs.py
@@ -43,8 +43,10 @@
     sink: TextIO | Callable[[str], None], level: str, context: dict[str, object]
 ) -> None:
     prefix = "".join(f" {key}={_format_value(val)}" for key, val in context.items())
-    form = "ts={time:YYYY-MM-DDTHH:mm:ss.SSSZZ} level={level}" + prefix + " {message}"
-    logger.add(sink, level=level, format=form, colorize=False, catch=True)
+    line_format = (
+        "ts={time:YYYY-MM-DDTHH:mm:ss.SSSZZ} level={level}" + prefix + " {message}"
+    )
+    logger.add(sink, level=level, format=line_format, colorize=False, catch=True)
 
 
 class BoundedOutput:
@@ -63,20 +65,27 @@
         Lines that may wait: about ten seconds of one busy host.
     """
 
-    __slots__ = ("_descriptor", "_lines", "_most", "_rest", "_scheduled", "dropped")
+    __slots__ = (
+        "_descriptor",
+        "_lines",
+        "_max_lines",
+        "_scheduled",
+        "_unwritten",
+        "dropped",
+    )
 
-    def __init__(self, descriptor: int, most_lines: int = 5000) -> None:
+    def __init__(self, descriptor: int, max_lines: int = 5000) -> None:
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._lines: deque[str] = deque()
-        self._most = most_lines
-        self._rest = b""
+        self._max_lines = max_lines
+        self._unwritten = b""
         self._scheduled = False
         self.dropped = 0
 
     def write(self, line: str) -> None:
         """Take in a line; it is written within `FLUSH_S` if the reader keeps up."""
-        if len(self._lines) >= self._most:
+        if len(self._lines) >= self._max_lines:
             self.dropped += 1
             return
         self._lines.append(line)
@@ -93,26 +102,26 @@
     def _flush_again(self) -> None:
         self._scheduled = False
         self.flush()
-        if self._rest or self._lines:
+        if self._unwritten or self._lines:
             self._scheduled = True
             asyncio.get_running_loop().call_later(FLUSH_S, self._flush_again)
 
     def flush(self) -> None:
         """Write what the descriptor takes now."""
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = self._next_batch()
+        while self._unwritten or self._lines:
+            if not self._unwritten:
+                self._unwritten = self._next_batch()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody reads any more, and there is nowhere left to say so.
-                self.dropped += len(self._lines) + self._rest.count(b"\n")
+                self.dropped += len(self._lines) + self._unwritten.count(b"\n")
                 self._lines.clear()
-                self._rest = b""
+                self._unwritten = b""
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
     def _next_batch(self) -> bytes:
         lines = []
--- a/lacewingcross/settings.py
+++ b/lacewingcross/settings.py
@@ -202,7 +202,7 @@
     """Return settings as the JSON data that their loader reads, defaults left out."""
     default = {item.name: item.default for item in fields(cfg)}
     values = asdict(cfg)
-    given = {
+    changed = {
         name: values[name] for name in values if getattr(cfg, name) != default[name]
     }
-    return json.loads(json.dumps(given))
+    return json.loads(json.dumps(changed))
--- a/lacewingcross/wire.py
+++ b/lacewingcross/wire.py
@@ -17,7 +17,7 @@
 PROTOCOL = 6
 MAX_FRAME = 4 * 1024 * 1024
 MAX_BODY = 16 * 1024 * 1024
-COMPRESS_FROM = 600
+MIN_COMPRESSED_BYTES = 600
 COMPRESS_LEVEL = 1
 COMPRESSED = 1 << 31
 _LENGTH = struct.Struct(">I")
@@ -29,7 +29,7 @@
 def encode(message: msg.Message) -> bytes:
     """Return the frame of `message`, length first."""
     body = _encoder.encode(message)
-    if len(body) < COMPRESS_FROM:
+    if len(body) < MIN_COMPRESSED_BYTES:
         return _LENGTH.pack(len(body)) + body
     packed = zlib.compress(body, COMPRESS_LEVEL)
     return _LENGTH.pack(len(packed) | COMPRESSED) + packed
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -9,7 +9,7 @@
     # Whoever reads our output stops reading. A write that waited would stop the whole
     # process, and with it every request.
     reading, writing = os.pipe()
-    output = BoundedOutput(writing, most_lines=100)
+    output = BoundedOutput(writing, max_lines=100)
     line = "x" * 1000 + "\n"
     for _ in range(1000):
         output.write(line)
