--- a/lacewingcross/http1_client.py
+++ b/lacewingcross/http1_client.py
@@ -54,7 +54,7 @@
 class ClientConnection:
     """One connection to a server; carries one exchange at a time."""
 
-    __slots__ = ("_h11", "_held", "_reader", "_writer", "used_at")
+    __slots__ = ("_h11", "_reader", "_unsent_head", "_writer", "used_at")
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -62,7 +62,7 @@
         self._reader = reader
         self._writer = writer
         self._h11 = h11.Connection(h11.CLIENT)
-        self._held = b""
+        self._unsent_head = b""
         self.used_at = 0.0
 
     @classmethod
@@ -89,7 +89,7 @@
         """Serialize the head of a request; it goes out with what comes next."""
         try:
             event = h11.Request(method=method, target=target, headers=headers)
-            self._held = self._h11.send(event) or b""
+            self._unsent_head = self._h11.send(event) or b""
         except h11.LocalProtocolError as exc:
             raise HttpError("bad-head", sent=False, detail=repr(exc)) from exc
 
@@ -103,15 +103,15 @@
 
     async def _send(self, event: h11.Event) -> None:
         try:
-            data = self._held + (self._h11.send(event) or b"")
-            self._held = b""
+            data = self._unsent_head + (self._h11.send(event) or b"")
+            self._unsent_head = b""
             if data:
                 self._writer.write(data)
                 await self._writer.drain()
         except (OSError, h11.LocalProtocolError) as exc:
             raise HttpError("write-failed", sent=True, detail=repr(exc)) from exc
 
-    async def _next(self) -> h11.Event:
+    async def _next_event(self) -> h11.Event:
         while True:
             try:
                 event = self._h11.next_event()
@@ -124,7 +124,7 @@
     async def read_head(self) -> ResponseHead:
         """Read the head of the response, passing over interim ones."""
         while True:
-            event = await self._next()
+            event = await self._next_event()
             if isinstance(event, h11.Response):
                 return ResponseHead(event.status_code, list(event.headers))
             if not isinstance(event, h11.InformationalResponse):
@@ -133,7 +133,7 @@
     async def read_body(self) -> AsyncIterator[bytes]:
         """Yield the parts of the body; raise HttpError when it is cut short."""
         while True:
-            event = await self._next()
+            event = await self._next_event()
             if isinstance(event, h11.Data):
                 yield bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
@@ -193,7 +193,7 @@
         HttpError
             `sent` tells whether the request may have reached the server.
         """
-        conn = await self._take()
+        conn = await self._acquire()
         try:
             async with asyncio.timeout(timeout_s):
                 response = await self._exchange(conn, method, target, headers, body)
@@ -209,7 +209,7 @@
             conn.close()
         return response
 
-    async def _take(self) -> ClientConnection:
+    async def _acquire(self) -> ClientConnection:
         while self._idle:
             conn = self._idle.pop()
             if not conn.stale():
--- a/lacewingcross/http1_connection.py
+++ b/lacewingcross/http1_connection.py
@@ -13,11 +13,11 @@
 HEAD_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 75.0
 STALL_TIMEOUT_S = 30.0
-DISCARD_S = 5.0
+DISCARD_TIMEOUT_S = 5.0
 HIGH_WATER = 64 * 1024
 LOW_WATER = 16 * 1024
 # Bytes kept of what a caller sends behind a request in work: some fifty requests.
-AHEAD_MOST = 64 * 1024
+MAX_READ_AHEAD_BYTES = 64 * 1024
 
 
 class FastPath(Protocol):
@@ -43,7 +43,7 @@
         """Count a connection; return why it may not stay, or an empty string."""
         ...
 
-    def forget(self, conn: "ServerConnection", client: str) -> None:
+    def unregister(self, conn: "ServerConnection", client: str) -> None:
         """Stop counting a connection."""
         ...
 
@@ -65,12 +65,12 @@
         "_body_size",
         "_client",
         "_discard_until",
-        "_drain",
+        "_drain_waiter",
         "_h11",
-        "_held",
         "_reading_paused",
         "_server",
         "_task",
+        "_unsent_head",
         "exchange",
         "last_progress",
         "lost",
@@ -83,9 +83,9 @@
             h11.SERVER, max_incomplete_event_size=server.max_head
         )
         self._client = ""
-        self._drain: asyncio.Future[None] | None = None
+        self._drain_waiter: asyncio.Future[None] | None = None
         self._reading_paused = False
-        self._held = b""
+        self._unsent_head = b""
         self._discard_until = 0.0
         self._body_size = 0
         self._task: asyncio.Task[None] | None = None
@@ -102,14 +102,14 @@
         transport.set_write_buffer_limits(high=HIGH_WATER, low=LOW_WATER)
         peer = transport.get_extra_info("peername")
         self._client = peer[0] if peer else ""
-        self._touch()
+        self._record_progress()
         reason = self._server.admit(self, self._client)
         if reason:
             self._refuse(503, reason)
 
     def data_received(self, data: bytes) -> None:
         """Answer a known look-up at once; give anything else to h11."""
-        self._touch()
+        self._record_progress()
         fast = self._server.fast_path
         if fast is not None and self._is_idle():
             reply = fast.reply(data)
@@ -132,24 +132,24 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell the exchange that its caller has gone."""
         self.lost = True
-        self._server.forget(self, self._client)
-        if self._drain is not None and not self._drain.done():
-            self._drain.set_result(None)
+        self._server.unregister(self, self._client)
+        if self._drain_waiter is not None and not self._drain_waiter.done():
+            self._drain_waiter.set_result(None)
         if self.exchange is not None:
-            self.exchange.wake()
+            self.exchange.wake_reader()
             if self.exchange.on_gone is not None:
                 self.exchange.on_gone()
 
     def pause_writing(self) -> None:
         """Note that the caller reads more slowly than we write."""
-        self._drain = asyncio.get_running_loop().create_future()
+        self._drain_waiter = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
         """Note that the caller has caught up."""
-        self._touch()
-        if self._drain is not None and not self._drain.done():
-            self._drain.set_result(None)
-        self._drain = None
+        self._record_progress()
+        if self._drain_waiter is not None and not self._drain_waiter.done():
+            self._drain_waiter.set_result(None)
+        self._drain_waiter = None
 
     # Parsing
 
@@ -159,9 +159,9 @@
         except h11.RemoteProtocolError as exc:
             self._protocol_error(exc)
             return
-        self.pull()
+        self.process_events()
 
-    def pull(self) -> None:
+    def process_events(self) -> None:
         """Handle what h11 has parsed so far."""
         while not self.lost:
             if self.exchange is not None and self._body_size >= HIGH_WATER:
@@ -188,7 +188,7 @@
         Failure: a caller sends a second request and leaves. Its leaving shows only to
         those who read; with reading paused the server works on for nobody.
         """
-        if len(self._h11.trailing_data[0]) >= AHEAD_MOST:
+        if len(self._h11.trailing_data[0]) >= MAX_READ_AHEAD_BYTES:
             self._pause_reading()
 
     def _on_event(self, event: h11.Event) -> None:
@@ -248,7 +248,7 @@
             pass
         self.transport.close()
 
-    def invite_body(self) -> None:
+    def send_continue(self) -> None:
         """Tell a caller that waits for it to send its body.
 
         Only when somebody is about to read it: a request that is refused at once is
@@ -268,22 +268,22 @@
         """
         data = self._h11.send(event)
         if isinstance(event, h11.Response):
-            self._held = data
-            asyncio.get_running_loop().call_soon(self._flush)
-        elif data or self._held:
-            held = self._held
-            self._held = b""
-            self.transport.write(held + data)
-
-    def _flush(self) -> None:
-        if self._held and not self.lost:
-            self.transport.write(self._held)
-        self._held = b""
+            self._unsent_head = data
+            asyncio.get_running_loop().call_soon(self._flush_head)
+        elif data or self._unsent_head:
+            unsent_head = self._unsent_head
+            self._unsent_head = b""
+            self.transport.write(unsent_head + data)
+
+    def _flush_head(self) -> None:
+        if self._unsent_head and not self.lost:
+            self.transport.write(self._unsent_head)
+        self._unsent_head = b""
 
     async def drained(self) -> None:
         """Wait until the caller has taken enough of what was written."""
-        if self._drain is not None:
-            await self._drain
+        if self._drain_waiter is not None:
+            await self._drain_waiter
 
     def exchange_done(self, exchange: Exchange) -> None:
         """Go on to the next request, or close when that is not possible."""
@@ -292,16 +292,16 @@
         self.exchange = None
         self._task = None
         self._body_size = 0
-        self._touch()
+        self._record_progress()
         states = (self._h11.our_state, self._h11.their_state)
         if states == (h11.DONE, h11.SEND_BODY):
             # The caller still sends a body that nobody wants. Closing now would reset
             # the connection, and the caller would lose the answer that is on its way
             # to it, such as the proof that nothing ran. So the rest is read and
             # dropped for a while.
-            self._discard_until = self._server.now() + DISCARD_S
+            self._discard_until = self._server.now() + DISCARD_TIMEOUT_S
             self._resume_reading()
-            self.pull()
+            self.process_events()
             return
         if states != (h11.DONE, h11.DONE):
             self.transport.close()
@@ -314,14 +314,14 @@
         if self._server.closing:
             self.transport.close()
             return
-        self.pull()
+        self.process_events()
 
-    def body_taken(self, size: int) -> None:
+    def body_consumed(self, size: int) -> None:
         """Make room for more of the body."""
         self._body_size -= size
         if self._reading_paused and self._body_size < LOW_WATER:
             self._resume_reading()
-            self.pull()
+            self.process_events()
 
     def _pause_reading(self) -> None:
         if not self._reading_paused and not self.lost:
@@ -344,7 +344,7 @@
 
     # Time
 
-    def _touch(self) -> None:
+    def _record_progress(self) -> None:
         self.last_progress = self._server.now()
 
     def sweep(self, now: float) -> None:
@@ -354,24 +354,26 @@
         as a head that never ends or a body without progress. A request that waits
         for its backend server is not a stall: then it is not the caller's turn.
         """
-        quiet = now - self.last_progress
+        idle_s = now - self.last_progress
         if self._discard_until:
             if now > self._discard_until:
                 self.transport.close()
             return
         if self.exchange is None:
-            begun = bool(self._h11.trailing_data[0])
+            head_started = bool(self._h11.trailing_data[0])
             limit = (
-                self._server.head_timeout_s if begun else self._server.idle_timeout_s
+                self._server.head_timeout_s
+                if head_started
+                else self._server.idle_timeout_s
             )
-            if quiet > limit:
-                if begun:
+            if idle_s > limit:
+                if head_started:
                     self._refuse(408, "head-timeout")
                 else:
                     self.transport.close()
             return
         waits_for_body = not self.exchange.body_ended and not self._reading_paused
-        waits_for_reader = self._drain is not None
-        if (waits_for_body or waits_for_reader) and quiet > STALL_TIMEOUT_S:
+        waits_for_reader = self._drain_waiter is not None
+        if (waits_for_body or waits_for_reader) and idle_s > STALL_TIMEOUT_S:
             self._server.on_bad_input("stalled")
             self.abort()
--- a/lacewingcross/http1_exchange.py
+++ b/lacewingcross/http1_exchange.py
@@ -25,21 +25,21 @@
     client: str
 
 
-class Carrier(Protocol):
+class ExchangeConnection(Protocol):
     """The connection that carries an exchange, as far as the exchange needs it."""
 
     exchange: "Exchange | None"
     lost: bool
 
-    def pull(self) -> None:
+    def process_events(self) -> None:
         """Handle what has arrived so far."""
         ...
 
-    def invite_body(self) -> None:
+    def send_continue(self) -> None:
         """Tell a caller that waits for it to send its body."""
         ...
 
-    def body_taken(self, size: int) -> None:
+    def body_consumed(self, size: int) -> None:
         """Make room for more of the body."""
         ...
 
@@ -67,13 +67,21 @@
     call raises `CallerGoneError`, so a late answer cannot reach a later request.
     """
 
-    __slots__ = ("_body", "_conn", "_ended", "_wake", "head", "on_gone", "started")
-
-    def __init__(self, conn: Carrier, head: RequestHead) -> None:
+    __slots__ = (
+        "_body",
+        "_conn",
+        "_ended",
+        "_reader_waiter",
+        "head",
+        "on_gone",
+        "started",
+    )
+
+    def __init__(self, conn: ExchangeConnection, head: RequestHead) -> None:
         self._conn = conn
         self._body: deque[bytes] = deque()
         self._ended = False
-        self._wake: asyncio.Future[None] | None = None
+        self._reader_waiter: asyncio.Future[None] | None = None
         self.head = head
         self.started = False
         self.on_gone: Callable[[], None] | None = None
@@ -96,39 +104,39 @@
                 return b""
             if self.gone:
                 raise CallerGoneError
-            self._conn.invite_body()
-            self._conn.pull()
+            self._conn.send_continue()
+            self._conn.process_events()
             if self._body or self._ended:
                 continue
-            self._wake = asyncio.get_running_loop().create_future()
-            await self._wake
+            self._reader_waiter = asyncio.get_running_loop().create_future()
+            await self._reader_waiter
         data = self._body.popleft()
-        self._conn.body_taken(len(data))
+        self._conn.body_consumed(len(data))
         return data
 
     def feed(self, data: bytes) -> None:
         """Take in a part of the body."""
         self._body.append(data)
-        self.wake()
+        self.wake_reader()
 
     def end_of_body(self) -> None:
         """Note that the body is whole."""
         self._ended = True
-        self.wake()
+        self.wake_reader()
 
     @property
     def body_ended(self) -> bool:
         """Tell whether the whole body has arrived."""
         return self._ended
 
-    def wake(self) -> None:
+    def wake_reader(self) -> None:
         """Let a waiting reader look again."""
-        if self._wake is not None and not self._wake.done():
-            self._wake.set_result(None)
+        if self._reader_waiter is not None and not self._reader_waiter.done():
+            self._reader_waiter.set_result(None)
 
     async def send_head(self, status: int, headers: hd.HeaderList) -> None:
         """Send the head of the response."""
-        self._check()
+        self._require_caller()
         self.started = True
         reason = b""
         self._conn.send(
@@ -137,14 +145,14 @@
 
     async def send_body(self, data: bytes) -> None:
         """Send a part of the response body, waiting while the caller is slow."""
-        self._check()
+        self._require_caller()
         self._conn.send(h11.Data(data=data))
         await self._conn.drained()
-        self._check()
+        self._require_caller()
 
     def finish(self) -> None:
         """End the response; the connection goes on to its next request."""
-        self._check()
+        self._require_caller()
         self._conn.send(h11.EndOfMessage())
         self._conn.exchange_done(self)
 
@@ -161,6 +169,6 @@
         if not self.gone:
             self._conn.abort()
 
-    def _check(self) -> None:
+    def _require_caller(self) -> None:
         if self.gone:
             raise CallerGoneError
--- a/lacewingcross/http1_server.py
+++ b/lacewingcross/http1_server.py
@@ -50,8 +50,8 @@
         on_bad_input: Callable[[str], None] | None = None,
     ) -> None:
         self._handler = handler
-        self._max = max_connections
-        self._max_each = max_connections_each
+        self._max_connections = max_connections
+        self._max_per_client = max_connections_each
         self._by_client: Counter[str] = Counter()
         self._connections: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
@@ -82,13 +82,13 @@
         """Count a connection; return why it may not stay, or an empty string."""
         self._connections.add(conn)
         self._by_client[client] += 1
-        if len(self._connections) > self._max:
+        if len(self._connections) > self._max_connections:
             return "too-many-connections"
-        if self._by_client[client] > self._max_each:
+        if self._by_client[client] > self._max_per_client:
             return "too-many-from-caller"
         return ""
 
-    def forget(self, conn: ServerConnection, client: str) -> None:
+    def unregister(self, conn: ServerConnection, client: str) -> None:
         """Stop counting a connection."""
         self._connections.discard(conn)
         self._by_client[client] -= 1
--- a/lacewingcross/sockets.py
+++ b/lacewingcross/sockets.py
@@ -9,8 +9,8 @@
 # Probes on a connection without traffic: seconds until the first, seconds between, and
 # how many may stay unanswered.
 PROBE_AFTER_S = 2
-PROBE_EVERY_S = 1
-PROBES = 2
+PROBE_INTERVAL_S = 1
+MAX_UNANSWERED_PROBES = 2
 
 
 def watch_silence(transport: asyncio.BaseTransport) -> None:
@@ -24,6 +24,6 @@
         return
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_UNANSWERED_PROBES)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/lacewingcross/tls.py
+++ b/lacewingcross/tls.py
@@ -29,7 +29,7 @@
         With code ``bad-tls`` when a file cannot be used.
     """
 
-    __slots__ = ("_cfg", "_seen", "client", "mutual_server", "open_server")
+    __slots__ = ("_cfg", "_loaded_times", "client", "mutual_server", "open_server")
 
     def __init__(self, cfg: TlsSettings) -> None:
         self._cfg = cfg
@@ -38,7 +38,7 @@
         self.mutual_server = self._context(ssl.PROTOCOL_TLS_SERVER)
         self.mutual_server.verify_mode = ssl.CERT_REQUIRED
         self.open_server = self._context(ssl.PROTOCOL_TLS_SERVER)
-        self._seen = self._stamps()
+        self._loaded_times = self._modification_times()
         self._load()
 
     def _context(self, protocol: int) -> ssl.SSLContext:
@@ -46,7 +46,7 @@
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         return context
 
-    def _stamps(self) -> tuple[int, ...]:
+    def _modification_times(self) -> tuple[int, ...]:
         names = (self._cfg.cert, self._cfg.key, self._cfg.ca)
         try:
             return tuple(Path(name).stat().st_mtime_ns for name in names)
@@ -75,11 +75,11 @@
 
     def reload(self) -> bool:
         """Load the files again if they changed; return whether they did."""
-        stamps = self._stamps()
-        if stamps == self._seen:
+        modification_times = self._modification_times()
+        if modification_times == self._loaded_times:
             return False
         self._load()
-        self._seen = stamps
+        self._loaded_times = modification_times
         logs.event("tls-reloaded", cert=self._cfg.cert)
         return True
 
