--- a/lacewingcross/caller.py
+++ b/lacewingcross/caller.py
@@ -52,7 +52,7 @@
 @dataclass(slots=True)
 class _Route:
     addresses: list[str]
-    until: float
+    expires_at: float
 
 
 class Caller:
@@ -91,7 +91,7 @@
         self._rng = rng or random.Random(self.caller_id)
         self._ssl = ssl
         self._routes: dict[str, _Route] = {}
-        self._avoid: dict[str, float] = {}
+        self._avoid_until: dict[str, float] = {}
         self._idle: dict[str, list[ClientConnection]] = {}
 
     async def lookup(self, service: str) -> list[str]:
@@ -101,19 +101,19 @@
         one is used on, or the seeds: an old answer is better than none.
         """
         route = self._routes.get(service)
-        if route is not None and self._now() < route.until:
+        if route is not None and self._now() < route.expires_at:
             return route.addresses
         known = route.addresses if route else []
         seeds = list(self._seeds)
         self._rng.shuffle(seeds)
         for address in [*known, *seeds]:
-            fresh = await self._ask(address, service)
-            if fresh is not None:
-                self._routes[service] = fresh
-                return fresh.addresses
+            new_route = await self._lookup_at(address, service)
+            if new_route is not None:
+                self._routes[service] = new_route
+                return new_route.addresses
         return known or seeds
 
-    async def _ask(self, address: str, service: str) -> _Route | None:
+    async def _lookup_at(self, address: str, service: str) -> _Route | None:
         query = {"service": service, "caller": self.caller_id}
         if self._address:
             query["address"] = self._address
@@ -173,7 +173,7 @@
         -------
         answer : Answer
         """
-        trip = _Trip(
+        req = _LogicalRequest(
             method,
             target,
             service,
@@ -186,51 +186,51 @@
         )
         answer = Answer(NOT_RUN, 0, reason="no-host", tries=0)
         for tries in range(1, max_tries + 1):
-            answer = trip.judge(await self._try(trip, tries))
-            if not self._may_try_again(trip, answer):
+            answer = req.combined_outcome(await self._attempt(req, tries))
+            if not self._may_retry(req, answer):
                 return answer
             pause = max(MIN_PAUSE_S, answer.retry_after_s)
-            if self._now() + pause >= trip.deadline:
+            if self._now() + pause >= req.deadline:
                 return answer
             if tries < max_tries:
                 await asyncio.sleep(pause)
         return answer
 
-    def _may_try_again(self, trip: "_Trip", answer: Answer) -> bool:
-        if answer.outcome == ANSWERED or trip.body_consumed:
+    def _may_retry(self, req: "_LogicalRequest", answer: Answer) -> bool:
+        if answer.outcome == ANSWERED or req.body_consumed:
             return False
         if answer.outcome == NOT_RUN:
             return answer.status in (0, 503)
-        return trip.repeatable
+        return req.repeatable
 
-    async def _try(self, trip: "_Trip", tries: int) -> Answer:
-        address = await self._choose(trip.service)
+    async def _attempt(self, req: "_LogicalRequest", tries: int) -> Answer:
+        address = await self._choose_host(req.service)
         if address is None:
             return Answer(NOT_RUN, 0, reason="no-host", tries=tries)
         conn = None
         sent = False
         try:
-            async with asyncio.timeout(max(0.001, trip.deadline - self._now())):
-                conn = await self._connect(address, trip.repeatable)
+            async with asyncio.timeout(max(0.001, req.deadline - self._now())):
+                conn = await self._connect(address, req.repeatable)
                 sent = True
-                answer = await self._exchange(conn, address, trip, tries)
+                answer = await self._exchange(conn, address, req, tries)
         except HttpError as exc:
-            self._avoid[address] = self._now() + HOST_AVOID_S
+            self._avoid_until[address] = self._now() + HOST_AVOID_S
             outcome = UNKNOWN if exc.sent else NOT_RUN
             answer = Answer(outcome, 0, reason=exc.reason, tries=tries)
         except TimeoutError:
             outcome = UNKNOWN if sent else NOT_RUN
             answer = Answer(outcome, 0, reason="deadline", tries=tries)
         if conn is not None:
-            self._put_back(address, conn, answer)
+            self._release(address, conn, answer)
         return answer
 
-    async def _choose(self, service: str) -> str | None:
+    async def _choose_host(self, service: str) -> str | None:
         addresses = await self.lookup(service)
         now = self._now()
-        good = [addr for addr in addresses if self._avoid.get(addr, 0.0) <= now]
-        if good:
-            return good[0]
+        usable = [addr for addr in addresses if self._avoid_until.get(addr, 0.0) <= now]
+        if usable:
+            return usable[0]
         # All hosts of the answer failed lately: look up again next time.
         self._routes.pop(service, None)
         return self._rng.choice(addresses) if addresses else None
@@ -246,17 +246,17 @@
             conn.close()
         return await ClientConnection.open(address, self._ssl)
 
-    def _put_back(self, address: str, conn: ClientConnection, answer: Answer) -> None:
+    def _release(self, address: str, conn: ClientConnection, answer: Answer) -> None:
         if answer.status and conn.reusable():
             self._idle.setdefault(address, []).append(conn)
         else:
             conn.close()
 
     async def _exchange(
-        self, conn: ClientConnection, address: str, trip: "_Trip", tries: int
+        self, conn: ClientConnection, address: str, req: "_LogicalRequest", tries: int
     ) -> Answer:
-        await conn.send_head(trip.method, trip.target, self._fields(address, trip))
-        sender = asyncio.get_running_loop().create_task(trip.send_body(conn))
+        await conn.send_head(req.method, req.target, self._fields(address, req))
+        sender = asyncio.get_running_loop().create_task(req.send_body(conn))
         try:
             head = await conn.read_head()
             parts = [part async for part in conn.read_body()]
@@ -265,36 +265,36 @@
                 sender.cancel()
             await asyncio.gather(sender, return_exceptions=True)
         outcome = hd.find(head.headers, hd.OUTCOME) or ANSWERED
-        wait = hd.milliseconds(head.headers, hd.RETRY_AFTER_MS) or 0.0
+        retry_after_s = hd.milliseconds(head.headers, hd.RETRY_AFTER_MS) or 0.0
         return Answer(
             outcome,
             head.status,
             head.headers,
             b"".join(parts),
             hd.find(head.headers, hd.REASON),
-            wait,
+            retry_after_s,
             tries,
         )
 
-    def _fields(self, address: str, trip: "_Trip") -> hd.HeaderList:
-        remaining = max(1, int((trip.deadline - self._now()) * 1000))
+    def _fields(self, address: str, req: "_LogicalRequest") -> hd.HeaderList:
+        remaining = max(1, int((req.deadline - self._now()) * 1000))
         fields = [
             (b"host", address.encode()),
-            (hd.SERVICE, trip.service.encode()),
-            (hd.REQUEST_ID, trip.request_id.encode()),
+            (hd.SERVICE, req.service.encode()),
+            (hd.REQUEST_ID, req.request_id.encode()),
             (hd.CALLER_ID, self.caller_id.encode()),
             (hd.DEADLINE_MS, str(remaining).encode()),
-            (hd.REPEATABLE, b"yes" if trip.repeatable else b"no"),
-            *trip.headers,
+            (hd.REPEATABLE, b"yes" if req.repeatable else b"no"),
+            *req.headers,
         ]
         if self._address:
             fields.append((hd.CLIENT_ADDRESS, self._address.encode()))
-        if trip.key:
-            fields.append((hd.IDEMPOTENCY_KEY, trip.key.encode()))
-        if not isinstance(trip.body, bytes):
+        if req.key:
+            fields.append((hd.IDEMPOTENCY_KEY, req.key.encode()))
+        if not isinstance(req.body, bytes):
             fields.append((hd.TRANSFER_ENCODING, b"chunked"))
-        elif trip.body or trip.method in ("POST", "PUT", "PATCH"):
-            fields.append((hd.CONTENT_LENGTH, str(len(trip.body)).encode()))
+        elif req.body or req.method in ("POST", "PUT", "PATCH"):
+            fields.append((hd.CONTENT_LENGTH, str(len(req.body)).encode()))
         return fields
 
     def close(self) -> None:
@@ -306,7 +306,7 @@
 
 
 @dataclass(slots=True)
-class _Trip:
+class _LogicalRequest:
     """One logical request over all its tries."""
 
     method: str
@@ -321,7 +321,7 @@
     body_consumed: bool = False
     may_have_run: bool = False
 
-    def judge(self, answer: Answer) -> Answer:
+    def combined_outcome(self, answer: Answer) -> Answer:
         """Return the answer, "not run" only if no earlier try may have run."""
         if answer.outcome == UNKNOWN:
             self.may_have_run = True
--- a/lacewingcross/demo.py
+++ b/lacewingcross/demo.py
@@ -17,7 +17,7 @@
 WORKER_DIVISOR = 3
 SURGE_S = 12.0
 DRAIN_AT_S = 3.0
-DRAINED = "calendar-1"
+DRAINED_SERVER = "calendar-1"
 SHIFT_AT_S = 5.0
 
 
@@ -27,7 +27,7 @@
 
     outcomes: Counter[str] = field(default_factory=Counter)
     reasons: Counter[str] = field(default_factory=Counter)
-    wrong: int = 0
+    crossed: int = 0
     metrics: Metrics = field(default_factory=Metrics)
 
     def add(self, answer: Answer, seconds: float) -> None:
@@ -69,13 +69,13 @@
     ]
     print(f"surge: {CALLERS} callers wake at once")
     await asyncio.sleep(DRAIN_AT_S)
-    drained = await _drain(deployment)
+    drain_seconds = await _drain(deployment)
     await asyncio.sleep(SHIFT_AT_S - DRAIN_AT_S)
     await _shift(deployment)
     await asyncio.sleep(SURGE_S - SHIFT_AT_S)
     stop.set()
     await asyncio.gather(*callers)
-    _report(deployment, tally, drained)
+    _report(deployment, tally, drain_seconds)
 
 
 async def _call(
@@ -120,18 +120,18 @@
             request_id=request_id,
         )
     if answer.outcome == ANSWERED and request_id.encode() not in answer.body:
-        tally.wrong += 1
+        tally.crossed += 1
     tally.add(answer, loop.time() - started)
 
 
 async def _drain(deployment: EmbeddedDeployment) -> float:
     loop = asyncio.get_running_loop()
     started = loop.time()
-    document = Document("Drain", f"server-{DRAINED}", {"server": DRAINED})
+    document = Document("Drain", f"server-{DRAINED_SERVER}", {"server": DRAINED_SERVER})
     await deployment.operator.apply(document)
     await deployment.operator.wait_drained(document.name, 20.0)
     seconds = loop.time() - started
-    print(f"drain of {DRAINED}: idle after {seconds:.2f} s")
+    print(f"drain of {DRAINED_SERVER}: idle after {seconds:.2f} s")
     return seconds
 
 
@@ -150,7 +150,7 @@
     print("shift of calendar towards norte accepted; the cap paces it")
 
 
-def _report(deployment: EmbeddedDeployment, tally: Tally, drained: float) -> None:
+def _report(deployment: EmbeddedDeployment, tally: Tally, drain_seconds: float) -> None:
     ran: Counter[str] = Counter()
     for backend in deployment.backends.values():
         ran.update(item.request_id for item in backend.ledger if item.state == "done")
@@ -172,6 +172,6 @@
     unknown = requests - answered - refused
     print(
         f"requests={requests} answered={answered} refused={refused} "
-        f"unknown={unknown} doubled={doubled} crossed={tally.wrong} "
-        f"drain_s={drained:.2f}"
+        f"unknown={unknown} doubled={doubled} crossed={tally.crossed} "
+        f"drain_s={drain_seconds:.2f}"
     )
--- a/lacewingcross/embedded.py
+++ b/lacewingcross/embedded.py
@@ -28,10 +28,10 @@
     outgoing connection of any process is given it meanwhile. The listener then finds
     its address in use for as long as that connection lasts.
     """
-    number = LAST_PORT - FIRST_PORT
-    start = secrets.randbelow(number)
-    for offset in range(number):
-        port = FIRST_PORT + (start + offset) % number
+    port_count = LAST_PORT - FIRST_PORT
+    start = secrets.randbelow(port_count)
+    for offset in range(port_count):
+        port = FIRST_PORT + (start + offset) % port_count
         with socket.socket() as sock:
             try:
                 sock.bind(("127.0.0.1", port))
--- a/lacewingcross/operations.py
+++ b/lacewingcross/operations.py
@@ -138,7 +138,7 @@
             raise self._conflict(document, stored)
         if stored.spec() == document.spec:
             return Applied(document.key, stored.version, "unchanged")
-        changed = _regrouped(stored.spec(), document)
+        changed = _moved_groups(stored.spec(), document)
         if changed and not regroup:
             raise UserError(
                 "regroup",
@@ -152,7 +152,7 @@
         except PlatformError as exc:
             if exc.code not in ("conflict", "not-found"):
                 raise
-            raise await self._lost_race(document, exc) from exc
+            raise await self._conflict_with_stored(document, exc) from exc
         return Applied(document.key, written.version, "updated")
 
     async def _create(self, document: Document) -> Applied:
@@ -161,10 +161,12 @@
         except PlatformError as exc:
             if exc.code != "conflict":
                 raise
-            raise await self._lost_race(document, exc) from exc
+            raise await self._conflict_with_stored(document, exc) from exc
         return Applied(document.key, written.version, "created")
 
-    async def _lost_race(self, document: Document, exc: PlatformError) -> PlatformError:
+    async def _conflict_with_stored(
+        self, document: Document, exc: PlatformError
+    ) -> PlatformError:
         try:
             stored = await self.platform.get(document.key)
         except PlatformError:
@@ -173,11 +175,13 @@
 
     def _conflict(self, document: Document, stored: StoredObject) -> PlatformError:
         winner = stored.writer() or "another writer"
-        differs = ", ".join(differing_fields(stored.spec(), document.spec)) or "nothing"
+        differing = (
+            ", ".join(differing_fields(stored.spec(), document.spec)) or "nothing"
+        )
         return PlatformError(
             "conflict",
             f"{document.key}: {winner} was first (version {stored.version}); "
-            f"differs in: {differs}; read it again and repeat",
+            f"differs in: {differing}; read it again and repeat",
         )
 
     async def delete(self, kind: str, name: str) -> Applied:
@@ -194,9 +198,11 @@
         result = InForce(version)
         result.live = {info.host_id for info in listing.hosts if info.listed == LIVE}
         for report in reports.objects:
-            for host_id, said in _reported_hosts(report).items():
-                known = result.revisions.get(host_id, -1)
-                result.revisions[host_id] = max(known, int(said.get("revision", -1)))
+            for host_id, host_report in _reported_hosts(report).items():
+                known_revision = result.revisions.get(host_id, -1)
+                result.revisions[host_id] = max(
+                    known_revision, int(host_report.get("revision", -1))
+                )
         return result
 
     async def wait_in_force(self, version: int, timeout_s: float) -> InForce:
@@ -230,31 +236,31 @@
         """
         deadline = self._now() + timeout_s
         while True:
-            left = await self.drain_progress(drain)
-            if left is not None and not any(left.values()):
+            remaining = await self.drain_progress(drain)
+            if remaining is not None and not any(remaining.values()):
                 return
             if self._now() >= deadline:
-                raise UserError("not-drained", f"{drain}: in flight {left}")
+                raise UserError("not-drained", f"{drain}: in flight {remaining}")
             await asyncio.sleep(POLL_S)
 
     async def drain_progress(self, drain: str) -> dict[str, int] | None:
         """Return requests in flight at each leaving server; None if not seen yet."""
         config = await self.config()
-        known = config.drains.get(drain)
-        if known is None:
+        drain_spec = config.drains.get(drain)
+        if drain_spec is None:
             raise UserError("not-found", f"Drain/{drain}: no such resource")
-        in_flight = await self._leaving()
+        in_flight = await self._in_flight_at_leaving_servers()
         wanted = [
             f"{service}/{server_id}"
             for service in config.pools
-            if known.service in ("", service)
+            if drain_spec.service in ("", service)
             for server_id in config.leaving_servers(service)
         ]
         if any(key not in in_flight for key in wanted):
             return None
         return {key: in_flight[key] for key in wanted}
 
-    async def _leaving(self) -> dict[str, int]:
+    async def _in_flight_at_leaving_servers(self) -> dict[str, int]:
         reports = await self.platform.list(REPORT_KIND)
         in_flight: dict[str, int] = {}
         for report in reports.objects:
@@ -298,15 +304,15 @@
         config = await self.config()
         if service not in config.policies:
             raise UserError("not-found", f"SteeringPolicy/{service}: no such resource")
-        number = parse_address(address) if address else None
-        if address and number is None:
+        address_number = parse_address(address) if address else None
+        if address and address_number is None:
             raise UserError("bad-address", f"expected an IPv4 address, got {address!r}")
         caller = caller or address
-        group = config.group_of(service, number)
+        group = config.group_of(service, address_number)
         bucket = bucket_of(service, caller)
         stored_plan = config.plans.get(service)
         region = stored_plan.tables[group][bucket] if stored_plan else None
-        hosts = await self._entry_hosts(config, service, number, caller)
+        hosts = await self._entry_hosts(config, service, address_number, caller)
         return {
             "service": service,
             "address": address,
@@ -321,7 +327,7 @@
         }
 
     async def _entry_hosts(
-        self, config: Config, service: str, number: int | None, caller: str
+        self, config: Config, service: str, address_number: int | None, caller: str
     ) -> list[str]:
         listing = await self.platform.hosts()
         if not listing.hosts:
@@ -334,24 +340,31 @@
             plans[service] = EffectivePlan()
             plans[service].adopt(config.plans[service], config.cap(service), now)
         found = answer(
-            config, members, plans, service, number, caller, random.Random(0), now
+            config,
+            members,
+            plans,
+            service,
+            address_number,
+            caller,
+            random.Random(0),
+            now,
         )
         if isinstance(found, LookupRefusal):
             return []
         return [_host_text(info) for info in found.hosts]
 
 
-def _regrouped(stored: object, document: Document) -> str:
+def _moved_groups(stored: object, document: Document) -> str:
     """Return the client groups whose callers a new policy would move, if any."""
     if document.kind != res.POLICY:
         return ""
-    before, after = _membership(stored), _membership(document.spec)
+    before, after = _group_members(stored), _group_members(document.spec)
     return ", ".join(
         sorted(name for name in before | after if before.get(name) != after.get(name))
     )
 
 
-def _membership(spec: object) -> dict[str, object]:
+def _group_members(spec: object) -> dict[str, object]:
     """Return what decides on the callers of each group: its blocks, its place."""
     groups = spec.get("groups", []) if isinstance(spec, dict) else []
     members = {
--- a/lacewingcross/platform_client.py
+++ b/lacewingcross/platform_client.py
@@ -12,12 +12,12 @@
 
 CALL_TIMEOUT_S = 2.0
 WATCH_WAIT_S = 20.0
-MAX_OBJECT = 1_000_000
+MAX_OBJECT_BYTES = 1_000_000
 WRITE_TRIES = 3
 # Everything that hosts follow is of one kind of the platform's, so that one waiting
 # watch tells of all of it; each watch that waits is paid for.
-FOLLOWED_KIND = "lacewingcross"
-FOLLOWED_SEPARATOR = ":"
+WATCHED_KIND = "lacewingcross"
+WATCHED_SEPARATOR = ":"
 
 
 @dataclass(slots=True, frozen=True)
@@ -83,7 +83,7 @@
 
     async def get(self, key: str) -> StoredObject:
         """Return an object; code ``not-found`` when there is none."""
-        kind, name = _place(key)
+        kind, name = _platform_name(key)
         return _stored(kind, await self._api.get(kind, name))
 
     async def list(self, *kinds: str) -> Listing:
@@ -102,8 +102,8 @@
 
         Only kinds that hosts follow can be watched.
         """
-        found = await self._api.watch(FOLLOWED_KIND, after, wait_s)
-        return _listing(FOLLOWED_KIND, found, kinds)
+        found = await self._api.watch(WATCHED_KIND, after, wait_s)
+        return _listing(WATCHED_KIND, found, kinds)
 
     async def create(self, key: str, spec: object, write_id: str = "") -> StoredObject:
         """Create an object; code ``conflict`` when it exists."""
@@ -117,7 +117,7 @@
 
     async def delete(self, key: str, if_version: int) -> int:
         """Delete an object; return the version of the deletion."""
-        kind, name = _place(key)
+        kind, name = _platform_name(key)
         return await self._api.delete(kind, name, if_version)
 
     async def hosts(self) -> HostListing:
@@ -149,21 +149,21 @@
         write_id = write_id or uuid.uuid4().hex
         value = {"spec": spec, "write_id": write_id, "by": self._writer}
         size = len(encode(value))
-        if size > MAX_OBJECT:
+        if size > MAX_OBJECT_BYTES:
             raise PlatformError("too-large", f"{key}: {size} bytes, at most 1 MB")
-        kind, name = _place(key)
-        lost = False
+        kind, name = _platform_name(key)
+        answer_lost = False
         for _ in range(WRITE_TRIES):
             try:
                 return _stored(kind, await self._put(kind, name, value, if_version))
             except PlatformError as exc:
-                if exc.code == "conflict" and lost:
-                    return await self._own_write(key, write_id, exc)
+                if exc.code == "conflict" and answer_lost:
+                    return await self._resolve_conflict(key, write_id, exc)
                 if exc.code != "unknown-outcome":
                     raise
                 # The same conditional write again cannot take effect twice: if the
                 # first one did, the version has moved on and this one conflicts.
-                lost = True
+                answer_lost = True
         raise PlatformError("unknown-outcome", f"{key}: the store gave no answer")
 
     async def _put(
@@ -173,7 +173,7 @@
             return await self._api.replace(kind, name, value, if_version)
         return await self._api.create(kind, name, value)
 
-    async def _own_write(
+    async def _resolve_conflict(
         self, key: str, write_id: str, conflict: PlatformError
     ) -> StoredObject:
         try:
@@ -189,22 +189,22 @@
         self._api.close()
 
 
-def _place(key: str) -> tuple[str, str]:
+def _platform_name(key: str) -> tuple[str, str]:
     """Return the platform's kind and name of an object."""
     kind, name = split_key(key)
     if kind in CONFIG_KINDS:
-        return FOLLOWED_KIND, f"{kind}{FOLLOWED_SEPARATOR}{name}"
+        return WATCHED_KIND, f"{kind}{WATCHED_SEPARATOR}{name}"
     return kind, name
 
 
 def _platform_kinds(kinds: tuple[str, ...]) -> list[str]:
-    followed = {FOLLOWED_KIND if kind in CONFIG_KINDS else kind for kind in kinds}
-    return sorted(followed)
+    watched = {WATCHED_KIND if kind in CONFIG_KINDS else kind for kind in kinds}
+    return sorted(watched)
 
 
 def _key(kind: str, name: str) -> str:
-    if kind == FOLLOWED_KIND:
-        return object_key(*name.split(FOLLOWED_SEPARATOR, 1))
+    if kind == WATCHED_KIND:
+        return object_key(*name.split(WATCHED_SEPARATOR, 1))
     return object_key(kind, name)
 
 
@@ -214,5 +214,5 @@
 
 def _listing(kind: str, found: ApiObjects, wanted: tuple[str, ...]) -> Listing:
     objects = [_stored(kind, item) for item in found.items]
-    chosen = [item for item in objects if split_key(item.key)[0] in wanted]
-    return Listing(found.as_of, chosen)
+    wanted_objects = [item for item in objects if split_key(item.key)[0] in wanted]
+    return Listing(found.as_of, wanted_objects)
--- a/lacewingcross/report.py
+++ b/lacewingcross/report.py
@@ -65,11 +65,11 @@
         raise UserError("bad-result", "expected an object of cases")
     cases = {key: val for key, val in data.items() if key != "configuration"}
     for key, versions in cases.items():
-        good = isinstance(versions, dict) and all(
+        valid = isinstance(versions, dict) and all(
             isinstance(figures, dict) and "goodput" in figures
             for figures in versions.values()
         )
-        if not good:
+        if not valid:
             raise UserError("bad-result", f"{key}: expected figures for each version")
     return cases
 
@@ -85,12 +85,14 @@
     head = "".join(f"<th>{title}</th>" for _, title in FIGURES)
     lines = [f"<h2>Figures</h2><table><tr><th>case</th><th>version</th>{head}</tr>"]
     for key, version, figures in _rows(cases):
-        cells = "".join(f"<td>{_number(figures.get(name))}</td>" for name, _ in FIGURES)
+        cells = "".join(
+            f"<td>{_format_number(figures.get(name))}</td>" for name, _ in FIGURES
+        )
         lines.append(f"<tr><td>{html.escape(key)}</td><td>{version}</td>{cells}</tr>")
     return "\n".join(lines) + "</table>"
 
 
-def _number(value: object) -> str:
+def _format_number(value: object) -> str:
     return f"{value:.4g}" if isinstance(value, int | float) else "-"
 
 
@@ -158,8 +160,8 @@
     width = 0.4
     for offset, version in enumerate(VERSIONS):
         values = [cases[key].get(version, {}).get("goodput", 0.0) for key in cases]
-        places = [index + offset * width for index in range(len(cases))]
-        axes.bar(places, values, width, label=version)
+        positions = [index + offset * width for index in range(len(cases))]
+        axes.bar(positions, values, width, label=version)
     axes.set_xticks([index + width / 2 for index in range(len(cases))], list(cases))
     axes.tick_params(labelsize=7)
 
