--- a/lacewingcross/gateway/backend_connection.py
+++ b/lacewingcross/gateway/backend_connection.py
@@ -9,7 +9,7 @@
 from ..checks import split_address
 from ..http1_client import HttpError, ResponseHead
 from ..platform import headers as ph
-from ..sockets import watch_silence
+from ..sockets import set_silence_timeout
 
 MAX_HEAD = 64 * 1024
 # Idle time that a server grants when it names none, in seconds; short, since a server
@@ -75,7 +75,7 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Set the socket's options."""
         self.transport = transport
-        watch_silence(transport)
+        set_silence_timeout(transport)
 
     def data_received(self, data: bytes) -> None:
         """Take in a part of the answer."""
--- a/lacewingcross/gateway/gossip_receiver.py
+++ b/lacewingcross/gateway/gossip_receiver.py
@@ -11,7 +11,7 @@
 from ..core.roster import ALIVE_EVERY_S, PeerView
 from ..errors import FrameError
 from ..greeting import host_of
-from ..sockets import watch_silence
+from ..sockets import set_silence_timeout
 from ..wire import read_message
 from .context import Gateway
 from .signals import take_told
@@ -61,7 +61,7 @@
     ) -> None:
         """Take what one stream brings until it ends."""
         self._accepted.add(writer)
-        watch_silence(writer.transport)
+        set_silence_timeout(writer.transport)
         try:
             await self._receive(reader)
         except FrameError as exc:
--- a/lacewingcross/gateway/link.py
+++ b/lacewingcross/gateway/link.py
@@ -8,7 +8,7 @@
 from ..core import messages as msg
 from ..core.membership import HostInfo
 from ..frame_queue import FrameQueue
-from ..sockets import watch_silence
+from ..sockets import set_silence_timeout
 from ..wire import encode
 from .context import Gateway
 
@@ -126,7 +126,7 @@
         rtt_s = gateway.steering.placement.expectations.rtt_s
         took_s = gateway.now() - dialled_at
         rtt_s[self.info.region] = min(took_s, rtt_s.get(self.info.region, took_s))
-        watch_silence(writer.transport)
+        set_silence_timeout(writer.transport)
         self._queue.clear()
         self.told = None
         self.told_hosts = None
--- a/lacewingcross/operations.py
+++ b/lacewingcross/operations.py
@@ -285,7 +285,7 @@
         listing = await self.platform.list(*kinds)
         return sorted(listing.objects, key=lambda item: item.key)
 
-    async def follow(self, *kinds: str) -> AsyncIterator[StoredObject]:
+    async def watch_resources(self, *kinds: str) -> AsyncIterator[StoredObject]:
         """Yield the stored objects, then every change."""
         listing = await self.platform.list(*kinds)
         for item in sorted(listing.objects, key=lambda item: item.version):
--- a/lacewingcross/sockets.py
+++ b/lacewingcross/sockets.py
@@ -13,7 +13,7 @@
 MAX_UNANSWERED_PROBES = 2
 
 
-def watch_silence(transport: asyncio.BaseTransport) -> None:
+def set_silence_timeout(transport: asyncio.BaseTransport) -> None:
     """Let the kernel end a connection whose other side has fallen silent.
 
     Failure: a host loses power or is cut off; nothing is reset, and both reads and
