--- a/lacewingcross/caller.py
+++ b/lacewingcross/caller.py
@@ -186,7 +186,7 @@
         )
         answer = Answer(NOT_RUN, 0, reason="no-host", tries=0)
         for tries in range(1, max_tries + 1):
-            answer = req.combined_outcome(await self._attempt(req, tries))
+            answer = req.adjust_outcome(await self._attempt(req, tries))
             if not self._may_retry(req, answer):
                 return answer
             pause = max(MIN_PAUSE_S, answer.retry_after_s)
@@ -321,7 +321,7 @@
     body_consumed: bool = False
     may_have_run: bool = False
 
-    def combined_outcome(self, answer: Answer) -> Answer:
+    def adjust_outcome(self, answer: Answer) -> Answer:
         """Return the answer, "not run" only if no earlier try may have run."""
         if answer.outcome == UNKNOWN:
             self.may_have_run = True
--- a/lacewingcross/checks.py
+++ b/lacewingcross/checks.py
@@ -1,4 +1,4 @@
-"""Typed reading of JSON objects, with errors that name the field and expectation."""
+"""Typed access to JSON objects, with errors that name the field and the expectation."""
 
 import ipaddress
 from collections.abc import Iterator
@@ -9,14 +9,14 @@
 
 
 class Reader:
-    """Take the fields of one JSON object one by one.
+    """Read and check the fields of one JSON object one by one.
 
     Parameters
     ----------
     data : object
-        Decoded JSON; anything but an object is refused.
+        Decoded JSON; anything but an object is rejected with `error`.
     where : str
-        Path shown in errors, such as ``host.json: peers[2]``.
+        Location of the object for error messages, such as ``host.json: peers[2]``.
     error : type of UserError
         Raised when a field is missing, of the wrong type or unknown.
     """
@@ -32,13 +32,13 @@
         self._seen: set[str] = set()
 
     def fail(self, field: str, expected: str, got: object) -> UserError:
-        """Return the error for `field`, saying what was expected."""
+        """Return an error that says what was expected in `field`."""
         path = f"{self.where}.{field}" if field else self.where
         shown = "nothing" if got is REQUIRED else repr(got)[:80]
         return self._error("bad-field", f"{path}: expected {expected}, got {shown}")
 
     def raw(self, field: str, default: object = REQUIRED) -> object:
-        """Return a field as it is; whoever takes it checks it."""
+        """Return a field unchecked; the calling code validates it."""
         self._seen.add(field)
         return self._data.get(field, default)
 
@@ -98,14 +98,14 @@
         return value
 
     def address(self, field: str, default: object = REQUIRED) -> str:
-        """Return ``ip:port`` as it was written."""
+        """Return an ``ip:port`` string unchanged."""
         value = self.text(field, default)
         if value is not default and not is_address(value):
             raise self.fail(field, "an address like 127.0.0.1:8080", value)
         return value
 
     def addresses(self, field: str, default: object = REQUIRED) -> list[str]:
-        """Return a list of ``ip:port``."""
+        """Return a list of ``ip:port`` strings."""
         value = self.raw(field, default)
         valid = isinstance(value, list) and all(
             isinstance(item, str) and is_address(item) for item in value
@@ -149,11 +149,11 @@
             yield Reader(item, f"{self.where}.{field}[{index}]", self._error)
 
     def has(self, field: str) -> bool:
-        """Tell whether the object holds `field`."""
+        """Return whether the object contains `field`."""
         return field in self._data
 
     def finish(self) -> None:
-        """Refuse fields that nobody asked for."""
+        """Raise an error when the object contains a field that was not read."""
         unknown = sorted(str(key) for key in self._data if key not in self._seen)
         if unknown:
             known = ", ".join(sorted(self._seen))
@@ -164,7 +164,11 @@
 
 
 def is_name(value: object) -> bool:
-    """Tell whether `value` is 1 to 120 letters, digits, ``.``, ``_`` or ``-``."""
+    """Return whether `value` is a valid name.
+
+    A name has 1 to 120 ASCII letters, digits, ``.``, ``_`` or ``-`` and does not start
+    with a ``.``.
+    """
     if not isinstance(value, str) or not 0 < len(value) <= 120:
         return False
     if value.startswith("."):
@@ -173,7 +177,7 @@
 
 
 def is_address(value: str) -> bool:
-    """Tell whether `value` is an IP number, a colon and a port."""
+    """Return whether `value` is an IP address, a colon and a port number."""
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -183,6 +187,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the IP number and port of a checked ``ip:port``."""
+    """Return the IP address and port of a validated ``ip:port`` string."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/lacewingcross/clock.py
+++ b/lacewingcross/clock.py
@@ -1,4 +1,4 @@
-"""Clocks, passed in wherever time matters so that tests can drive it."""
+"""Clocks, injected wherever time matters so that tests can control it."""
 
 import time
 from datetime import UTC, datetime
@@ -6,7 +6,7 @@
 
 
 class Clock(Protocol):
-    """Source of time for adapters; the core only ever sees readings of it."""
+    """Source of time for adapters; the core receives only its readings."""
 
     def monotonic(self) -> float:
         """Return seconds on a clock that never goes back."""
@@ -17,7 +17,7 @@
         ...
 
     def wall(self) -> datetime:
-        """Return the time of day, for people to read; no decision rests on it."""
+        """Return the time of day for display; no decision depends on it."""
         ...
 
 
@@ -40,7 +40,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to.
+    """A clock that moves only when `advance` is called.
 
     Parameters
     ----------
--- a/lacewingcross/errors.py
+++ b/lacewingcross/errors.py
@@ -1,8 +1,8 @@
-"""User-facing errors: each has a stable code and a message fit to be shown."""
+"""Errors shown to users, each with a stable code and a readable message."""
 
 
 class UserError(Exception):
-    """An error caused by input, shown to the user as it is.
+    """An error caused by input; its message is shown to the user unchanged.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
 
 
 class AccountError(UserError):
-    """Client accounts that contradict each other."""
+    """The configured client accounts contradict each other."""
 
 
 class FrameError(UserError):
@@ -43,5 +43,5 @@
         ``conflict``, ``not-found``, ``unavailable``, ``unknown-outcome``,
         ``too-large``, ``compacted`` or ``bad-request``.
     message : str
-        What happened.
+        Description of the failure.
     """
--- a/lacewingcross/frame_queue.py
+++ b/lacewingcross/frame_queue.py
@@ -1,4 +1,4 @@
-"""Frames that wait for a stream to another process, and their way out."""
+"""Queue encoded frames for a stream to another process and write them to it."""
 
 import asyncio
 from collections import deque
@@ -12,7 +12,8 @@
     Parameters
     ----------
     most : int
-        Frames that may wait; the oldest is dropped for a newer one.
+        Limit on queued frames. When the queue is full, the oldest frame is dropped to
+        make room for a new one.
     """
 
     __slots__ = ("_frames", "_max_frames", "_wake")
@@ -23,7 +24,7 @@
         self._wake = asyncio.Event()
 
     def put(self, frame: bytes) -> bool:
-        """Queue a frame; return whether an older one was dropped for it."""
+        """Queue a frame; return whether the oldest frame was dropped to make room."""
         full = len(self._frames) >= self._max_frames
         if full:
             self._frames.popleft()
@@ -32,13 +33,13 @@
         return full
 
     def clear(self) -> None:
-        """Drop what waits."""
+        """Drop all queued frames."""
         self._frames.clear()
 
     async def pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Write frames as they come, until the other side closes the stream."""
+        """Write frames as they are queued, until the other side closes the stream."""
         closed = asyncio.get_running_loop().create_task(reader.read(1))
         closed.add_done_callback(lambda _task: self._wake.set())
         try:
--- a/lacewingcross/http1_connection.py
+++ b/lacewingcross/http1_connection.py
@@ -354,7 +354,7 @@
         as a head that never ends or a body without progress. A request that waits
         for its backend server is not a stall: then it is not the caller's turn.
         """
-        idle_s = now - self.last_progress
+        since_progress_s = now - self.last_progress
         if self._discard_until:
             if now > self._discard_until:
                 self.transport.close()
@@ -366,7 +366,7 @@
                 if head_started
                 else self._server.idle_timeout_s
             )
-            if idle_s > limit:
+            if since_progress_s > limit:
                 if head_started:
                     self._refuse(408, "head-timeout")
                 else:
@@ -374,6 +374,6 @@
             return
         waits_for_body = not self.exchange.body_ended and not self._reading_paused
         waits_for_reader = self._drain_waiter is not None
-        if (waits_for_body or waits_for_reader) and idle_s > STALL_TIMEOUT_S:
+        if (waits_for_body or waits_for_reader) and since_progress_s > STALL_TIMEOUT_S:
             self._server.on_bad_input("stalled")
             self.abort()
--- a/lacewingcross/logs.py
+++ b/lacewingcross/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event, never waited for."""
+"""Structured logs: one line of key=value pairs for each event, without blocking."""
 
 import asyncio
 import os
@@ -11,7 +11,7 @@
 from loguru import logger
 
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-# How long lines wait to be written together, in seconds: one system call for many.
+# How long lines are collected before they are written together with one system call.
 FLUSH_S = 0.05
 BATCH_LINES = 500
 _NEEDS_QUOTES = frozenset(' "=\n\t')
@@ -33,7 +33,7 @@
     level : {"DEBUG", "INFO", "WARNING", "ERROR"}
         Lowest level that is written.
     **context : object
-        Pairs added to every line, such as the host's id.
+        Key-value pairs added to every line, such as the id of the host.
     """
     logger.remove()
     _add(sys.stderr, level, context)
@@ -50,19 +50,20 @@
 
 
 class BoundedOutput:
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Write lines to a file descriptor without blocking.
 
-    Failure: the reader of our output stops or is slow; a blocking write then stops
-    the whole process, and with it every request. Lines wait in a bounded queue
-    instead; what does not fit is dropped and counted, and the count is written when
-    there is room.
+    Failure: the process that reads the log output stops or is slow. A blocking write
+    would then stop the whole process and every request in it. Lines are therefore kept
+    in a bounded queue. Lines that do not fit are dropped and counted, and the count is
+    written as soon as there is room.
 
     Parameters
     ----------
     descriptor : int
-        Where to write; made non-blocking.
+        File descriptor to write to; it is set to non-blocking mode.
     most_lines : int, default=5000
-        Lines that may wait: about ten seconds of one busy host.
+        Limit on queued lines; the default holds about ten seconds of output of one
+        busy host.
     """
 
     __slots__ = (
@@ -84,7 +85,7 @@
         self.dropped = 0
 
     def write(self, line: str) -> None:
-        """Take in a line; it is written within `FLUSH_S` if the reader keeps up."""
+        """Queue a line, which is written within `FLUSH_S` if the reader keeps up."""
         if len(self._lines) >= self._max_lines:
             self.dropped += 1
             return
@@ -107,7 +108,7 @@
             asyncio.get_running_loop().call_later(FLUSH_S, self._flush_again)
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write as much as the descriptor accepts without blocking."""
         while self._unwritten or self._lines:
             if not self._unwritten:
                 self._unwritten = self._next_batch()
@@ -116,7 +117,8 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more, and there is nowhere left to say so.
+                # The reader has closed its end, so the lines are lost and the error
+                # cannot be logged either.
                 self.dropped += len(self._lines) + self._unwritten.count(b"\n")
                 self._lines.clear()
                 self._unwritten = b""
@@ -136,7 +138,7 @@
 
 
 def setup_stdout(level: str = "INFO", **context: object) -> BoundedOutput:
-    """Send events at or above `level` to standard output, without waiting for it."""
+    """Send events at or above `level` to standard output, without blocking on it."""
     output = BoundedOutput(sys.stdout.fileno())
     logger.remove()
     _add(output.write, level, context)
@@ -164,7 +166,7 @@
     level : str, default="INFO"
         Level of the line.
     **pairs : object
-        What to say about the event.
+        Key-value pairs that describe the event.
     """
     parts = [f"event={name}"]
     parts.extend(f"{key}={_format_value(val)}" for key, val in pairs.items())
--- a/lacewingcross/settings.py
+++ b/lacewingcross/settings.py
@@ -1,4 +1,4 @@
-"""Settings files: JSON, checked, one for each process."""
+"""Load and check the JSON settings file of each process."""
 
 import json
 from dataclasses import asdict, dataclass, fields
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TlsSettings:
-    """Files for TLS; all empty means plain TCP."""
+    """Paths of the TLS files; all empty means plain TCP."""
 
     cert: str = ""
     key: str = ""
@@ -19,13 +19,13 @@
 
     @property
     def enabled(self) -> bool:
-        """Tell whether TLS is on."""
+        """Return whether TLS is enabled."""
         return bool(self.cert)
 
 
 @dataclass(slots=True, frozen=True)
 class HostSettings:
-    """What one entry host is told at start; all else comes from the platform."""
+    """Settings of one entry host; all other configuration comes from the platform."""
 
     host_id: str
     region: str
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KnownHost:
-    """One entry of the platform stand-in's list of hosts."""
+    """One host in the list that the platform stand-in serves."""
 
     host_id: str
     region: str
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlatformSettings:
-    """Settings of the platform's stand-in."""
+    """Settings of the platform stand-in."""
 
     listen: str
     hosts: tuple[KnownHost, ...]
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendSettings:
-    """Settings of a backend server's stand-in."""
+    """Settings of a backend server stand-in."""
 
     server_id: str
     listen: str
@@ -114,7 +114,7 @@
 
 
 def load_tls(path: str) -> TlsSettings:
-    """Read a file that names certificate, key and CA."""
+    """Read a file with the paths of the certificate, key and CA."""
     return _tls_fields(Reader(read_json(path), path, SettingsError))
 
 
@@ -124,7 +124,7 @@
     Raises
     ------
     SettingsError
-        Names the file, the field and what was expected.
+        The message names the file, the field and what was expected.
     """
     reader = Reader(read_json(path), path, SettingsError)
     cfg = HostSettings(
@@ -161,7 +161,7 @@
 
 
 def load_platform(path: str) -> PlatformSettings:
-    """Read the settings of the platform's stand-in."""
+    """Read the settings of the platform stand-in."""
     reader = Reader(read_json(path), path, SettingsError)
     cfg = PlatformSettings(
         listen=reader.address("listen"),
@@ -175,7 +175,7 @@
 
 
 def load_backend(path: str) -> BackendSettings:
-    """Read the settings of a backend server's stand-in."""
+    """Read the settings of a backend server stand-in."""
     reader = Reader(read_json(path), path, SettingsError)
     cfg = BackendSettings(
         server_id=reader.name("server_id"),
@@ -199,7 +199,7 @@
 def as_data(
     cfg: HostSettings | PlatformSettings | BackendSettings,
 ) -> dict[str, object]:
-    """Return settings as the JSON data that their loader reads, defaults left out."""
+    """Return settings as JSON data for their loader, without default values."""
     default = {item.name: item.default for item in fields(cfg)}
     values = asdict(cfg)
     changed = {
--- a/lacewingcross/wire.py
+++ b/lacewingcross/wire.py
@@ -1,7 +1,8 @@
-"""Frames between our processes: a length, then a msgpack array with a type code.
+"""Encode and decode the frames that Lacewingcross processes exchange.
 
-The highest bit of the length says that the array is compressed: pushes of
-configuration are JSON text and shrink several times.
+A frame is a 4-byte length followed by a msgpack array with a type code. The highest bit
+of the length is set when the array is compressed: configuration pushes are JSON text
+and shrink several times.
 """
 
 import asyncio
@@ -13,7 +14,8 @@
 from .core import messages as msg
 from .errors import FrameError
 
-# Raised when a message changes its shape; hosts refuse streams of another number.
+# Increment it whenever the layout of a message changes. A host refuses a stream whose
+# protocol number differs from its own.
 PROTOCOL = 6
 MAX_FRAME = 4 * 1024 * 1024
 MAX_BODY = 16 * 1024 * 1024
@@ -22,12 +24,13 @@
 COMPRESSED = 1 << 31
 _LENGTH = struct.Struct(">I")
 _encoder = msgspec.msgpack.Encoder()
-# Reads and checks types in one go, many times as fast as field by field in Python.
+# Decodes and type-checks in one pass, many times as fast as checking each field in
+# Python.
 _decoder = msgspec.msgpack.Decoder(msg.Message)
 
 
 def encode(message: msg.Message) -> bytes:
-    """Return the frame of `message`, length first."""
+    """Return `message` as a frame, including its length prefix."""
     body = _encoder.encode(message)
     if len(body) < MIN_COMPRESSED_BYTES:
         return _LENGTH.pack(len(body)) + body
@@ -36,7 +39,7 @@
 
 
 def decode(body: bytes) -> msg.Message:
-    """Return the message in a frame's body.
+    """Return the message in the decompressed body of a frame.
 
     Raises
     ------
@@ -57,35 +60,39 @@
     FrameError
         With code ``frame-too-large`` or ``bad-frame``.
     asyncio.IncompleteReadError
-        The connection ended.
+        When the connection ends before the frame is complete.
     """
     head = await reader.readexactly(_LENGTH.size)
     (word,) = _LENGTH.unpack(head)
     size = word & ~COMPRESSED
     if size > MAX_FRAME:
-        raise FrameError("frame-too-large", f"{size} bytes, at most {MAX_FRAME}")
+        raise FrameError(
+            "frame-too-large", f"{size} bytes exceed the limit of {MAX_FRAME}"
+        )
     body = await reader.readexactly(size)
     return decode(inflate(body) if word & COMPRESSED else body)
 
 
 def inflate(packed: bytes) -> bytes:
-    """Return the decompressed body of a frame, never more than `MAX_BODY` bytes.
+    """Return the decompressed body of a frame, at most `MAX_BODY` bytes.
 
     Raises
     ------
     FrameError
-        With code ``bad-frame`` or, for what would become too large,
-        ``frame-too-large``.
+        With code ``bad-frame`` when the data is invalid or truncated, or
+        ``frame-too-large`` when it would decompress to more than `MAX_BODY` bytes.
     """
     inflater = zlib.decompressobj()
     try:
         body = inflater.decompress(packed, MAX_BODY)
     except zlib.error as exc:
-        raise FrameError("bad-frame", f"not compressed: {exc}") from exc
+        raise FrameError("bad-frame", f"invalid compressed data: {exc}") from exc
     if inflater.unconsumed_tail:
-        raise FrameError("frame-too-large", f"more than {MAX_BODY} bytes")
+        raise FrameError(
+            "frame-too-large", f"decompressed body exceeds {MAX_BODY} bytes"
+        )
     if not inflater.eof:
-        raise FrameError("bad-frame", "compressed data cut short")
+        raise FrameError("bad-frame", "compressed data is truncated")
     return body
 
 
