--- a/lacewingcross/headers.py
+++ b/lacewingcross/headers.py
@@ -1,4 +1,4 @@
-"""Names and values of the HTTP headers that carry the request's frame."""
+"""Names and values of the HTTP headers that carry request and response metadata."""
 
 REQUEST_ID = b"x-request-id"
 DEADLINE_MS = b"x-deadline-ms"
@@ -42,12 +42,13 @@
 
 
 def milliseconds(headers: HeaderList, name: bytes) -> float | None:
-    """Return a header given in milliseconds as seconds, or None.
+    """Return a header with milliseconds as seconds, or None when it is absent.
 
     Raises
     ------
     ValueError
-        When the header is there but is not a positive number.
+        When the header is present but is not a positive whole number of at most 10
+        digits.
     """
     text = find(headers, name)
     if not text:
@@ -58,7 +59,10 @@
 
 
 def without_hop_by_hop(headers: HeaderList) -> HeaderList:
-    """Return the headers that travel from end to end."""
+    """Return the end-to-end headers, which a proxy passes on.
+
+    Left out are `HOP_BY_HOP` headers and those that ``Connection`` names.
+    """
     named = find(headers, b"connection").lower().encode("latin-1")
     listed = {part.strip() for part in named.split(b",")}
     return [
@@ -69,10 +73,10 @@
 
 
 def retry_after(seconds: float) -> HeaderList:
-    """Return the headers that say when to come back.
+    """Return the headers that say when to retry; none when `seconds` is not positive.
 
-    ``Retry-After`` has whole seconds only, rounded up; the milliseconds keep the
-    spread that stops refused callers from returning together.
+    ``Retry-After`` has whole seconds only, rounded up. The header in milliseconds keeps
+    the jitter that prevents refused callers from retrying all at the same moment.
     """
     if seconds <= 0:
         return []
--- a/lacewingcross/http1_client.py
+++ b/lacewingcross/http1_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client connections on h11, and a small pool for whole exchanges."""
+"""HTTP/1.1 client connections based on h11, and a small connection pool."""
 
 import asyncio
 import ssl as ssl_module
@@ -16,16 +16,16 @@
 
 
 class HttpError(Exception):
-    """An exchange failed.
+    """An HTTP exchange failed.
 
     Parameters
     ----------
     reason : str
-        Stable code of what happened.
+        Stable code of the failure.
     sent : bool
-        Whether a byte of the request had been written.
+        Whether some of the request may have been written to the connection.
     detail : str, default=""
-        More for the log.
+        Further description for the log.
     """
 
     def __init__(self, reason: str, *, sent: bool, detail: str = "") -> None:
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """A whole response."""
+    """A complete response."""
 
     status: int
     headers: hd.HeaderList
@@ -52,7 +52,7 @@
 
 
 class ClientConnection:
-    """One connection to a server; carries one exchange at a time."""
+    """One connection to a server, for one exchange at a time."""
 
     __slots__ = ("_h11", "_reader", "_unsent_head", "_writer", "used_at")
 
@@ -72,7 +72,7 @@
         ssl: ssl_module.SSLContext | None = None,
         timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> "ClientConnection":
-        """Connect; raise HttpError with ``sent=False`` when that fails."""
+        """Open a connection; raise `HttpError` with ``sent=False`` when that fails."""
         host, port = split_address(address)
         try:
             async with asyncio.timeout(timeout_s):
@@ -82,11 +82,11 @@
         return cls(reader, writer)
 
     def stale(self) -> bool:
-        """Tell whether the server has closed its side."""
+        """Return whether either side has closed or is closing the connection."""
         return self._reader.at_eof() or self._writer.is_closing()
 
     async def send_head(self, method: str, target: str, headers: hd.HeaderList) -> None:
-        """Serialize the head of a request; it goes out with what comes next."""
+        """Serialize the head of a request; it is written together with what follows."""
         try:
             event = h11.Request(method=method, target=target, headers=headers)
             self._unsent_head = self._h11.send(event) or b""
@@ -94,11 +94,11 @@
             raise HttpError("bad-head", sent=False, detail=repr(exc)) from exc
 
     async def send_body(self, data: bytes) -> None:
-        """Write a part of the body, waiting while the server is slow."""
+        """Write a part of the body, waiting until the server accepts more data."""
         await self._send(h11.Data(data=data))
 
     async def finish(self) -> None:
-        """End the request."""
+        """Send the end of the request."""
         await self._send(h11.EndOfMessage())
 
     async def _send(self, event: h11.Event) -> None:
@@ -122,7 +122,7 @@
                 raise HttpError("read-failed", sent=True, detail=repr(exc)) from exc
 
     async def read_head(self) -> ResponseHead:
-        """Read the head of the response, passing over interim ones."""
+        """Read the head of the final response, skipping informational ones (1xx)."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
@@ -131,7 +131,7 @@
                 raise HttpError("closed-early", sent=True)
 
     async def read_body(self) -> AsyncIterator[bytes]:
-        """Yield the parts of the body; raise HttpError when it is cut short."""
+        """Yield the parts of the body; raise `HttpError` when the body is truncated."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Data):
@@ -142,10 +142,11 @@
                 raise HttpError("cut-short", sent=True)
 
     def reusable(self) -> bool:
-        """Make ready for another exchange; return False when that is impossible.
+        """Prepare for another exchange; return False when that is impossible.
 
-        Only a connection whose request and response are both whole is used again:
-        what is left of an abandoned exchange would answer the next one.
+        Only a connection whose request and response are both complete is reused. After
+        an abandoned exchange, the rest of its response would be read as the response to
+        the next request.
         """
         done = (h11.DONE, h11.DONE)
         if (self._h11.our_state, self._h11.their_state) != done:
@@ -154,21 +155,21 @@
         return not self.stale()
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection at once, discarding unsent data."""
         transport = self._writer.transport
         if transport is not None:
             transport.abort()
 
 
 class HttpClient:
-    """Whole exchanges with one server over a few kept connections.
+    """Complete exchanges with one server over a few pooled connections.
 
     Parameters
     ----------
     address : str
-        ``ip:port``.
+        ``ip:port`` of the server.
     ssl : ssl.SSLContext, optional
-        For TLS.
+        Context for TLS; plain TCP by default.
     """
 
     __slots__ = ("_idle", "_ssl", "address")
@@ -186,12 +187,12 @@
         body: bytes = b"",
         timeout_s: float = 5.0,
     ) -> Response:
-        """Send a request and read the whole response.
+        """Send a request and read the complete response.
 
         Raises
         ------
         HttpError
-            `sent` tells whether the request may have reached the server.
+            Its `sent` says whether the request may have reached the server.
         """
         conn = await self._acquire()
         try:
@@ -237,7 +238,7 @@
         return Response(head.status, head.headers, b"".join(parts))
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         for conn in self._idle:
             conn.close()
         self._idle.clear()
--- a/lacewingcross/http1_connection.py
+++ b/lacewingcross/http1_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection from a caller, parsed by h11, with bounded waits."""
+"""One HTTP/1.1 connection from a caller, parsed by h11, with timeouts."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,20 +16,21 @@
 DISCARD_TIMEOUT_S = 5.0
 HIGH_WATER = 64 * 1024
 LOW_WATER = 16 * 1024
-# Bytes kept of what a caller sends behind a request in work: some fifty requests.
+# Limit on pipelined data that is buffered while an earlier request is being handled:
+# about fifty requests.
 MAX_READ_AHEAD_BYTES = 64 * 1024
 
 
 class FastPath(Protocol):
-    """Answers for byte-identical requests, without parsing them again."""
+    """Responses to byte-identical requests, without parsing the requests again."""
 
     def reply(self, data: bytes) -> bytes | None:
-        """Return the whole response for the bytes of a whole request, or None."""
+        """Return the complete response to a complete request, or None if unknown."""
         ...
 
 
 class Listener(Protocol):
-    """The listener that a connection belongs to, as far as it needs it."""
+    """The part of the listener that its connections use."""
 
     closing: bool
     max_head: int
@@ -40,7 +41,7 @@
     on_bad_input: Callable[[str], None]
 
     def admit(self, conn: "ServerConnection", client: str) -> str:
-        """Count a connection; return why it may not stay, or an empty string."""
+        """Count a connection; return the reason to refuse it, or an empty string."""
         ...
 
     def unregister(self, conn: "ServerConnection", client: str) -> None:
@@ -94,10 +95,8 @@
         self.last_progress = 0.0
         self.lost = False
 
-    # Transport events
-
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Start on a new connection, unless there are too many."""
+        """Register a new connection, or refuse it when there are too many."""
         self.transport = transport
         transport.set_write_buffer_limits(high=HIGH_WATER, low=LOW_WATER)
         peer = transport.get_extra_info("peername")
@@ -108,7 +107,7 @@
             self._refuse(503, reason)
 
     def data_received(self, data: bytes) -> None:
-        """Answer a known look-up at once; give anything else to h11."""
+        """Answer a known look-up at once; pass all other data to h11."""
         self._record_progress()
         fast = self._server.fast_path
         if fast is not None and self._is_idle():
@@ -126,11 +125,11 @@
         )
 
     def eof_received(self) -> bool:
-        """Treat a half-close as the caller's going away."""
+        """Close the connection when the caller closes its sending side."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the exchange that its caller has gone."""
+        """Notify the exchange that the caller has closed the connection."""
         self.lost = True
         self._server.unregister(self, self._client)
         if self._drain_waiter is not None and not self._drain_waiter.done():
@@ -141,18 +140,16 @@
                 self.exchange.on_gone()
 
     def pause_writing(self) -> None:
-        """Note that the caller reads more slowly than we write."""
+        """Let writers wait, since the caller reads more slowly than data is written."""
         self._drain_waiter = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """Note that the caller has caught up."""
+        """Let writers continue, since the caller has read most of the data."""
         self._record_progress()
         if self._drain_waiter is not None and not self._drain_waiter.done():
             self._drain_waiter.set_result(None)
         self._drain_waiter = None
 
-    # Parsing
-
     def _feed(self, data: bytes) -> None:
         try:
             self._h11.receive_data(data)
@@ -162,7 +159,7 @@
         self.process_events()
 
     def process_events(self) -> None:
-        """Handle what h11 has parsed so far."""
+        """Handle the events that h11 has parsed so far."""
         while not self.lost:
             if self.exchange is not None and self._body_size >= HIGH_WATER:
                 self._pause_reading()
@@ -183,10 +180,11 @@
                 return
 
     def _read_ahead(self) -> None:
-        """Read on behind a request in work, up to a bound.
+        """Keep reading while a request is being handled, up to a limit.
 
-        Failure: a caller sends a second request and leaves. Its leaving shows only to
-        those who read; with reading paused the server works on for nobody.
+        Failure: a caller pipelines a second request and then closes the connection. The
+        close is noticed only while reading; with reading paused, the server would keep
+        working on a response that nobody receives.
         """
         if len(self._h11.trailing_data[0]) >= MAX_READ_AHEAD_BYTES:
             self._pause_reading()
@@ -211,8 +209,8 @@
         )
         names = [name for name, _ in head.headers]
         if hd.CONTENT_LENGTH in names and hd.TRANSFER_ENCODING in names:
-            # Two lengths for one body: whoever sits before or behind us may take
-            # the other one, and the rest of the body would pass as a new request.
+            # Request smuggling: a proxy or server on the path may use the other one of
+            # the two lengths and take the rest of the body for a new request.
             self._refuse(400, "ambiguous-length")
             return
         self._body_size = 0
@@ -228,7 +226,7 @@
         self._refuse(status, "head-too-large" if status == 431 else "bad-request")
 
     def _refuse(self, status: int, reason: str) -> None:
-        """Answer with a coded error and close."""
+        """Answer with an error code and close the connection."""
         self._server.on_bad_input(reason)
         body = f'{{"error":"{reason}"}}\n'.encode()
         headers = [
@@ -249,22 +247,20 @@
         self.transport.close()
 
     def send_continue(self) -> None:
-        """Tell a caller that waits for it to send its body.
+        """Send "100 Continue" to a caller that waits for it before it sends its body.
 
-        Only when somebody is about to read it: a request that is refused at once is
-        spared the upload.
+        This is called only when the handler is about to read the body, so that the
+        caller of a request that is refused at once need not upload it.
         """
         if self._h11.they_are_waiting_for_100_continue and not self.lost:
             proceed = h11.InformationalResponse(status_code=100, headers=[])
             self.transport.write(self._h11.send(proceed))
 
-    # Sending
-
     def send(self, event: h11.Event) -> None:
         """Serialize one event of the response.
 
-        A head waits for the end of the loop's turn, so that a body that is already
-        there goes out with it in one write.
+        The head is held back until the event loop runs its next callbacks, so that a
+        body that is already available is sent in the same write.
         """
         data = self._h11.send(event)
         if isinstance(event, h11.Response):
@@ -281,12 +277,12 @@
         self._unsent_head = b""
 
     async def drained(self) -> None:
-        """Wait until the caller has taken enough of what was written."""
+        """Wait until the caller has read enough of the written data."""
         if self._drain_waiter is not None:
             await self._drain_waiter
 
     def exchange_done(self, exchange: Exchange) -> None:
-        """Go on to the next request, or close when that is not possible."""
+        """Continue with the next request, or close when that is not possible."""
         if self.exchange is not exchange:
             return
         self.exchange = None
@@ -295,10 +291,10 @@
         self._record_progress()
         states = (self._h11.our_state, self._h11.their_state)
         if states == (h11.DONE, h11.SEND_BODY):
-            # The caller still sends a body that nobody wants. Closing now would reset
-            # the connection, and the caller would lose the answer that is on its way
-            # to it, such as the proof that nothing ran. So the rest is read and
-            # dropped for a while.
+            # The caller is still sending a body that is not needed. Closing now would
+            # reset the connection, and the caller would lose the response that is on
+            # its way, such as the proof that the request did not run. The rest of the
+            # body is therefore read and discarded for up to `DISCARD_TIMEOUT_S`.
             self._discard_until = self._server.now() + DISCARD_TIMEOUT_S
             self._resume_reading()
             self.process_events()
@@ -317,7 +313,7 @@
         self.process_events()
 
     def body_consumed(self, size: int) -> None:
-        """Make room for more of the body."""
+        """Count `size` bytes of the body as read by the handler; resume reading."""
         self._body_size -= size
         if self._reading_paused and self._body_size < LOW_WATER:
             self._resume_reading()
@@ -334,25 +330,24 @@
             self.transport.resume_reading()
 
     def abort(self) -> None:
-        """Drop the connection."""
+        """Close the connection at once, discarding unsent data."""
         self.transport.abort()
 
     def close_if_idle(self) -> None:
-        """Close a connection that carries no request."""
+        """Close the connection unless a request is in progress."""
         if self.exchange is None and not self.lost:
             self.transport.close()
 
-    # Time
-
     def _record_progress(self) -> None:
         self.last_progress = self._server.now()
 
     def sweep(self, now: float) -> None:
-        """End connections that have stopped moving.
+        """Close the connection when the caller has made no progress for too long.
 
-        A sender that trickles or stalls holds a connection for nothing; it shows
-        as a head that never ends or a body without progress. A request that waits
-        for its backend server is not a stall: then it is not the caller's turn.
+        A caller that sends very slowly or stalls occupies a connection without use. It
+        is recognized by a request head that is never completed or by a body without
+        progress. A request that waits for its backend server is not stalled, since the
+        caller has nothing to send or read at that time.
         """
         since_progress_s = now - self.last_progress
         if self._discard_until:
--- a/lacewingcross/http1_exchange.py
+++ b/lacewingcross/http1_exchange.py
@@ -12,12 +12,12 @@
 
 
 class CallerGoneError(Exception):
-    """The other side closed the connection or stopped moving."""
+    """The caller closed the connection, or it was closed because the caller stalled."""
 
 
 @dataclass(slots=True, frozen=True)
 class RequestHead:
-    """Method, target and headers of a request."""
+    """Method, target and headers of a request, and the address of its client."""
 
     method: str
     target: str
@@ -26,21 +26,21 @@
 
 
 class ExchangeConnection(Protocol):
-    """The connection that carries an exchange, as far as the exchange needs it."""
+    """The part of a connection that its exchange uses."""
 
     exchange: "Exchange | None"
     lost: bool
 
     def process_events(self) -> None:
-        """Handle what has arrived so far."""
+        """Handle the events that have been parsed so far."""
         ...
 
     def send_continue(self) -> None:
-        """Tell a caller that waits for it to send its body."""
+        """Send "100 Continue" to a caller that waits for it."""
         ...
 
     def body_consumed(self, size: int) -> None:
-        """Make room for more of the body."""
+        """Count `size` bytes of the body as read by the handler; resume reading."""
         ...
 
     def send(self, event: h11.Event) -> None:
@@ -48,23 +48,23 @@
         ...
 
     async def drained(self) -> None:
-        """Wait until the caller has taken enough."""
+        """Wait until the caller has read enough of the written data."""
         ...
 
     def exchange_done(self, exchange: "Exchange") -> None:
-        """Go on to the next request."""
+        """Continue with the next request."""
         ...
 
     def abort(self) -> None:
-        """Drop the connection."""
+        """Close the connection at once, discarding unsent data."""
         ...
 
 
 class Exchange:
     """One request and its response on a server connection.
 
-    An exchange belongs to one request for good. Once the connection is lost every
-    call raises `CallerGoneError`, so a late answer cannot reach a later request.
+    An exchange belongs to one request only. After the connection is lost, sending
+    raises `CallerGoneError`, so a late response cannot be sent to a later request.
     """
 
     __slots__ = (
@@ -88,16 +88,17 @@
 
     @property
     def gone(self) -> bool:
-        """Tell whether the caller can no longer be answered."""
+        """Return whether the caller can no longer receive a response."""
         return self._conn.exchange is not self or self._conn.lost
 
     async def read(self) -> bytes:
-        """Return the next part of the body, empty at its end.
+        """Return the next part of the body, or empty bytes at its end.
 
         Raises
         ------
         CallerGoneError
-            The caller left, or broke the protocol, before the body was whole.
+            When the caller closed the connection, or violated the protocol, before the
+            body was complete.
         """
         while not self._body:
             if self._ended:
@@ -115,22 +116,22 @@
         return data
 
     def feed(self, data: bytes) -> None:
-        """Take in a part of the body."""
+        """Add a received part of the body."""
         self._body.append(data)
         self.wake_reader()
 
     def end_of_body(self) -> None:
-        """Note that the body is whole."""
+        """Mark the body as complete."""
         self._ended = True
         self.wake_reader()
 
     @property
     def body_ended(self) -> bool:
-        """Tell whether the whole body has arrived."""
+        """Return whether the whole body has been received."""
         return self._ended
 
     def wake_reader(self) -> None:
-        """Let a waiting reader look again."""
+        """Let a waiting `read` check again for data."""
         if self._reader_waiter is not None and not self._reader_waiter.done():
             self._reader_waiter.set_result(None)
 
@@ -144,20 +145,20 @@
         )
 
     async def send_body(self, data: bytes) -> None:
-        """Send a part of the response body, waiting while the caller is slow."""
+        """Send a part of the response body; wait until the caller accepts more."""
         self._require_caller()
         self._conn.send(h11.Data(data=data))
         await self._conn.drained()
         self._require_caller()
 
     def finish(self) -> None:
-        """End the response; the connection goes on to its next request."""
+        """Complete the response; the connection continues with its next request."""
         self._require_caller()
         self._conn.send(h11.EndOfMessage())
         self._conn.exchange_done(self)
 
     async def respond(self, status: int, headers: hd.HeaderList, body: bytes) -> None:
-        """Send a whole response."""
+        """Send a complete response."""
         length = (hd.CONTENT_LENGTH, str(len(body)).encode())
         await self.send_head(status, [*headers, length])
         if body:
@@ -165,7 +166,7 @@
         self.finish()
 
     def abort(self) -> None:
-        """Break the connection, so that the answer cannot pass as whole."""
+        """Abort the connection, so that a partial response is not accepted."""
         if not self.gone:
             self._conn.abort()
 
--- a/lacewingcross/http1_json.py
+++ b/lacewingcross/http1_json.py
@@ -1,4 +1,4 @@
-"""JSON over our HTTP server: reading bodies with a bound, answering with codes."""
+"""Helpers for JSON over `HttpServer`: bounded request bodies, coded errors."""
 
 import json
 
@@ -9,7 +9,7 @@
 
 
 async def read_body(exchange: Exchange, limit: int) -> bytes:
-    """Return the whole body.
+    """Return the whole request body.
 
     Raises
     ------
@@ -21,19 +21,19 @@
     while data := await exchange.read():
         size += len(data)
         if size > limit:
-            raise UserError("too-large", f"body over {limit} bytes")
+            raise UserError("too-large", f"request body exceeds {limit} bytes")
         parts.append(data)
     return b"".join(parts)
 
 
 async def send_json(exchange: Exchange, status: int, data: object) -> None:
-    """Answer with JSON."""
+    """Send a response with `data` as JSON."""
     body = json.dumps(data, separators=(",", ":")).encode() + b"\n"
     await exchange.respond(status, JSON_TYPE, body)
 
 
 async def send_error(exchange: Exchange, status: int, code: str, message: str) -> None:
-    """Answer with a coded error."""
+    """Send a JSON response with an error code and a message."""
     await send_json(exchange, status, {"error": code, "message": message})
 
 
--- a/lacewingcross/http1_server.py
+++ b/lacewingcross/http1_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 listener: counts connections, runs handlers, ends what stalls."""
+"""HTTP/1.1 listener: limits connections, runs handlers and closes stalled callers."""
 
 import asyncio
 from collections import Counter
@@ -30,13 +30,13 @@
     now : callable
         Monotonic clock in seconds.
     max_connections : int, default=4000
-        Connections above this number are refused with 503.
+        Further connections are refused with status 503.
     max_connections_each : int, default=4000
-        The same for the connections of one client address.
+        The same limit for the connections of one client address.
     fast_path : FastPath, optional
-        Answers for byte-identical requests.
+        Responses to byte-identical requests.
     on_bad_input : callable, optional
-        Called with a reason for each refused input.
+        Called with the reason code of each refused input.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self.idle_timeout_s = IDLE_TIMEOUT_S
 
     async def start(self, host: str, port: int, ssl: object = None) -> int:
-        """Listen; return the port."""
+        """Start listening; return the port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(self),
@@ -79,7 +79,7 @@
         return self._server.sockets[0].getsockname()[1]
 
     def admit(self, conn: ServerConnection, client: str) -> str:
-        """Count a connection; return why it may not stay, or an empty string."""
+        """Count a connection; return the reason to refuse it, or an empty string."""
         self._connections.add(conn)
         self._by_client[client] += 1
         if len(self._connections) > self._max_connections:
@@ -97,7 +97,7 @@
 
     @property
     def listening(self) -> bool:
-        """Tell whether new connections are accepted."""
+        """Return whether new connections are accepted."""
         return self._server is not None and not self.closing
 
     @property
@@ -106,7 +106,7 @@
         return len(self._connections)
 
     async def run(self, exchange: Exchange) -> None:
-        """Run the handler; an error in it ends that one exchange only."""
+        """Run the handler; an error in it aborts only this connection."""
         try:
             await self._handler(exchange)
         except CallerGoneError:
@@ -131,7 +131,7 @@
             conn.close_if_idle()
 
     async def close(self) -> None:
-        """Stop, dropping what is open."""
+        """Stop listening and abort all open connections."""
         await self.stop_listening()
         if self._sweeper is not None:
             self._sweeper.cancel()
--- a/lacewingcross/metrics.py
+++ b/lacewingcross/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, rendered as text for operators."""
+"""Counters, gauges and latency histograms, rendered as text for operators."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -12,9 +12,9 @@
 
 
 class Metrics:
-    """All figures of one process.
+    """All metrics of one process.
 
-    Counters are named ``<what>.<reason>``; histograms hold microseconds.
+    Counter names have the form ``<what>.<reason>``; histograms record microseconds.
     """
 
     __slots__ = ("counters", "gauges", "histograms")
@@ -33,7 +33,7 @@
         self.gauges[name] = value
 
     def replace_gauges(self, prefix: str, values: Mapping[str, float]) -> None:
-        """Set the gauges whose names begin with `prefix`, and drop all others of it."""
+        """Replace all gauges whose names begin with `prefix`."""
         for name in [name for name in self.gauges if name.startswith(prefix)]:
             del self.gauges[name]
         for name, value in values.items():
@@ -48,7 +48,10 @@
         hist.record_value(max(LOWEST_US, min(HIGHEST_US, int(seconds * 1e6))))
 
     def render(self) -> str:
-        """Return one ``name value`` line for each figure, sorted by name."""
+        """Return one ``name value`` line per metric: counters, gauges, then histograms.
+
+        Each of the three groups is sorted by name.
+        """
         lines = [f"{name} {value}" for name, value in sorted(self.counters.items())]
         lines += [f"{name} {value:g}" for name, value in sorted(self.gauges.items())]
         for name, hist in sorted(self.histograms.items()):
--- a/lacewingcross/sockets.py
+++ b/lacewingcross/sockets.py
@@ -1,23 +1,25 @@
-"""Socket options that every connection of ours gets."""
+"""Socket options for the TCP connections with other hosts and backend servers."""
 
 import asyncio
 import socket
 
-# Data that the other side does not acknowledge for this long ends the connection, in
-# milliseconds. Two resends of a lost packet fit in; a partition shows within it.
+# TCP_USER_TIMEOUT in milliseconds: the kernel closes a connection whose sent data stays
+# unacknowledged for this long. It leaves time for two retransmissions of a lost packet,
+# and a network partition is detected within it.
 USER_TIMEOUT_MS = 2500
-# Probes on a connection without traffic: seconds until the first, seconds between, and
-# how many may stay unanswered.
+# TCP keep-alive on a connection without traffic: seconds until the first probe, seconds
+# between probes, and the unanswered probes after which the connection is closed.
 PROBE_AFTER_S = 2
 PROBE_INTERVAL_S = 1
 MAX_UNANSWERED_PROBES = 2
 
 
 def set_silence_timeout(transport: asyncio.BaseTransport) -> None:
-    """Let the kernel end a connection whose other side has fallen silent.
+    """Let the kernel close a connection whose other side no longer responds.
 
-    Failure: a host loses power or is cut off; nothing is reset, and both reads and
-    writes on its connections wait for ever. The kernel's own probes end them.
+    Failure: a host loses power or is cut off from the network. Its connections are not
+    reset, so reads and writes on them would wait for ever. The keep-alive probes and
+    the timeout of the kernel close them.
     """
     sock = transport.get_extra_info("socket")
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
--- a/lacewingcross/tls.py
+++ b/lacewingcross/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from files, reloaded when the files change."""
+"""TLS contexts that are loaded from files and reloaded when the files change."""
 
 import asyncio
 import ssl
@@ -12,16 +12,17 @@
 
 
 class TlsFiles:
-    """Server and client contexts of one process, for mutual TLS under one CA.
+    """Server and client contexts of one process, for mutual TLS under one private CA.
 
-    Membership of the private CA is the proof: whoever has no certificate of it
-    cannot join, read or write. Addresses change with every replaced host, so names in
-    certificates are compared with host ids, not with addresses.
+    A certificate of the private CA is the proof of membership: a process without one
+    cannot join the fleet, read or write. Addresses change whenever a host is replaced,
+    so the names in certificates are compared with host ids and not with addresses.
+    `open_server` does not ask its clients for a certificate.
 
     Parameters
     ----------
     cfg : TlsSettings
-        Names of the certificate chain, its key and the CA.
+        Paths of the certificate chain, its key and the CA.
 
     Raises
     ------
@@ -62,9 +63,10 @@
             raise SettingsError("bad-tls", f"tls: {self._cfg.cert}: {exc}") from exc
 
     async def run(self) -> None:
-        """Take over changed files until cancelled; bad ones leave the old in use.
+        """Reload changed files until cancelled.
 
-        Connections that are open stay; new handshakes use the new certificate.
+        Files that cannot be used are logged, and the previous certificate stays in use.
+        Open connections are kept; new handshakes use the new certificate.
         """
         while True:
             await asyncio.sleep(RELOAD_S)
@@ -74,7 +76,7 @@
                 logs.event("tls-reload-failed", "ERROR", why=exc.message)
 
     def reload(self) -> bool:
-        """Load the files again if they changed; return whether they did."""
+        """Reload the files if they have changed; return whether they had."""
         modification_times = self._modification_times()
         if modification_times == self._loaded_times:
             return False
