--- a/lacewingcross/__init__.py
+++ b/lacewingcross/__init__.py
@@ -1,3 +1,3 @@
-"""Global traffic steering for fleets of callers that all wake on the hour."""
+"""Global traffic steering for fleets of callers that all become active on the hour."""
 
 __version__ = "0.1.0"
--- a/lacewingcross/caller.py
+++ b/lacewingcross/caller.py
@@ -1,4 +1,4 @@
-"""The caller library: look-up, choice of entry host, retry only where safe."""
+"""Caller library: looks up entry hosts, chooses one and retries only where safe."""
 
 import asyncio
 import json
@@ -24,20 +24,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """What became of a request.
+    """The outcome of a request.
 
     Attributes
     ----------
     outcome : {"answered", "not-run", "unknown"}
-        "not-run" is a proof; "unknown" means that it may have run.
+        "not-run" proves that the request did not run; "unknown" means that it may have
+        run.
     status : int
-        HTTP status, 0 when no response came.
+        HTTP status, 0 when no response was received.
     reason : str
         Reason code of a refusal or of an unknown outcome.
     retry_after_s : float
-        When to come back, in seconds; 0 when nobody said.
+        Time to wait before a retry, in seconds; 0 when the response has none.
     tries : int
-        How often the request was sent or refused.
+        Number of attempts, including those that could not be sent.
     """
 
     outcome: str
@@ -56,22 +57,24 @@
 
 
 class Caller:
-    """Sends requests through the entry hosts that the system names.
+    """Send requests through the entry hosts that a look-up returns.
 
     Parameters
     ----------
     seeds : list of str
-        Addresses of some entry hosts; any of them answers look-ups.
+        Addresses of some entry hosts; each of them can answer look-ups.
     caller_id : str, optional
-        Stable identity; the same id keeps going to the same hosts.
+        Stable identity; requests with the same id are routed to the same hosts. Random
+        by default.
     address : str, optional
-        Client address to be looked up with, if not that of the connection.
+        Client address to use for look-ups in place of the address of the connection.
     clock : Clock, optional
         Source of time.
     rng : random.Random, optional
-        Source of the order in which seeds are asked.
+        Source of the order in which seeds are queried, and of the choice among hosts
+        that have all failed.
     ssl : ssl.SSLContext, optional
-        For TLS to entry hosts.
+        Context for TLS to entry hosts; plain TCP by default.
     """
 
     def __init__(
@@ -97,8 +100,9 @@
     async def lookup(self, service: str) -> list[str]:
         """Return the addresses of entry hosts for `service`, best first.
 
-        An answer is used until its lifetime ends. When no host answers, the last
-        one is used on, or the seeds: an old answer is better than none.
+        The result of a look-up is cached for its lifetime. When no host answers, the
+        last result is used beyond its lifetime, or else the seeds: an outdated address
+        is better than none.
         """
         route = self._routes.get(service)
         if route is not None and self._now() < route.expires_at:
@@ -145,29 +149,30 @@
         request_id: str = "",
         max_tries: int = MAX_TRIES,
     ) -> Answer:
-        """Send a request and return what became of it.
+        """Send a request and return its outcome.
 
         Parameters
         ----------
         method, target : str
-            Of the HTTP request.
+            Method and target of the HTTP request.
         service : str
-            Service to be looked up.
+            Service to look up.
         body : bytes or async iterable of bytes
-            A streamed body can be sent once only, so its request is never tried
-            again after its first part was read.
+            A streamed body can be sent only once, so a request with such a body is not
+            retried after sending the body has begun.
         headers : list of (bytes, bytes), optional
-            Further headers, names in lower case.
+            Additional headers, with names in lower case.
         deadline_s : float, default=10.0
-            Time for all tries together.
+            Total time for all attempts, in seconds.
         repeatable : bool, optional
-            Whether it may run twice; by default all methods but POST and PATCH.
+            Whether the request may run twice; by default true for all methods except
+            POST and PATCH.
         key : str, optional
-            Idempotency key, kept over all tries.
+            Idempotency key, the same for all attempts.
         request_id : str, optional
-            Kept over all tries.
+            Request id, the same for all attempts; random by default.
         max_tries : int, default=6
-            Most tries.
+            Limit on attempts.
 
         Returns
         -------
@@ -231,7 +236,8 @@
         usable = [addr for addr in addresses if self._avoid_until.get(addr, 0.0) <= now]
         if usable:
             return usable[0]
-        # All hosts of the answer failed lately: look up again next time.
+        # All hosts of the look-up failed in the last `HOST_AVOID_S` seconds. Drop the
+        # cached result, so that the next attempt looks up again.
         self._routes.pop(service, None)
         return self._rng.choice(addresses) if addresses else None
 
@@ -239,8 +245,9 @@
         idle = self._idle.get(address, [])
         while idle:
             conn = idle.pop()
-            # A kept connection may close as we write on it, and the outcome would
-            # be unknown; a request that may not be repeated gets a new one.
+            # The host may close an idle connection while the request is written to it,
+            # which leaves the outcome unknown. A request that may not be repeated
+            # therefore uses a new connection.
             if repeatable and not conn.stale():
                 return conn
             conn.close()
@@ -298,7 +305,7 @@
         return fields
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         for idle in self._idle.values():
             for conn in idle:
                 conn.close()
@@ -307,7 +314,7 @@
 
 @dataclass(slots=True)
 class _LogicalRequest:
-    """One logical request over all its tries."""
+    """One request of the application, across all its attempts."""
 
     method: str
     target: str
@@ -322,7 +329,10 @@
     may_have_run: bool = False
 
     def adjust_outcome(self, answer: Answer) -> Answer:
-        """Return the answer, "not run" only if no earlier try may have run."""
+        """Return `answer`, adjusted for earlier attempts whose outcome is unknown.
+
+        An earlier attempt may have run, so "not-run" becomes "unknown" in that case.
+        """
         if answer.outcome == UNKNOWN:
             self.may_have_run = True
         if answer.outcome == NOT_RUN and self.may_have_run:
@@ -330,7 +340,7 @@
         return answer
 
     async def send_body(self, conn: ClientConnection) -> None:
-        """Write the body and end the request."""
+        """Send the body and the end of the request."""
         if isinstance(self.body, bytes):
             if self.body:
                 await conn.send_body(self.body)
--- a/lacewingcross/demo.py
+++ b/lacewingcross/demo.py
@@ -1,4 +1,4 @@
-"""The demo: an hourly surge, a planned drain and a shift, in one process."""
+"""Demo in one process: an hourly surge, a planned drain and a traffic shift."""
 
 import asyncio
 import random
@@ -23,7 +23,11 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What the callers saw."""
+    """Outcomes and latencies of the requests of all callers.
+
+    `crossed` counts answers that do not contain the id of their request, such as the
+    answer to another request.
+    """
 
     outcomes: Counter[str] = field(default_factory=Counter)
     reasons: Counter[str] = field(default_factory=Counter)
@@ -31,7 +35,7 @@
     metrics: Metrics = field(default_factory=Metrics)
 
     def add(self, answer: Answer, seconds: float) -> None:
-        """Count one answer."""
+        """Count one answer, received `seconds` after its request was started."""
         self.outcomes[answer.outcome] += 1
         if answer.outcome != ANSWERED:
             self.reasons[answer.reason] += 1
--- a/lacewingcross/deployments.py
+++ b/lacewingcross/deployments.py
@@ -1,4 +1,4 @@
-"""The two users' deployments as data: hosts, pools, policies, caps and settings."""
+"""The deployments of two users: hosts, pools, policies, shift caps and settings."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
@@ -11,7 +11,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceShape:
-    """One service: workers over the whole deployment, and what each can do."""
+    """One service: its workers in the whole deployment and the capacity of each.
+
+    `service_ms` is the mean service time of a request in milliseconds, and
+    `cap_fraction` and `cap_window_s` are the shift cap of the service.
+    """
 
     name: str
     workers: int
@@ -25,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Deployment:
-    """A user's regions, hosts and services."""
+    """The regions, hosts and services of one user."""
 
     name: str
     regions: tuple[str, ...]
@@ -37,7 +41,8 @@
     def failure_domains(self) -> list[tuple[str, str]]:
         """Return (region, failure domain), two in each region.
 
-        The regions take turns, so that even a few hosts or workers cover them all.
+        The regions alternate in the list, so that even a few hosts or workers, assigned
+        in this order, cover all regions.
         """
         return [
             (region, f"{region}-{num}") for num in (1, 2) for region in self.regions
@@ -72,12 +77,12 @@
 
 
 class Ports:
-    """Gives out loopback addresses.
+    """Allocate loopback addresses.
 
     Parameters
     ----------
     ports : iterator of int, optional
-        Ports to use; by default counted up from `PORT_BASE`.
+        Ports to use; by default all ports upwards from `PORT_BASE`.
     """
 
     __slots__ = ("_ports",)
@@ -92,7 +97,7 @@
 
 @dataclass(slots=True)
 class Layout:
-    """All settings and resources of a deployment with addresses filled in."""
+    """All settings and resources of a deployment, including addresses."""
 
     platform: PlatformSettings
     hosts: list[HostSettings]
@@ -110,24 +115,24 @@
     seed: int = 1,
     log_level: str = "INFO",
 ) -> Layout:
-    """Give every process of a deployment its settings.
+    """Return the settings of every process of a deployment, and its resources.
 
     Parameters
     ----------
     deployment : Deployment
-        What to lay out.
+        The deployment.
     ports : Ports
         Source of addresses.
     hosts : int, default=0
-        Number of entry hosts; 0 for the deployment's own.
+        Number of entry hosts; 0 for the number that `deployment` has.
     worker_divisor : int, default=1
-        Divides the number of workers, for what one process can show.
+        Divisor of the number of workers, so that the deployment fits into one process.
     queue : int, default=0
-        Requests that a backend server queues by itself.
+        Number of requests that each backend server queues.
     seed : int, default=1
-        Seed of service times.
+        Seed of the random service times.
     log_level : str, default="INFO"
-        Of every process.
+        Log level of every process.
 
     Returns
     -------
--- a/lacewingcross/embedded.py
+++ b/lacewingcross/embedded.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process, for the demo, benches and tests."""
+"""A whole deployment in one process, for the demo, benchmarks and tests."""
 
 import asyncio
 import random
@@ -15,18 +15,18 @@
 from .standins.backend import BackendStandin
 from .standins.platform import PlatformStandin
 
-# Ports for listeners: below those that the system gives to outgoing connections (32768
-# and more on Linux).
+# Range of listener ports, below the ephemeral ports that the system assigns to outgoing
+# connections (32768 and above on Linux).
 FIRST_PORT = 12_000
 LAST_PORT = 32_000
 
 
 def free_ports() -> Iterator[int]:
-    """Yield ports that were free a moment ago, none of them twice.
+    """Yield ports that were free when checked, each at most once.
 
-    Failure: a port that the system chose is free again until its listener opens, and an
-    outgoing connection of any process is given it meanwhile. The listener then finds
-    its address in use for as long as that connection lasts.
+    Failure: a port that the system chose (by binding port 0) is free again until its
+    listener opens. Meanwhile, the system may assign it to an outgoing connection of any
+    process, and the listener finds its address in use while that connection lasts.
     """
     port_count = LAST_PORT - FIRST_PORT
     start = secrets.randbelow(port_count)
@@ -41,7 +41,7 @@
 
 
 class EmbeddedDeployment:
-    """Stand-ins and hosts of a layout on one event loop, over real loopback TCP.
+    """Stand-ins and hosts of a layout on one event loop, connected by loopback TCP.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
     policy : KeeperPolicy, optional
         Admission settings of all hosts.
     seed : int, default=1
-        Seed of the hosts' random sources.
+        Seed for the random number generators of the hosts.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
         del self.hosts[host_id]
 
     async def kill_host(self, host_id: str) -> None:
-        """End one host without a word, as a crash would."""
+        """Stop one host without any announcement, like a crash."""
         task = self._tasks.pop(host_id)
         del self.hosts[host_id]
         task.cancel()
@@ -118,7 +118,7 @@
         return [app.cfg.entry for app in self.hosts.values()]
 
     def counters(self) -> dict[str, int]:
-        """Return the sum of all hosts' counters."""
+        """Return the counters, summed over the running hosts."""
         total: dict[str, int] = {}
         for app in self.hosts.values():
             for name, value in app.runtime.metrics.counters.items():
@@ -126,7 +126,7 @@
         return total
 
     async def close(self) -> None:
-        """Stop everything at once."""
+        """Stop all hosts without announcement, then the stand-ins."""
         for host_id in list(self._tasks):
             await self.kill_host(host_id)
         for backend in self.backends.values():
--- a/lacewingcross/operations.py
+++ b/lacewingcross/operations.py
@@ -1,4 +1,4 @@
-"""What operators do, as a library: apply, delete, follow, drain, explain."""
+"""Operator actions as a library: apply, delete, watch, drain, explain."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Document:
-    """A resource as written in a file; `version` 0 means whatever is stored."""
+    """A resource as written in a file; `version` 0 matches any stored version."""
 
     kind: str
     name: str
@@ -32,13 +32,13 @@
 
     @property
     def key(self) -> str:
-        """Return the platform key."""
+        """Return the key of the resource in the platform."""
         return res.object_key(self.kind, self.name)
 
 
 @dataclass(slots=True, frozen=True)
 class Applied:
-    """What became of one document."""
+    """The result of applying or deleting one document."""
 
     key: str
     version: int
@@ -47,14 +47,24 @@
 
 @dataclass(slots=True)
 class InForce:
-    """Which hosts have a version in force."""
+    """Which hosts have applied a configuration version (have it in force).
+
+    Attributes
+    ----------
+    wanted : int
+        The version in question.
+    revisions : dict of str to int
+        The newest version that each host has in force.
+    live : set of str
+        Ids of the hosts that the platform lists as live.
+    """
 
     wanted: int
     revisions: dict[str, int] = field(default_factory=dict)
     live: set[str] = field(default_factory=set)
 
     def behind(self) -> list[str]:
-        """Return the live hosts that do not have the version yet."""
+        """Return the live hosts that have not applied the version yet."""
         return sorted(
             host_id
             for host_id in self.live
@@ -68,14 +78,14 @@
     Parameters
     ----------
     data : object
-        One resource, a list of them, or an object with `items`.
+        One resource, a list of resources, or an object with a list in `items`.
     where : str
-        Name of the source, for errors.
+        Name of the source for error messages.
 
     Raises
     ------
     ResourceError
-        Names the place and what was expected.
+        The message names the location and what was expected.
     """
     if isinstance(data, dict) and "items" in data:
         data = data["items"]
@@ -95,12 +105,12 @@
 
 
 class Operator:
-    """Operators' actions against the platform.
+    """Operator actions on the platform.
 
     Parameters
     ----------
     platform : PlatformClient
-        The object API.
+        Client of the object API.
     clock : Clock, optional
         Source of time.
     """
@@ -110,23 +120,24 @@
         self._now = (clock or SystemClock()).monotonic
 
     async def apply(self, document: Document, *, regroup: bool = False) -> Applied:
-        """Create or replace a resource by conditional update.
+        """Create or replace a resource with a conditional write.
 
         Parameters
         ----------
         document : Document
-            What to store.
+            The resource to store.
         regroup : bool, default=False
-            Accept a policy that changes which client group callers belong to.
+            Accept a policy that moves callers to another client group.
 
         Raises
         ------
         UserError
-            With code ``regroup`` for such a policy otherwise: the shift cap counts
-            buckets of a group and cannot see callers that change their group.
+            With code ``regroup`` when a policy moves callers to another client group
+            and `regroup` is false. The shift cap counts the buckets of a group, so it
+            does not limit callers that change their group.
         PlatformError
-            With code ``conflict`` when somebody else was first; the message says
-            who, and which fields differ.
+            With code ``conflict`` when another writer has changed the resource; the
+            message names the writer and the fields that differ.
         """
         try:
             stored = await self.platform.get(document.key)
@@ -180,19 +191,19 @@
         )
         return PlatformError(
             "conflict",
-            f"{document.key}: {winner} was first (version {stored.version}); "
-            f"differs in: {differing}; read it again and repeat",
+            f"{document.key}: already changed by {winner} (version {stored.version}); "
+            f"fields that differ: {differing}; read the resource again and repeat",
         )
 
     async def delete(self, kind: str, name: str) -> Applied:
-        """Delete a resource at the version just read."""
+        """Read a resource and delete it at the version that was read."""
         key = res.object_key(kind, name)
         stored = await self.platform.get(key)
         version = await self.platform.delete(key, stored.version)
         return Applied(key, version, "deleted")
 
     async def in_force(self, version: int) -> InForce:
-        """Return which live hosts have `version` in force."""
+        """Return which hosts have `version` in force."""
         listing = await self.platform.hosts()
         reports = await self.platform.list(REPORT_KIND)
         result = InForce(version)
@@ -211,7 +222,8 @@
         Raises
         ------
         UserError
-            With code ``not-in-force`` naming the hosts that lag.
+            With code ``not-in-force`` when `timeout_s` is over; the message names the
+            hosts that have not applied the version.
         """
         deadline = self._now() + timeout_s
         while True:
@@ -220,7 +232,7 @@
             if state.live and not behind:
                 return state
             if self._now() >= deadline:
-                names = ", ".join(behind) or "no live host is listed"
+                names = ", ".join(behind) or "a live host to be listed"
                 raise UserError(
                     "not-in-force", f"version {version}: waiting for {names}"
                 )
@@ -232,7 +244,8 @@
         Raises
         ------
         UserError
-            With code ``not-drained`` naming what is still in flight.
+            With code ``not-drained`` when `timeout_s` is over; the message lists the
+            requests still in flight at each server.
         """
         deadline = self._now() + timeout_s
         while True:
@@ -244,7 +257,11 @@
             await asyncio.sleep(POLL_S)
 
     async def drain_progress(self, drain: str) -> dict[str, int] | None:
-        """Return requests in flight at each leaving server; None if not seen yet."""
+        """Return the number of requests in flight at each leaving server.
+
+        Included are all leaving servers of the services that the drain applies to.
+        Returns None when some of them are not in the hosts' reports yet.
+        """
         config = await self.config()
         drain_spec = config.drains.get(drain)
         if drain_spec is None:
@@ -270,7 +287,7 @@
         return in_flight
 
     async def config(self) -> Config:
-        """Return the stored configuration, interpreted as hosts do."""
+        """Return the stored configuration, interpreted as on hosts."""
         listing = await self.platform.list(*CONFIG_KINDS)
         config = Config()
         entries = (
@@ -281,12 +298,12 @@
         return config
 
     async def resources(self, *kinds: str) -> list[StoredObject]:
-        """Return stored objects, sorted by key."""
+        """Return the stored objects of the given kinds, sorted by key."""
         listing = await self.platform.list(*kinds)
         return sorted(listing.objects, key=lambda item: item.key)
 
     async def watch_resources(self, *kinds: str) -> AsyncIterator[StoredObject]:
-        """Yield the stored objects, then every change."""
+        """Yield the stored objects of the given kinds, then every change to them."""
         listing = await self.platform.list(*kinds)
         for item in sorted(listing.objects, key=lambda item: item.version):
             yield item
@@ -300,7 +317,7 @@
     async def explain(
         self, service: str, address: str, caller: str
     ) -> dict[str, object]:
-        """Return step by step why a caller goes where it goes."""
+        """Return the steps that lead from a caller to its region and entry hosts."""
         config = await self.config()
         if service not in config.policies:
             raise UserError("not-found", f"SteeringPolicy/{service}: no such resource")
@@ -355,7 +372,7 @@
 
 
 def _moved_groups(stored: object, document: Document) -> str:
-    """Return the client groups whose callers a new policy would move, if any."""
+    """Return the names of the client groups whose callers a new policy would move."""
     if document.kind != res.POLICY:
         return ""
     before, after = _group_members(stored), _group_members(document.spec)
@@ -365,7 +382,11 @@
 
 
 def _group_members(spec: object) -> dict[str, object]:
-    """Return what decides on the callers of each group: its blocks, its place."""
+    """Return what determines the callers of each group.
+
+    These are the address blocks of a group and whether it is the first in the list, and
+    the block table if there is one.
+    """
     groups = spec.get("groups", []) if isinstance(spec, dict) else []
     members = {
         group["name"]: (sorted(group.get("blocks", [])), place == 0)
--- a/lacewingcross/platform_client.py
+++ b/lacewingcross/platform_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's object API, with answers lost after a write resolved."""
+"""Client of the platform's object API that resolves unanswered writes."""
 
 import ssl as ssl_module
 import uuid
@@ -14,36 +14,37 @@
 WATCH_WAIT_S = 20.0
 MAX_OBJECT_BYTES = 1_000_000
 WRITE_TRIES = 3
-# Everything that hosts follow is of one kind of the platform's, so that one waiting
-# watch tells of all of it; each watch that waits is paid for.
+# All objects that hosts watch are stored under a single kind of the platform, so that
+# one watch call reports changes to all of them; each waiting watch call is charged for.
+# The object name then holds our kind and name, joined by `WATCHED_SEPARATOR`.
 WATCHED_KIND = "lacewingcross"
 WATCHED_SEPARATOR = ":"
 
 
 @dataclass(slots=True, frozen=True)
 class StoredObject:
-    """An object as the platform holds it; `value` is None for a deleted one."""
+    """An object as the platform stores it; `value` is None for a deleted object."""
 
     key: str
     version: int
     value: object
 
     def spec(self) -> object:
-        """Return what the writer stored, without the write id."""
+        """Return the spec that the writer stored, without write id and writer name."""
         return self.value.get("spec") if isinstance(self.value, dict) else None
 
     def write_id(self) -> str:
-        """Return the id of the write that made this version."""
+        """Return the id of the write that created this version."""
         return self.value.get("write_id", "") if isinstance(self.value, dict) else ""
 
     def writer(self) -> str:
-        """Return who wrote this version."""
+        """Return the name of the process or operator that wrote this version."""
         return self.value.get("by", "") if isinstance(self.value, dict) else ""
 
 
 @dataclass(slots=True, frozen=True)
 class Listing:
-    """Objects at one version of the whole store."""
+    """Objects as of one version (`revision`) of the whole store."""
 
     revision: int
     objects: list[StoredObject]
@@ -51,23 +52,24 @@
 
 @dataclass(slots=True, frozen=True)
 class HostListing:
-    """The platform's list of hosts, which lags."""
+    """The platform's list of hosts, which may be out of date."""
 
     hosts: list[HostInfo]
     leaving_servers: frozenset[str]
 
 
 class PlatformClient:
-    """Operators' resources and the hosts' records in the object API.
+    """Client for operators' resources and hosts' records in the object API.
 
     Parameters
     ----------
     address : str
         ``ip:port`` of the platform.
     ssl : ssl.SSLContext, optional
-        For TLS.
+        Context for TLS; plain TCP by default.
     writer : str, default=""
-        Stored with each write, so that a conflict can say who won.
+        Name stored with each write, so that a conflict error can name the writer of
+        the stored version.
     """
 
     __slots__ = ("_api", "_writer")
@@ -82,12 +84,12 @@
         self._writer = writer
 
     async def get(self, key: str) -> StoredObject:
-        """Return an object; code ``not-found`` when there is none."""
+        """Return an object; raise `PlatformError` ``not-found`` when there is none."""
         kind, name = _platform_name(key)
         return _stored(kind, await self._api.get(kind, name))
 
     async def list(self, *kinds: str) -> Listing:
-        """Return all objects of some kinds."""
+        """Return all objects of the given kinds."""
         found = [
             _listing(kind, await self._api.list(kind), kinds)
             for kind in _platform_kinds(kinds)
@@ -100,19 +102,22 @@
     ) -> Listing:
         """Wait for changes above version `after`; an empty listing on timeout.
 
-        Only kinds that hosts follow can be watched.
+        Only kinds in `CONFIG_KINDS` can be watched; changes to others are not reported.
         """
         found = await self._api.watch(WATCHED_KIND, after, wait_s)
         return _listing(WATCHED_KIND, found, kinds)
 
     async def create(self, key: str, spec: object, write_id: str = "") -> StoredObject:
-        """Create an object; code ``conflict`` when it exists."""
+        """Create an object; raise `PlatformError` ``conflict`` when it exists."""
         return await self._write(key, spec, 0, write_id)
 
     async def update(
         self, key: str, spec: object, if_version: int, write_id: str = ""
     ) -> StoredObject:
-        """Replace an object; code ``conflict`` when its version has moved on."""
+        """Replace an object at version `if_version`.
+
+        Raises `PlatformError` with code ``conflict`` when the stored version differs.
+        """
         return await self._write(key, spec, if_version, write_id)
 
     async def delete(self, key: str, if_version: int) -> int:
@@ -139,18 +144,21 @@
     async def _write(
         self, key: str, spec: object, if_version: int, write_id: str
     ) -> StoredObject:
-        """Write, and read back when the answer is lost.
+        """Write an object, and read it back when a response was lost.
 
-        Failure: the write takes effect and its answer is lost. Taken for a failure
-        it would be written twice or reported as refused; taken for a success it
-        may never have happened. Each write carries an id of its own, so reading
-        the object tells which it was, unless the store cannot be read either.
+        Failure: the write takes effect, but its response is lost. If it were treated as
+        a failure, the object would be written twice or the write reported as refused;
+        if it were treated as a success, the write may never have happened. Each write
+        has a unique id, so reading the object shows whether the write took effect,
+        unless the store cannot be read either.
         """
         write_id = write_id or uuid.uuid4().hex
         value = {"spec": spec, "write_id": write_id, "by": self._writer}
         size = len(encode(value))
         if size > MAX_OBJECT_BYTES:
-            raise PlatformError("too-large", f"{key}: {size} bytes, at most 1 MB")
+            raise PlatformError(
+                "too-large", f"{key}: {size} bytes exceed the limit of 1 MB"
+            )
         kind, name = _platform_name(key)
         answer_lost = False
         for _ in range(WRITE_TRIES):
@@ -161,10 +169,11 @@
                     return await self._resolve_conflict(key, write_id, exc)
                 if exc.code != "unknown-outcome":
                     raise
-                # The same conditional write again cannot take effect twice: if the
-                # first one did, the version has moved on and this one conflicts.
+                # Repeating the same conditional write cannot take effect twice: if the
+                # first write took effect, the version has changed and this one
+                # conflicts.
                 answer_lost = True
-        raise PlatformError("unknown-outcome", f"{key}: the store gave no answer")
+        raise PlatformError("unknown-outcome", f"{key}: the store did not respond")
 
     async def _put(
         self, kind: str, name: str, value: object, if_version: int
@@ -185,12 +194,12 @@
         raise conflict
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         self._api.close()
 
 
 def _platform_name(key: str) -> tuple[str, str]:
-    """Return the platform's kind and name of an object."""
+    """Return the kind and name under which the platform stores an object."""
     kind, name = split_key(key)
     if kind in CONFIG_KINDS:
         return WATCHED_KIND, f"{kind}{WATCHED_SEPARATOR}{name}"
--- a/lacewingcross/report.py
+++ b/lacewingcross/report.py
@@ -1,4 +1,4 @@
-"""Renders a bench result as one HTML page with plots."""
+"""Render a benchmark result as an HTML page with plots."""
 
 import base64
 import html
@@ -30,13 +30,13 @@
 
 
 def render(data: object) -> str:
-    """Return the HTML page of a result.
+    """Return a benchmark result as an HTML page.
 
     Parameters
     ----------
     data : object
-        Decoded JSON as ``python -m bench.scenarios`` writes it: for each case and
-        version the figures and, in ``series``, what was sampled.
+        Decoded JSON as written by ``python -m bench.scenarios``: the figures for each
+        case and version, with the sampled time series in ``series``.
 
     Returns
     -------
@@ -45,7 +45,7 @@
     Raises
     ------
     UserError
-        With code ``bad-result`` when the data is something else, ``no-matplotlib``
+        With code ``bad-result`` when `data` has another structure, or ``no-matplotlib``
         when the plotting library is not installed.
     """
     cases = _checked(data)
