--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
 """Settings shared by all tests.
 
-Hypothesis gives the same verdict every run; tests of known faults are expected to fail.
+Hypothesis generates the same examples in every run. Tests with a known fault are marked
+as expected to fail.
 """
 
 import pytest
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""The list of tests that fail for a known fault that is not mended yet.
+"""The list of tests that fail because of a known fault that is not fixed yet.
 
-Each line of ``KNOWN-RED.txt`` starts with the id of a test, as pytest prints it; the
-rest of the line says what was seen, how to see it again, the cause and the open issue.
-A listed test is expected to fail. One that passes fails the run, and so does a line
-whose test is gone: no line may outlive its fault.
+Each line of ``KNOWN-RED.txt`` starts with the id of a test, as printed by pytest. The
+rest of the line states what was observed, how to reproduce it, the cause and the open
+issue. A listed test is expected to fail. The run fails when a listed test passes or no
+longer exists, so that a line is removed as soon as its fault is fixed.
 """
 
 from pathlib import Path
@@ -11,12 +11,13 @@
 import pytest
 
 LIST = "KNOWN-RED.txt"
-# Faults that may wait at any time. More of them, and the suite would be red by habit.
+# Limit on known faults that are open at the same time. With more of them, failing tests
+# would be accepted as normal.
 MAX_LINES = 3
 
 
 def read_list(root):
-    """Return the reason of each listed test by its id."""
+    """Return a dictionary from the id of each listed test to its reason."""
     path = Path(root) / LIST
     if not path.exists():
         return {}
@@ -30,15 +31,15 @@
 def _split(line):
     test_id, _, reason = line.partition(" ")
     if not reason.strip():
-        raise pytest.UsageError(f"{LIST}: expected a reason behind {test_id}")
+        raise pytest.UsageError(f"{LIST}: expected a reason after {test_id}")
     return test_id, reason.strip()
 
 
 def expect_listed(items, listed):
-    """Expect just the listed tests to fail.
+    """Mark the listed tests, and no others, as expected to fail.
 
-    A test whose file was not collected is left alone: a run of a single file says
-    nothing of the others.
+    A listed test whose file was not collected is ignored, since a run of a single file
+    does not show whether the tests of other files exist.
     """
     found = {item.nodeid: item for item in items}
     files = {test_id.partition("::")[0] for test_id in found}
--- a/tests/test_bad_input_processes.py
+++ b/tests/test_bad_input_processes.py
@@ -1,4 +1,4 @@
-"""Bad input on every surface: a coded error, and the process goes on."""
+"""Invalid input on every interface gives an error code; the process keeps running."""
 
 import asyncio
 import json
@@ -93,9 +93,9 @@
 
 
 def test_bad_http_and_bad_frames_get_a_code_and_the_host_keeps_running():
-    """Malformed and hostile input on the callers' and the hosts' ports.
+    """Malformed and hostile input on the ports for callers and for other hosts.
 
-    What a user would see: one broken client or scanner takes the host down for all.
+    Guards against one broken client or scanner that stops the host for all callers.
     """
     statuses, answer, log = asyncio.run(_bad_input())
     assert statuses == [status for _, status in BAD_HTTP]
@@ -126,7 +126,7 @@
 
 
 def test_invalid_objects_leave_the_other_objects_in_force():
-    """Another program writes nonsense into the platform under our kinds."""
+    """Another program stores invalid objects of our kinds in the platform."""
     too_large, answer = asyncio.run(_bad_objects())
     assert too_large.code == "too-large"
     assert answer.outcome == ANSWERED
--- a/tests/test_bodies_processes.py
+++ b/tests/test_bodies_processes.py
@@ -1,4 +1,4 @@
-"""Large and slow bodies: streamed with backpressure, bounded memory."""
+"""Large and slow bodies are streamed with backpressure and bounded memory."""
 
 import asyncio
 import os
@@ -53,7 +53,7 @@
 
 
 def test_large_upload_does_not_grow_any_process():
-    """A yard uploads 200 MB; a host that gathers it runs out of memory for all."""
+    """A caller uploads 200 MB; a host that buffered it all could run out of memory."""
     answer, growth = asyncio.run(_upload())
     assert answer.outcome == ANSWERED
     assert f'"body_bytes": {len(PART) * PARTS}'.encode() in answer.body
@@ -80,10 +80,10 @@
 
 
 def test_refusal_reaches_a_caller_that_is_still_sending():
-    """A caller sends its whole upload before it reads anything; it was refused early.
+    """A request is refused early while the caller sends its whole body before it reads.
 
-    What a user would see: a reset connection and an unknown outcome, in place of the
-    proof that nothing ran.
+    Guards against a reset connection: the caller would see an unknown outcome in place
+    of the proof that the request did not run.
     """
     answer, second_status = asyncio.run(_refused_upload())
     assert answer.startswith(b"HTTP/1.1 404")
@@ -137,9 +137,9 @@
 
 
 def test_stalled_senders_hold_no_slots():
-    """Thirty callers send three bytes of a hundred and stop.
+    """Thirty callers each send three of a hundred bytes and stop.
 
-    What a user would see: a service whose every slot waits for them.
+    Guards against a service whose slots are all occupied by stalled requests.
     """
     answer, ledger = asyncio.run(_stalled())
     assert answer.outcome == ANSWERED
--- a/tests/test_caller.py
+++ b/tests/test_caller.py
@@ -1,4 +1,4 @@
-"""The caller library against small fake hosts: lifetimes, retries, outcomes."""
+"""The caller library with fake hosts: look-up lifetimes, retries and outcomes."""
 
 import asyncio
 import json
@@ -12,7 +12,11 @@
 
 
 class FakeHost:
-    """Answers look-ups with given addresses and requests with given steps."""
+    """An entry host that answers look-ups from `hosts` and requests from `steps`.
+
+    Each request takes the next step: "break" aborts the connection, "refuse" answers
+    "not-run", and "answer" answers normally, as do all requests after the last step.
+    """
 
     def __init__(self, steps=()):
         self.steps = list(steps)
@@ -69,7 +73,7 @@
             await caller.lookup("s")
             counts.append(host.lookups)
         await host.server.close()
-        # With every host gone an old answer is better than none.
+        # When no host answers, the expired result is still returned.
         clock.advance(120.0)
         outdated = await caller.lookup("s")
         caller.close()
@@ -109,7 +113,7 @@
 
 
 def test_not_run_after_a_broken_attempt_is_reported_as_unknown():
-    """The first try may have run; the second is refused with "not run"."""
+    """The first attempt may have run; the second one is refused with "not-run"."""
 
     async def scenario():
         host = await FakeHost(["break", "refuse"]).start()
--- a/tests/test_embedded_ports.py
+++ b/tests/test_embedded_ports.py
@@ -1,4 +1,4 @@
-"""Ports for listeners of tests, the demo and the soak."""
+"""Choice of listener ports for tests, the demo and the soak."""
 
 import itertools
 import socket
@@ -8,8 +8,10 @@
 
 
 def test_ports_are_outside_the_ephemeral_range():
-    # A host of a test could not listen for its callers for ten seconds: between the
-    # choice of its port and its start, a connection of another host had been given it.
+    # Guards against a listener port that is already in use when its host starts. An
+    # ephemeral port may be assigned to an outgoing connection of another host between
+    # the choice of the port and the start of the listener. A host could not listen for
+    # ten seconds for this reason.
     chosen = list(itertools.islice(free_ports(), 200))
     first, last = Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()
     assert len(set(chosen)) == 200
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The HTTP listener alone: stalled heads and bodies, connection limits."""
+"""The HTTP listener by itself: stalled heads and bodies, connection limits."""
 
 import asyncio
 from collections import Counter
@@ -8,7 +8,7 @@
 
 
 class Listener:
-    """A listener on a clock that the test moves."""
+    """A listener with a clock that the test controls."""
 
     def __init__(self, **limits):
         self.clock = ManualClock()
@@ -50,7 +50,7 @@
 
 
 def test_unfinished_head_is_answered_with_an_error_code():
-    """A client sends half a head and stops; it must not hold a connection for ever."""
+    """A client that sends half a head must not occupy a connection for ever."""
 
     async def scenario():
         listener = Listener()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known faults lets just its tests fail, and each only while it does."""
+"""Only tests in the list of known faults may fail, and they must fail."""
 
 import shutil
 import subprocess
@@ -22,7 +22,10 @@
 
 
 def run_suite(tmp_path, *lines, args=()):
-    """Run a small suite beside a list of known faults; return the finished process."""
+    """Run a small test suite with the given list of known faults.
+
+    Returns the completed pytest process.
+    """
     tests = tmp_path / "tests"
     tests.mkdir()
     (tests / "__init__.py").touch()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Output that is never waited for."""
+"""Log output that never blocks the process."""
 
 import os
 
@@ -6,8 +6,8 @@
 
 
 def test_a_stopped_reader_loses_lines_but_does_not_block():
-    # Whoever reads our output stops reading. A write that waited would stop the whole
-    # process, and with it every request.
+    # The reader of the log output stops reading. A blocking write would stop the whole
+    # process and every request in it.
     reading, writing = os.pipe()
     output = BoundedOutput(writing, max_lines=100)
     line = "x" * 1000 + "\n"
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Requests that callers send behind one another on one connection."""
+"""Pipelined requests on one connection of a caller."""
 
 import asyncio
 
@@ -13,12 +13,12 @@
 
 
 async def connect(app):
-    """Open a caller's connection to a host."""
+    """Open a connection to the entry address of a host."""
     return await asyncio.open_connection(*split_address(app.gateway.cfg.entry))
 
 
 async def answers_first_request_last(received, writer):
-    """Answer with the path; the first request takes longest."""
+    """Answer with the request path; delay the answer to the first request."""
     await asyncio.sleep(0.2 if received.target.endswith("1") else 0.0)
     writer.write(answer(received.request_id, received.target.encode()))
     return True
@@ -26,8 +26,8 @@
 
 @in_loop
 async def test_answers_come_in_the_order_of_the_requests():
-    # A caller sends three histories without waiting. Answered as they become ready,
-    # the first one's caller would show the second one's history.
+    # A caller pipelines three requests. If they were answered in the order in which
+    # they complete, the caller would take the second response for the first one.
     async with fleet() as made:
         made.configure()
         await made.add_server(answers_first_request_last)
@@ -45,8 +45,9 @@
 
 @in_loop
 async def test_requests_after_a_closing_response_are_not_run():
-    # A host is leaving: its answer closes the connection, and the caller sends the
-    # requests behind it again, of whatever kind. Run here, a booking would run twice.
+    # The response of a host that is shutting down closes the connection. The caller
+    # then sends the pipelined requests after it again, whatever their method. If the
+    # host had run them as well, a request such as a booking would run twice.
     async with fleet() as made:
         made.configure()
         server = await made.add_server(answers_first_request_last)
@@ -65,16 +66,16 @@
 
 
 async def never_answers(received, writer):
-    """Work on for longer than any test waits."""
+    """Keep the request running for longer than any test waits."""
     await asyncio.sleep(20)
     return True
 
 
 @in_loop
 async def test_disconnect_of_a_caller_with_pipelined_requests_is_noticed():
-    # A caller sends two histories and leaves after a second. While the second one was
-    # waiting to be read the connection was not listened to, so the server worked on
-    # the first until it was done (a hunted day: 4 of 12 such runs went on).
+    # A caller pipelines two requests and then closes the connection. If reading were
+    # paused while the second request waits, the close would not be noticed and the
+    # server would run the first request to its end.
     async with fleet() as made:
         made.configure()
         server = await made.add_server(never_answers)
