--- a/lacewingcross/frame_queue.py
+++ b/lacewingcross/frame_queue.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import deque
 
-WRITE_BATCH = 256
+MAX_BATCH_FRAMES = 256
 
 
 class FrameQueue:
@@ -40,18 +40,18 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Write frames as they are queued, until the other side closes the stream."""
-        closed = asyncio.get_running_loop().create_task(reader.read(1))
-        closed.add_done_callback(lambda _task: self._wake.set())
+        eof_task = asyncio.get_running_loop().create_task(reader.read(1))
+        eof_task.add_done_callback(lambda _task: self._wake.set())
         try:
-            while not closed.done():
+            while not eof_task.done():
                 if not self._frames:
                     self._wake.clear()
                     await self._wake.wait()
                     continue
-                count = min(len(self._frames), WRITE_BATCH)
+                count = min(len(self._frames), MAX_BATCH_FRAMES)
                 batch = [self._frames.popleft() for _ in range(count)]
                 writer.write(b"".join(batch))
                 await writer.drain()
         finally:
-            closed.cancel()
-            await asyncio.gather(closed, return_exceptions=True)
+            eof_task.cancel()
+            await asyncio.gather(eof_task, return_exceptions=True)
--- a/lacewingcross/http1_client.py
+++ b/lacewingcross/http1_client.py
@@ -12,7 +12,7 @@
 
 READ_SIZE = 64 * 1024
 CONNECT_TIMEOUT_S = 1.0
-MAX_IDLE = 8
+MAX_IDLE_CONNECTIONS = 8
 
 
 class HttpError(Exception):
@@ -204,7 +204,7 @@
         except BaseException:
             conn.close()
             raise
-        if conn.reusable() and len(self._idle) < MAX_IDLE:
+        if conn.reusable() and len(self._idle) < MAX_IDLE_CONNECTIONS:
             self._idle.append(conn)
         else:
             conn.close()
--- a/lacewingcross/http1_connection.py
+++ b/lacewingcross/http1_connection.py
@@ -9,7 +9,7 @@
 from . import headers as hd
 from .http1_exchange import Exchange, RequestHead
 
-MAX_HEAD = 16 * 1024
+MAX_HEAD_BYTES = 16 * 1024
 HEAD_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 75.0
 STALL_TIMEOUT_S = 30.0
@@ -109,9 +109,9 @@
     def data_received(self, data: bytes) -> None:
         """Answer a known look-up at once; pass all other data to h11."""
         self._record_progress()
-        fast = self._server.fast_path
-        if fast is not None and self._is_idle():
-            reply = fast.reply(data)
+        fast_path = self._server.fast_path
+        if fast_path is not None and self._is_idle():
+            reply = fast_path.reply(data)
             if reply is not None:
                 self.transport.write(reply)
                 return
@@ -349,7 +349,7 @@
         progress. A request that waits for its backend server is not stalled, since the
         caller has nothing to send or read at that time.
         """
-        since_progress_s = now - self.last_progress
+        seconds_since_progress = now - self.last_progress
         if self._discard_until:
             if now > self._discard_until:
                 self.transport.close()
@@ -361,7 +361,7 @@
                 if head_started
                 else self._server.idle_timeout_s
             )
-            if since_progress_s > limit:
+            if seconds_since_progress > limit:
                 if head_started:
                     self._refuse(408, "head-timeout")
                 else:
@@ -369,6 +369,8 @@
             return
         waits_for_body = not self.exchange.body_ended and not self._reading_paused
         waits_for_reader = self._drain_waiter is not None
-        if (waits_for_body or waits_for_reader) and since_progress_s > STALL_TIMEOUT_S:
+        if (
+            waits_for_body or waits_for_reader
+        ) and seconds_since_progress > STALL_TIMEOUT_S:
             self._server.on_bad_input("stalled")
             self.abort()
--- a/lacewingcross/http1_server.py
+++ b/lacewingcross/http1_server.py
@@ -8,13 +8,13 @@
 from .http1_connection import (
     HEAD_TIMEOUT_S,
     IDLE_TIMEOUT_S,
-    MAX_HEAD,
+    MAX_HEAD_BYTES,
     FastPath,
     ServerConnection,
 )
 from .http1_exchange import CallerGoneError, Exchange
 
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 
 
 Handler = Callable[[Exchange], Awaitable[None]]
@@ -60,7 +60,7 @@
         self.fast_path = fast_path
         self.on_bad_input = on_bad_input or (lambda reason: None)
         self.closing = False
-        self.max_head = MAX_HEAD
+        self.max_head = MAX_HEAD_BYTES
         self.head_timeout_s = HEAD_TIMEOUT_S
         self.idle_timeout_s = IDLE_TIMEOUT_S
 
@@ -117,7 +117,7 @@
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now = self.now()
             for conn in list(self._connections):
                 conn.sweep(now)
--- a/lacewingcross/logs.py
+++ b/lacewingcross/logs.py
@@ -13,7 +13,7 @@
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 # How long lines are collected before they are written together with one system call.
 FLUSH_S = 0.05
-BATCH_LINES = 500
+MAX_BATCH_LINES = 500
 _NEEDS_QUOTES = frozenset(' "=\n\t')
 
 
@@ -127,7 +127,7 @@
 
     def _next_batch(self) -> bytes:
         lines = []
-        while self._lines and len(lines) < BATCH_LINES:
+        while self._lines and len(lines) < MAX_BATCH_LINES:
             lines.append(self._lines.popleft())
         if self.dropped:
             lines.append(
--- a/lacewingcross/operations.py
+++ b/lacewingcross/operations.py
@@ -18,7 +18,7 @@
 from .errors import PlatformError, ResourceError, UserError
 from .platform_client import PlatformClient, StoredObject
 
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 
 
 @dataclass(slots=True, frozen=True)
@@ -236,7 +236,7 @@
                 raise UserError(
                     "not-in-force", f"version {version}: waiting for {names}"
                 )
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_drained(self, drain: str, timeout_s: float) -> None:
         """Wait until every backend server of a drain is idle.
@@ -254,7 +254,7 @@
                 return
             if self._now() >= deadline:
                 raise UserError("not-drained", f"{drain}: in flight {remaining}")
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def drain_progress(self, drain: str) -> dict[str, int] | None:
         """Return the number of requests in flight at each leaving server.
--- a/lacewingcross/platform_client.py
+++ b/lacewingcross/platform_client.py
@@ -13,7 +13,7 @@
 CALL_TIMEOUT_S = 2.0
 WATCH_WAIT_S = 20.0
 MAX_OBJECT_BYTES = 1_000_000
-WRITE_TRIES = 3
+MAX_WRITE_ATTEMPTS = 3
 # All objects that hosts watch are stored under a single kind of the platform, so that
 # one watch call reports changes to all of them; each waiting watch call is charged for.
 # The object name then holds our kind and name, joined by `WATCHED_SEPARATOR`.
@@ -161,7 +161,7 @@
             )
         kind, name = _platform_name(key)
         answer_lost = False
-        for _ in range(WRITE_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 return _stored(kind, await self._put(kind, name, value, if_version))
             except PlatformError as exc:
--- a/lacewingcross/tls.py
+++ b/lacewingcross/tls.py
@@ -8,7 +8,7 @@
 from .errors import SettingsError
 from .settings import TlsSettings
 
-RELOAD_S = 2.0
+RELOAD_INTERVAL_S = 2.0
 
 
 class TlsFiles:
@@ -69,7 +69,7 @@
         Open connections are kept; new handshakes use the new certificate.
         """
         while True:
-            await asyncio.sleep(RELOAD_S)
+            await asyncio.sleep(RELOAD_INTERVAL_S)
             try:
                 self.reload()
             except SettingsError as exc:
--- a/lacewingcross/wire.py
+++ b/lacewingcross/wire.py
@@ -62,15 +62,15 @@
     asyncio.IncompleteReadError
         When the connection ends before the frame is complete.
     """
-    head = await reader.readexactly(_LENGTH.size)
-    (word,) = _LENGTH.unpack(head)
-    size = word & ~COMPRESSED
+    length_prefix = await reader.readexactly(_LENGTH.size)
+    (length_field,) = _LENGTH.unpack(length_prefix)
+    size = length_field & ~COMPRESSED
     if size > MAX_FRAME:
         raise FrameError(
             "frame-too-large", f"{size} bytes exceed the limit of {MAX_FRAME}"
         )
     body = await reader.readexactly(size)
-    return decode(inflate(body) if word & COMPRESSED else body)
+    return decode(inflate(body) if length_field & COMPRESSED else body)
 
 
 def inflate(packed: bytes) -> bytes:
