--- a/lacewingcross/backoff.py
+++ b/lacewingcross/backoff.py
@@ -19,7 +19,7 @@
     ----------
     rng : RandomSource
         Source of the jitter.
-    least_s, most_s : float, optional
+    min_s, max_s : float, optional
         Shortest and longest pause before jitter, in seconds.
     """
 
--- a/lacewingcross/frame_queue.py
+++ b/lacewingcross/frame_queue.py
@@ -11,7 +11,7 @@
 
     Parameters
     ----------
-    most : int
+    max_frames : int
         Limit on queued frames. When the queue is full, the oldest frame is dropped to
         make room for a new one.
     """
--- a/lacewingcross/logs.py
+++ b/lacewingcross/logs.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-# How long lines are collected before they are written together with one system call.
+# How long lines are collected, in seconds, to be written with one system call.
 FLUSH_S = 0.05
 MAX_BATCH_LINES = 500
 _NEEDS_QUOTES = frozenset(' "=\n\t')
@@ -61,7 +61,7 @@
     ----------
     descriptor : int
         File descriptor to write to; it is set to non-blocking mode.
-    most_lines : int, default=5000
+    max_lines : int, default=5000
         Limit on queued lines; the default holds about ten seconds of output of one
         busy host.
     """
