--- a/lacewingcross/checks.py
+++ b/lacewingcross/checks.py
@@ -21,7 +21,7 @@
         Raised when a field is missing, of the wrong type or unknown.
     """
 
-    __slots__ = ("_data", "_error", "_seen", "where")
+    __slots__ = ("_data", "_error", "_read_fields", "where")
 
     def __init__(self, data: object, where: str, error: type[UserError]) -> None:
         self.where = where
@@ -29,7 +29,7 @@
         if not isinstance(data, dict):
             raise self.fail("", "an object", data)
         self._data = data
-        self._seen: set[str] = set()
+        self._read_fields: set[str] = set()
 
     def fail(self, field: str, expected: str, got: object) -> UserError:
         """Return an error that says what was expected in `field`."""
@@ -39,7 +39,7 @@
 
     def raw(self, field: str, default: object = REQUIRED) -> object:
         """Return a field unchecked; the calling code validates it."""
-        self._seen.add(field)
+        self._read_fields.add(field)
         return self._data.get(field, default)
 
     def text(
@@ -154,9 +154,9 @@
 
     def finish(self) -> None:
         """Raise an error when the object contains a field that was not read."""
-        unknown = sorted(str(key) for key in self._data if key not in self._seen)
+        unknown = sorted(str(key) for key in self._data if key not in self._read_fields)
         if unknown:
-            known = ", ".join(sorted(self._seen))
+            known = ", ".join(sorted(self._read_fields))
             raise self._error(
                 "unknown-field",
                 f"{self.where}: unknown field {unknown[0]!r}; known fields: {known}",
