--- a/lacewingcross/clock.py
+++ b/lacewingcross/clock.py
@@ -13,7 +13,7 @@
         ...
 
     def boottime(self) -> float:
-        """Return seconds on a clock that never goes back, nor stops in a suspend."""
+        """Return seconds on a clock that never goes back and runs during a suspend."""
         ...
 
     def wall(self) -> datetime:
@@ -31,7 +31,7 @@
         return time.monotonic()
 
     def boottime(self) -> float:
-        """Return seconds on a clock that never goes back, nor stops in a suspend."""
+        """Return seconds on a clock that never goes back and runs during a suspend."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> datetime:
--- a/lacewingcross/deployments.py
+++ b/lacewingcross/deployments.py
@@ -82,7 +82,7 @@
     Parameters
     ----------
     ports : iterator of int, optional
-        Ports to use; by default all ports upwards from `PORT_BASE`.
+        Ports to use; by default those from `PORT_BASE` up to 64999.
     """
 
     __slots__ = ("_ports",)
--- a/lacewingcross/http1_connection.py
+++ b/lacewingcross/http1_connection.py
@@ -129,7 +129,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notify the exchange that the caller has closed the connection."""
+        """Notify the exchange that the connection to its caller is closed."""
         self.lost = True
         self._server.unregister(self, self._client)
         if self._drain_waiter is not None and not self._drain_waiter.done():
--- a/lacewingcross/operations.py
+++ b/lacewingcross/operations.py
@@ -239,7 +239,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_drained(self, drain: str, timeout_s: float) -> None:
-        """Wait until every backend server of a drain is idle.
+        """Wait until all leaving servers that `drain_progress` counts are idle.
 
         Raises
         ------
