--- a/lacewingcross/platform_client.py
+++ b/lacewingcross/platform_client.py
@@ -16,7 +16,7 @@
 MAX_WRITE_ATTEMPTS = 3
 # All objects that hosts watch are stored under a single kind of the platform, so that
 # one watch call reports changes to all of them; each waiting watch call is charged for.
-# The object name then holds our kind and name, joined by `WATCHED_SEPARATOR`.
+# The platform name of an object is its kind and name, joined by `WATCHED_SEPARATOR`.
 WATCHED_KIND = "lacewingcross"
 WATCHED_SEPARATOR = ":"
 
--- a/tests/test_bad_input_processes.py
+++ b/tests/test_bad_input_processes.py
@@ -126,7 +126,7 @@
 
 
 def test_invalid_objects_leave_the_other_objects_in_force():
-    """Another program stores invalid objects of our kinds in the platform."""
+    """Another program stores invalid objects of Lacewingcross kinds."""
     too_large, answer = asyncio.run(_bad_objects())
     assert too_large.code == "too-large"
     assert answer.outcome == ANSWERED
