--- a/lacewingcross/caller.py
+++ b/lacewingcross/caller.py
@@ -1,4 +1,4 @@
-"""The caller library: look-up, choice of entry host, retry only where safe."""
+"""Caller library: looks up entry hosts, chooses one and retries only where safe."""
 
 import asyncio
 import json
@@ -24,20 +24,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """What became of a request.
+    """The outcome of a request.
 
     Attributes
     ----------
     outcome : {"answered", "not-run", "unknown"}
-        "not-run" is a proof; "unknown" means that it may have run.
+        "not-run" proves that the request did not run; "unknown" means that it may have
+        run.
     status : int
-        HTTP status, 0 when no response came.
+        HTTP status, 0 when no response was received.
     reason : str
         Reason code of a refusal or of an unknown outcome.
     retry_after_s : float
-        When to come back, in seconds; 0 when nobody said.
+        Time to wait before a retry, in seconds; 0 when the response has none.
     tries : int
-        How often the request was sent or refused.
+        Number of attempts, including those that could not be sent.
     """
 
     outcome: str
@@ -52,26 +53,28 @@
 @dataclass(slots=True)
 class _Route:
     addresses: list[str]
-    until: float
+    expires_at: float
 
 
 class Caller:
-    """Sends requests through the entry hosts that the system names.
+    """Send requests through the entry hosts that a look-up returns.
 
     Parameters
     ----------
     seeds : list of str
-        Addresses of some entry hosts; any of them answers look-ups.
+        Addresses of some entry hosts; each of them can answer look-ups.
     caller_id : str, optional
-        Stable identity; the same id keeps going to the same hosts.
+        Stable identity; requests with the same id are routed to the same hosts. Random
+        by default.
     address : str, optional
-        Client address to be looked up with, if not that of the connection.
+        Client address to use for look-ups in place of the address of the connection.
     clock : Clock, optional
         Source of time.
     rng : random.Random, optional
-        Source of the order in which seeds are asked.
+        Source of the order in which seeds are queried, and of the choice among hosts
+        that have all failed.
     ssl : ssl.SSLContext, optional
-        For TLS to entry hosts.
+        Context for TLS to entry hosts; plain TCP by default.
     """
 
     def __init__(
@@ -91,29 +94,30 @@
         self._rng = rng or random.Random(self.caller_id)
         self._ssl = ssl
         self._routes: dict[str, _Route] = {}
-        self._avoid: dict[str, float] = {}
+        self._avoid_until: dict[str, float] = {}
         self._idle: dict[str, list[ClientConnection]] = {}
 
     async def lookup(self, service: str) -> list[str]:
         """Return the addresses of entry hosts for `service`, best first.
 
-        An answer is used until its lifetime ends. When no host answers, the last
-        one is used on, or the seeds: an old answer is better than none.
+        The result of a look-up is cached for its lifetime. When no host answers, the
+        last result is used beyond its lifetime, or else the seeds: an outdated address
+        is better than none.
         """
         route = self._routes.get(service)
-        if route is not None and self._now() < route.until:
+        if route is not None and self._now() < route.expires_at:
             return route.addresses
         known = route.addresses if route else []
         seeds = list(self._seeds)
         self._rng.shuffle(seeds)
         for address in [*known, *seeds]:
-            fresh = await self._ask(address, service)
-            if fresh is not None:
-                self._routes[service] = fresh
-                return fresh.addresses
+            new_route = await self._lookup_at(address, service)
+            if new_route is not None:
+                self._routes[service] = new_route
+                return new_route.addresses
         return known or seeds
 
-    async def _ask(self, address: str, service: str) -> _Route | None:
+    async def _lookup_at(self, address: str, service: str) -> _Route | None:
         query = {"service": service, "caller": self.caller_id}
         if self._address:
             query["address"] = self._address
@@ -145,35 +149,36 @@
         request_id: str = "",
         max_tries: int = MAX_TRIES,
     ) -> Answer:
-        """Send a request and return what became of it.
+        """Send a request and return its outcome.
 
         Parameters
         ----------
         method, target : str
-            Of the HTTP request.
+            Method and target of the HTTP request.
         service : str
-            Service to be looked up.
+            Service to look up.
         body : bytes or async iterable of bytes
-            A streamed body can be sent once only, so its request is never tried
-            again after its first part was read.
+            A streamed body can be sent only once, so a request with such a body is not
+            retried after sending the body has begun.
         headers : list of (bytes, bytes), optional
-            Further headers, names in lower case.
+            Additional headers, with names in lower case.
         deadline_s : float, default=10.0
-            Time for all tries together.
+            Total time for all attempts, in seconds.
         repeatable : bool, optional
-            Whether it may run twice; by default all methods but POST and PATCH.
+            Whether the request may run twice; by default true for all methods except
+            POST and PATCH.
         key : str, optional
-            Idempotency key, kept over all tries.
+            Idempotency key, the same for all attempts.
         request_id : str, optional
-            Kept over all tries.
+            Request id, the same for all attempts; random by default.
         max_tries : int, default=6
-            Most tries.
+            Limit on attempts.
 
         Returns
         -------
         answer : Answer
         """
-        trip = _Trip(
+        req = _LogicalRequest(
             method,
             target,
             service,
@@ -186,52 +191,53 @@
         )
         answer = Answer(NOT_RUN, 0, reason="no-host", tries=0)
         for tries in range(1, max_tries + 1):
-            answer = trip.judge(await self._try(trip, tries))
-            if not self._may_try_again(trip, answer):
+            answer = req.adjust_outcome(await self._attempt(req, tries))
+            if not self._may_retry(req, answer):
                 return answer
             pause = max(MIN_PAUSE_S, answer.retry_after_s)
-            if self._now() + pause >= trip.deadline:
+            if self._now() + pause >= req.deadline:
                 return answer
             if tries < max_tries:
                 await asyncio.sleep(pause)
         return answer
 
-    def _may_try_again(self, trip: "_Trip", answer: Answer) -> bool:
-        if answer.outcome == ANSWERED or trip.body_consumed:
+    def _may_retry(self, req: "_LogicalRequest", answer: Answer) -> bool:
+        if answer.outcome == ANSWERED or req.body_consumed:
             return False
         if answer.outcome == NOT_RUN:
             return answer.status in (0, 503)
-        return trip.repeatable
+        return req.repeatable
 
-    async def _try(self, trip: "_Trip", tries: int) -> Answer:
-        address = await self._choose(trip.service)
+    async def _attempt(self, req: "_LogicalRequest", tries: int) -> Answer:
+        address = await self._choose_host(req.service)
         if address is None:
             return Answer(NOT_RUN, 0, reason="no-host", tries=tries)
         conn = None
         sent = False
         try:
-            async with asyncio.timeout(max(0.001, trip.deadline - self._now())):
-                conn = await self._connect(address, trip.repeatable)
+            async with asyncio.timeout(max(0.001, req.deadline - self._now())):
+                conn = await self._connect(address, req.repeatable)
                 sent = True
-                answer = await self._exchange(conn, address, trip, tries)
+                answer = await self._exchange(conn, address, req, tries)
         except HttpError as exc:
-            self._avoid[address] = self._now() + HOST_AVOID_S
+            self._avoid_until[address] = self._now() + HOST_AVOID_S
             outcome = UNKNOWN if exc.sent else NOT_RUN
             answer = Answer(outcome, 0, reason=exc.reason, tries=tries)
         except TimeoutError:
             outcome = UNKNOWN if sent else NOT_RUN
             answer = Answer(outcome, 0, reason="deadline", tries=tries)
         if conn is not None:
-            self._put_back(address, conn, answer)
+            self._release(address, conn, answer)
         return answer
 
-    async def _choose(self, service: str) -> str | None:
+    async def _choose_host(self, service: str) -> str | None:
         addresses = await self.lookup(service)
         now = self._now()
-        good = [addr for addr in addresses if self._avoid.get(addr, 0.0) <= now]
-        if good:
-            return good[0]
-        # All hosts of the answer failed lately: look up again next time.
+        usable = [addr for addr in addresses if self._avoid_until.get(addr, 0.0) <= now]
+        if usable:
+            return usable[0]
+        # All hosts of the look-up failed in the last `HOST_AVOID_S` seconds. Drop the
+        # cached result, so that the next attempt looks up again.
         self._routes.pop(service, None)
         return self._rng.choice(addresses) if addresses else None
 
@@ -239,24 +245,25 @@
         idle = self._idle.get(address, [])
         while idle:
             conn = idle.pop()
-            # A kept connection may close as we write on it, and the outcome would
-            # be unknown; a request that may not be repeated gets a new one.
+            # The host may close an idle connection while the request is written to it,
+            # which leaves the outcome unknown. A request that may not be repeated
+            # therefore uses a new connection.
             if repeatable and not conn.stale():
                 return conn
             conn.close()
         return await ClientConnection.open(address, self._ssl)
 
-    def _put_back(self, address: str, conn: ClientConnection, answer: Answer) -> None:
+    def _release(self, address: str, conn: ClientConnection, answer: Answer) -> None:
         if answer.status and conn.reusable():
             self._idle.setdefault(address, []).append(conn)
         else:
             conn.close()
 
     async def _exchange(
-        self, conn: ClientConnection, address: str, trip: "_Trip", tries: int
+        self, conn: ClientConnection, address: str, req: "_LogicalRequest", tries: int
     ) -> Answer:
-        await conn.send_head(trip.method, trip.target, self._fields(address, trip))
-        sender = asyncio.get_running_loop().create_task(trip.send_body(conn))
+        await conn.send_head(req.method, req.target, self._fields(address, req))
+        sender = asyncio.get_running_loop().create_task(req.send_body(conn))
         try:
             head = await conn.read_head()
             parts = [part async for part in conn.read_body()]
@@ -265,40 +272,40 @@
                 sender.cancel()
             await asyncio.gather(sender, return_exceptions=True)
         outcome = hd.find(head.headers, hd.OUTCOME) or ANSWERED
-        wait = hd.milliseconds(head.headers, hd.RETRY_AFTER_MS) or 0.0
+        retry_after_s = hd.milliseconds(head.headers, hd.RETRY_AFTER_MS) or 0.0
         return Answer(
             outcome,
             head.status,
             head.headers,
             b"".join(parts),
             hd.find(head.headers, hd.REASON),
-            wait,
+            retry_after_s,
             tries,
         )
 
-    def _fields(self, address: str, trip: "_Trip") -> hd.HeaderList:
-        remaining = max(1, int((trip.deadline - self._now()) * 1000))
+    def _fields(self, address: str, req: "_LogicalRequest") -> hd.HeaderList:
+        remaining = max(1, int((req.deadline - self._now()) * 1000))
         fields = [
             (b"host", address.encode()),
-            (hd.SERVICE, trip.service.encode()),
-            (hd.REQUEST_ID, trip.request_id.encode()),
+            (hd.SERVICE, req.service.encode()),
+            (hd.REQUEST_ID, req.request_id.encode()),
             (hd.CALLER_ID, self.caller_id.encode()),
             (hd.DEADLINE_MS, str(remaining).encode()),
-            (hd.REPEATABLE, b"yes" if trip.repeatable else b"no"),
-            *trip.headers,
+            (hd.REPEATABLE, b"yes" if req.repeatable else b"no"),
+            *req.headers,
         ]
         if self._address:
             fields.append((hd.CLIENT_ADDRESS, self._address.encode()))
-        if trip.key:
-            fields.append((hd.IDEMPOTENCY_KEY, trip.key.encode()))
-        if not isinstance(trip.body, bytes):
+        if req.key:
+            fields.append((hd.IDEMPOTENCY_KEY, req.key.encode()))
+        if not isinstance(req.body, bytes):
             fields.append((hd.TRANSFER_ENCODING, b"chunked"))
-        elif trip.body or trip.method in ("POST", "PUT", "PATCH"):
-            fields.append((hd.CONTENT_LENGTH, str(len(trip.body)).encode()))
+        elif req.body or req.method in ("POST", "PUT", "PATCH"):
+            fields.append((hd.CONTENT_LENGTH, str(len(req.body)).encode()))
         return fields
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         for idle in self._idle.values():
             for conn in idle:
                 conn.close()
@@ -306,8 +313,8 @@
 
 
 @dataclass(slots=True)
-class _Trip:
-    """One logical request over all its tries."""
+class _LogicalRequest:
+    """One request of the application, across all its attempts."""
 
     method: str
     target: str
@@ -321,8 +328,11 @@
     body_consumed: bool = False
     may_have_run: bool = False
 
-    def judge(self, answer: Answer) -> Answer:
-        """Return the answer, "not run" only if no earlier try may have run."""
+    def adjust_outcome(self, answer: Answer) -> Answer:
+        """Return `answer`, adjusted for earlier attempts whose outcome is unknown.
+
+        An earlier attempt may have run, so "not-run" becomes "unknown" in that case.
+        """
         if answer.outcome == UNKNOWN:
             self.may_have_run = True
         if answer.outcome == NOT_RUN and self.may_have_run:
@@ -330,7 +340,7 @@
         return answer
 
     async def send_body(self, conn: ClientConnection) -> None:
-        """Write the body and end the request."""
+        """Send the body and the end of the request."""
         if isinstance(self.body, bytes):
             if self.body:
                 await conn.send_body(self.body)
--- a/lacewingcross/frame_queue.py
+++ b/lacewingcross/frame_queue.py
@@ -1,9 +1,9 @@
-"""Frames that wait for a stream to another process, and their way out."""
+"""Queue encoded frames for a stream to another process and write them to it."""
 
 import asyncio
 from collections import deque
 
-WRITE_BATCH = 256
+MAX_BATCH_FRAMES = 256
 
 
 class FrameQueue:
@@ -11,20 +11,21 @@
 
     Parameters
     ----------
-    most : int
-        Frames that may wait; the oldest is dropped for a newer one.
+    max_frames : int
+        Limit on queued frames. When the queue is full, the oldest frame is dropped to
+        make room for a new one.
     """
 
-    __slots__ = ("_frames", "_most", "_wake")
+    __slots__ = ("_frames", "_max_frames", "_wake")
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_frames: int) -> None:
         self._frames: deque[bytes] = deque()
-        self._most = most
+        self._max_frames = max_frames
         self._wake = asyncio.Event()
 
     def put(self, frame: bytes) -> bool:
-        """Queue a frame; return whether an older one was dropped for it."""
-        full = len(self._frames) >= self._most
+        """Queue a frame; return whether the oldest frame was dropped to make room."""
+        full = len(self._frames) >= self._max_frames
         if full:
             self._frames.popleft()
         self._frames.append(frame)
@@ -32,25 +33,25 @@
         return full
 
     def clear(self) -> None:
-        """Drop what waits."""
+        """Drop all queued frames."""
         self._frames.clear()
 
     async def pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Write frames as they come, until the other side closes the stream."""
-        gone = asyncio.get_running_loop().create_task(reader.read(1))
-        gone.add_done_callback(lambda _task: self._wake.set())
+        """Write frames as they are queued, until the other side closes the stream."""
+        eof_task = asyncio.get_running_loop().create_task(reader.read(1))
+        eof_task.add_done_callback(lambda _task: self._wake.set())
         try:
-            while not gone.done():
+            while not eof_task.done():
                 if not self._frames:
                     self._wake.clear()
                     await self._wake.wait()
                     continue
-                count = min(len(self._frames), WRITE_BATCH)
+                count = min(len(self._frames), MAX_BATCH_FRAMES)
                 batch = [self._frames.popleft() for _ in range(count)]
                 writer.write(b"".join(batch))
                 await writer.drain()
         finally:
-            gone.cancel()
-            await asyncio.gather(gone, return_exceptions=True)
+            eof_task.cancel()
+            await asyncio.gather(eof_task, return_exceptions=True)
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -53,7 +53,7 @@
         Shared state of this host.
     """
 
-    __slots__ = ("_gossip_receiver", "_links", "_gossip_sender", "gateway")
+    __slots__ = ("_gossip_receiver", "_gossip_sender", "_links", "gateway")
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
--- a/lacewingcross/http1_connection.py
+++ b/lacewingcross/http1_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection from a caller, parsed by h11, with bounded waits."""
+"""One HTTP/1.1 connection from a caller, parsed by h11, with timeouts."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,27 +9,28 @@
 from . import headers as hd
 from .http1_exchange import Exchange, RequestHead
 
-MAX_HEAD = 16 * 1024
+MAX_HEAD_BYTES = 16 * 1024
 HEAD_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 75.0
 STALL_TIMEOUT_S = 30.0
-DISCARD_S = 5.0
+DISCARD_TIMEOUT_S = 5.0
 HIGH_WATER = 64 * 1024
 LOW_WATER = 16 * 1024
-# Bytes kept of what a caller sends behind a request in work: some fifty requests.
-AHEAD_MOST = 64 * 1024
+# Limit on pipelined data that is buffered while an earlier request is being handled:
+# about fifty requests.
+MAX_READ_AHEAD_BYTES = 64 * 1024
 
 
 class FastPath(Protocol):
-    """Answers for byte-identical requests, without parsing them again."""
+    """Responses to byte-identical requests, without parsing the requests again."""
 
     def reply(self, data: bytes) -> bytes | None:
-        """Return the whole response for the bytes of a whole request, or None."""
+        """Return the complete response to a complete request, or None if unknown."""
         ...
 
 
 class Listener(Protocol):
-    """The listener that a connection belongs to, as far as it needs it."""
+    """The part of the listener that its connections use."""
 
     closing: bool
     max_head: int
@@ -40,10 +41,10 @@
     on_bad_input: Callable[[str], None]
 
     def admit(self, conn: "ServerConnection", client: str) -> str:
-        """Count a connection; return why it may not stay, or an empty string."""
+        """Count a connection; return the reason to refuse it, or an empty string."""
         ...
 
-    def forget(self, conn: "ServerConnection", client: str) -> None:
+    def unregister(self, conn: "ServerConnection", client: str) -> None:
         """Stop counting a connection."""
         ...
 
@@ -65,12 +66,12 @@
         "_body_size",
         "_client",
         "_discard_until",
-        "_drain",
+        "_drain_waiter",
         "_h11",
-        "_held",
         "_reading_paused",
         "_server",
         "_task",
+        "_unsent_head",
         "exchange",
         "last_progress",
         "lost",
@@ -83,9 +84,9 @@
             h11.SERVER, max_incomplete_event_size=server.max_head
         )
         self._client = ""
-        self._drain: asyncio.Future[None] | None = None
+        self._drain_waiter: asyncio.Future[None] | None = None
         self._reading_paused = False
-        self._held = b""
+        self._unsent_head = b""
         self._discard_until = 0.0
         self._body_size = 0
         self._task: asyncio.Task[None] | None = None
@@ -94,25 +95,23 @@
         self.last_progress = 0.0
         self.lost = False
 
-    # Transport events
-
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Start on a new connection, unless there are too many."""
+        """Register a new connection, or refuse it when there are too many."""
         self.transport = transport
         transport.set_write_buffer_limits(high=HIGH_WATER, low=LOW_WATER)
         peer = transport.get_extra_info("peername")
         self._client = peer[0] if peer else ""
-        self._touch()
+        self._record_progress()
         reason = self._server.admit(self, self._client)
         if reason:
             self._refuse(503, reason)
 
     def data_received(self, data: bytes) -> None:
-        """Answer a known look-up at once; give anything else to h11."""
-        self._touch()
-        fast = self._server.fast_path
-        if fast is not None and self._is_idle():
-            reply = fast.reply(data)
+        """Answer a known look-up at once; pass all other data to h11."""
+        self._record_progress()
+        fast_path = self._server.fast_path
+        if fast_path is not None and self._is_idle():
+            reply = fast_path.reply(data)
             if reply is not None:
                 self.transport.write(reply)
                 return
@@ -126,32 +125,30 @@
         )
 
     def eof_received(self) -> bool:
-        """Treat a half-close as the caller's going away."""
+        """Close the connection when the caller closes its sending side."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the exchange that its caller has gone."""
+        """Notify the exchange that the connection to its caller is closed."""
         self.lost = True
-        self._server.forget(self, self._client)
-        if self._drain is not None and not self._drain.done():
-            self._drain.set_result(None)
+        self._server.unregister(self, self._client)
+        if self._drain_waiter is not None and not self._drain_waiter.done():
+            self._drain_waiter.set_result(None)
         if self.exchange is not None:
-            self.exchange.wake()
+            self.exchange.wake_reader()
             if self.exchange.on_gone is not None:
                 self.exchange.on_gone()
 
     def pause_writing(self) -> None:
-        """Note that the caller reads more slowly than we write."""
-        self._drain = asyncio.get_running_loop().create_future()
+        """Let writers wait, since the caller reads more slowly than data is written."""
+        self._drain_waiter = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """Note that the caller has caught up."""
-        self._touch()
-        if self._drain is not None and not self._drain.done():
-            self._drain.set_result(None)
-        self._drain = None
-
-    # Parsing
+        """Let writers continue, since the caller has read most of the data."""
+        self._record_progress()
+        if self._drain_waiter is not None and not self._drain_waiter.done():
+            self._drain_waiter.set_result(None)
+        self._drain_waiter = None
 
     def _feed(self, data: bytes) -> None:
         try:
@@ -159,10 +156,10 @@
         except h11.RemoteProtocolError as exc:
             self._protocol_error(exc)
             return
-        self.pull()
+        self.process_events()
 
-    def pull(self) -> None:
-        """Handle what h11 has parsed so far."""
+    def process_events(self) -> None:
+        """Handle the events that h11 has parsed so far."""
         while not self.lost:
             if self.exchange is not None and self._body_size >= HIGH_WATER:
                 self._pause_reading()
@@ -183,12 +180,13 @@
                 return
 
     def _read_ahead(self) -> None:
-        """Read on behind a request in work, up to a bound.
+        """Keep reading while a request is being handled, up to a limit.
 
-        Failure: a caller sends a second request and leaves. Its leaving shows only to
-        those who read; with reading paused the server works on for nobody.
+        Failure: a caller pipelines a second request and then closes the connection. The
+        close is noticed only while reading; with reading paused, the server would keep
+        working on a response that nobody receives.
         """
-        if len(self._h11.trailing_data[0]) >= AHEAD_MOST:
+        if len(self._h11.trailing_data[0]) >= MAX_READ_AHEAD_BYTES:
             self._pause_reading()
 
     def _on_event(self, event: h11.Event) -> None:
@@ -211,8 +209,8 @@
         )
         names = [name for name, _ in head.headers]
         if hd.CONTENT_LENGTH in names and hd.TRANSFER_ENCODING in names:
-            # Two lengths for one body: whoever sits before or behind us may take
-            # the other one, and the rest of the body would pass as a new request.
+            # Request smuggling: a proxy or server on the path may use the other one of
+            # the two lengths and take the rest of the body for a new request.
             self._refuse(400, "ambiguous-length")
             return
         self._body_size = 0
@@ -228,7 +226,7 @@
         self._refuse(status, "head-too-large" if status == 431 else "bad-request")
 
     def _refuse(self, status: int, reason: str) -> None:
-        """Answer with a coded error and close."""
+        """Answer with an error code and close the connection."""
         self._server.on_bad_input(reason)
         body = f'{{"error":"{reason}"}}\n'.encode()
         headers = [
@@ -248,60 +246,58 @@
             pass
         self.transport.close()
 
-    def invite_body(self) -> None:
-        """Tell a caller that waits for it to send its body.
+    def send_continue(self) -> None:
+        """Send "100 Continue" to a caller that waits for it before it sends its body.
 
-        Only when somebody is about to read it: a request that is refused at once is
-        spared the upload.
+        This is called only when the handler is about to read the body, so that the
+        caller of a request that is refused at once need not upload it.
         """
         if self._h11.they_are_waiting_for_100_continue and not self.lost:
             proceed = h11.InformationalResponse(status_code=100, headers=[])
             self.transport.write(self._h11.send(proceed))
 
-    # Sending
-
     def send(self, event: h11.Event) -> None:
         """Serialize one event of the response.
 
-        A head waits for the end of the loop's turn, so that a body that is already
-        there goes out with it in one write.
+        The head is held back until the event loop runs its next callbacks, so that a
+        body that is already available is sent in the same write.
         """
         data = self._h11.send(event)
         if isinstance(event, h11.Response):
-            self._held = data
-            asyncio.get_running_loop().call_soon(self._flush)
-        elif data or self._held:
-            held = self._held
-            self._held = b""
-            self.transport.write(held + data)
-
-    def _flush(self) -> None:
-        if self._held and not self.lost:
-            self.transport.write(self._held)
-        self._held = b""
+            self._unsent_head = data
+            asyncio.get_running_loop().call_soon(self._flush_head)
+        elif data or self._unsent_head:
+            unsent_head = self._unsent_head
+            self._unsent_head = b""
+            self.transport.write(unsent_head + data)
+
+    def _flush_head(self) -> None:
+        if self._unsent_head and not self.lost:
+            self.transport.write(self._unsent_head)
+        self._unsent_head = b""
 
     async def drained(self) -> None:
-        """Wait until the caller has taken enough of what was written."""
-        if self._drain is not None:
-            await self._drain
+        """Wait until the caller has read enough of the written data."""
+        if self._drain_waiter is not None:
+            await self._drain_waiter
 
     def exchange_done(self, exchange: Exchange) -> None:
-        """Go on to the next request, or close when that is not possible."""
+        """Continue with the next request, or close when that is not possible."""
         if self.exchange is not exchange:
             return
         self.exchange = None
         self._task = None
         self._body_size = 0
-        self._touch()
+        self._record_progress()
         states = (self._h11.our_state, self._h11.their_state)
         if states == (h11.DONE, h11.SEND_BODY):
-            # The caller still sends a body that nobody wants. Closing now would reset
-            # the connection, and the caller would lose the answer that is on its way
-            # to it, such as the proof that nothing ran. So the rest is read and
-            # dropped for a while.
-            self._discard_until = self._server.now() + DISCARD_S
+            # The caller is still sending a body that is not needed. Closing now would
+            # reset the connection, and the caller would lose the response that is on
+            # its way, such as the proof that the request did not run. The rest of the
+            # body is therefore read and discarded for up to `DISCARD_TIMEOUT_S`.
+            self._discard_until = self._server.now() + DISCARD_TIMEOUT_S
             self._resume_reading()
-            self.pull()
+            self.process_events()
             return
         if states != (h11.DONE, h11.DONE):
             self.transport.close()
@@ -314,14 +310,14 @@
         if self._server.closing:
             self.transport.close()
             return
-        self.pull()
+        self.process_events()
 
-    def body_taken(self, size: int) -> None:
-        """Make room for more of the body."""
+    def body_consumed(self, size: int) -> None:
+        """Count `size` bytes of the body as read by the handler; resume reading."""
         self._body_size -= size
         if self._reading_paused and self._body_size < LOW_WATER:
             self._resume_reading()
-            self.pull()
+            self.process_events()
 
     def _pause_reading(self) -> None:
         if not self._reading_paused and not self.lost:
@@ -334,44 +330,47 @@
             self.transport.resume_reading()
 
     def abort(self) -> None:
-        """Drop the connection."""
+        """Close the connection at once, discarding unsent data."""
         self.transport.abort()
 
     def close_if_idle(self) -> None:
-        """Close a connection that carries no request."""
+        """Close the connection unless a request is in progress."""
         if self.exchange is None and not self.lost:
             self.transport.close()
 
-    # Time
-
-    def _touch(self) -> None:
+    def _record_progress(self) -> None:
         self.last_progress = self._server.now()
 
     def sweep(self, now: float) -> None:
-        """End connections that have stopped moving.
+        """Close the connection when the caller has made no progress for too long.
 
-        A sender that trickles or stalls holds a connection for nothing; it shows
-        as a head that never ends or a body without progress. A request that waits
-        for its backend server is not a stall: then it is not the caller's turn.
+        A caller that sends very slowly or stalls occupies a connection without use. It
+        is recognized by a request head that is never completed or by a body without
+        progress. A request that waits for its backend server is not stalled, since the
+        caller has nothing to send or read at that time.
         """
-        quiet = now - self.last_progress
+        seconds_since_progress = now - self.last_progress
         if self._discard_until:
             if now > self._discard_until:
                 self.transport.close()
             return
         if self.exchange is None:
-            begun = bool(self._h11.trailing_data[0])
+            head_started = bool(self._h11.trailing_data[0])
             limit = (
-                self._server.head_timeout_s if begun else self._server.idle_timeout_s
+                self._server.head_timeout_s
+                if head_started
+                else self._server.idle_timeout_s
             )
-            if quiet > limit:
-                if begun:
+            if seconds_since_progress > limit:
+                if head_started:
                     self._refuse(408, "head-timeout")
                 else:
                     self.transport.close()
             return
         waits_for_body = not self.exchange.body_ended and not self._reading_paused
-        waits_for_reader = self._drain is not None
-        if (waits_for_body or waits_for_reader) and quiet > STALL_TIMEOUT_S:
+        waits_for_reader = self._drain_waiter is not None
+        if (
+            waits_for_body or waits_for_reader
+        ) and seconds_since_progress > STALL_TIMEOUT_S:
             self._server.on_bad_input("stalled")
             self.abort()
--- a/lacewingcross/http1_server.py
+++ b/lacewingcross/http1_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 listener: counts connections, runs handlers, ends what stalls."""
+"""HTTP/1.1 listener: limits connections, runs handlers and closes stalled callers."""
 
 import asyncio
 from collections import Counter
@@ -8,13 +8,13 @@
 from .http1_connection import (
     HEAD_TIMEOUT_S,
     IDLE_TIMEOUT_S,
-    MAX_HEAD,
+    MAX_HEAD_BYTES,
     FastPath,
     ServerConnection,
 )
 from .http1_exchange import CallerGoneError, Exchange
 
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 
 
 Handler = Callable[[Exchange], Awaitable[None]]
@@ -30,13 +30,13 @@
     now : callable
         Monotonic clock in seconds.
     max_connections : int, default=4000
-        Connections above this number are refused with 503.
+        Further connections are refused with status 503.
     max_connections_each : int, default=4000
-        The same for the connections of one client address.
+        The same limit for the connections of one client address.
     fast_path : FastPath, optional
-        Answers for byte-identical requests.
+        Responses to byte-identical requests.
     on_bad_input : callable, optional
-        Called with a reason for each refused input.
+        Called with the reason code of each refused input.
     """
 
     def __init__(
@@ -50,8 +50,8 @@
         on_bad_input: Callable[[str], None] | None = None,
     ) -> None:
         self._handler = handler
-        self._max = max_connections
-        self._max_each = max_connections_each
+        self._max_connections = max_connections
+        self._max_per_client = max_connections_each
         self._by_client: Counter[str] = Counter()
         self._connections: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
@@ -60,12 +60,12 @@
         self.fast_path = fast_path
         self.on_bad_input = on_bad_input or (lambda reason: None)
         self.closing = False
-        self.max_head = MAX_HEAD
+        self.max_head = MAX_HEAD_BYTES
         self.head_timeout_s = HEAD_TIMEOUT_S
         self.idle_timeout_s = IDLE_TIMEOUT_S
 
     async def start(self, host: str, port: int, ssl: object = None) -> int:
-        """Listen; return the port."""
+        """Start listening; return the port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(self),
@@ -79,16 +79,16 @@
         return self._server.sockets[0].getsockname()[1]
 
     def admit(self, conn: ServerConnection, client: str) -> str:
-        """Count a connection; return why it may not stay, or an empty string."""
+        """Count a connection; return the reason to refuse it, or an empty string."""
         self._connections.add(conn)
         self._by_client[client] += 1
-        if len(self._connections) > self._max:
+        if len(self._connections) > self._max_connections:
             return "too-many-connections"
-        if self._by_client[client] > self._max_each:
+        if self._by_client[client] > self._max_per_client:
             return "too-many-from-caller"
         return ""
 
-    def forget(self, conn: ServerConnection, client: str) -> None:
+    def unregister(self, conn: ServerConnection, client: str) -> None:
         """Stop counting a connection."""
         self._connections.discard(conn)
         self._by_client[client] -= 1
@@ -97,7 +97,7 @@
 
     @property
     def listening(self) -> bool:
-        """Tell whether new connections are accepted."""
+        """Return whether new connections are accepted."""
         return self._server is not None and not self.closing
 
     @property
@@ -106,7 +106,7 @@
         return len(self._connections)
 
     async def run(self, exchange: Exchange) -> None:
-        """Run the handler; an error in it ends that one exchange only."""
+        """Run the handler; an error in it aborts only this connection."""
         try:
             await self._handler(exchange)
         except CallerGoneError:
@@ -117,7 +117,7 @@
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now = self.now()
             for conn in list(self._connections):
                 conn.sweep(now)
@@ -131,7 +131,7 @@
             conn.close_if_idle()
 
     async def close(self) -> None:
-        """Stop, dropping what is open."""
+        """Stop listening and abort all open connections."""
         await self.stop_listening()
         if self._sweeper is not None:
             self._sweeper.cancel()
--- a/lacewingcross/logs.py
+++ b/lacewingcross/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event, never waited for."""
+"""Structured logs: one line of key=value pairs for each event, without blocking."""
 
 import asyncio
 import os
@@ -11,9 +11,9 @@
 from loguru import logger
 
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-# How long lines wait to be written together, in seconds: one system call for many.
+# How long lines are collected, in seconds, to be written with one system call.
 FLUSH_S = 0.05
-BATCH_LINES = 500
+MAX_BATCH_LINES = 500
 _NEEDS_QUOTES = frozenset(' "=\n\t')
 
 
@@ -33,7 +33,7 @@
     level : {"DEBUG", "INFO", "WARNING", "ERROR"}
         Lowest level that is written.
     **context : object
-        Pairs added to every line, such as the host's id.
+        Key-value pairs added to every line, such as the id of the host.
     """
     logger.remove()
     _add(sys.stderr, level, context)
@@ -43,40 +43,50 @@
     sink: TextIO | Callable[[str], None], level: str, context: dict[str, object]
 ) -> None:
     prefix = "".join(f" {key}={_format_value(val)}" for key, val in context.items())
-    form = "ts={time:YYYY-MM-DDTHH:mm:ss.SSSZZ} level={level}" + prefix + " {message}"
-    logger.add(sink, level=level, format=form, colorize=False, catch=True)
+    line_format = (
+        "ts={time:YYYY-MM-DDTHH:mm:ss.SSSZZ} level={level}" + prefix + " {message}"
+    )
+    logger.add(sink, level=level, format=line_format, colorize=False, catch=True)
 
 
 class BoundedOutput:
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Write lines to a file descriptor without blocking.
 
-    Failure: the reader of our output stops or is slow; a blocking write then stops
-    the whole process, and with it every request. Lines wait in a bounded queue
-    instead; what does not fit is dropped and counted, and the count is written when
-    there is room.
+    Failure: the process that reads the log output stops or is slow. A blocking write
+    would then stop the whole process and every request in it. Lines are therefore kept
+    in a bounded queue. Lines that do not fit are dropped and counted, and the count is
+    written as soon as there is room.
 
     Parameters
     ----------
     descriptor : int
-        Where to write; made non-blocking.
-    most_lines : int, default=5000
-        Lines that may wait: about ten seconds of one busy host.
+        File descriptor to write to; it is set to non-blocking mode.
+    max_lines : int, default=5000
+        Limit on queued lines; the default holds about ten seconds of output of one
+        busy host.
     """
 
-    __slots__ = ("_descriptor", "_lines", "_most", "_rest", "_scheduled", "dropped")
+    __slots__ = (
+        "_descriptor",
+        "_lines",
+        "_max_lines",
+        "_scheduled",
+        "_unwritten",
+        "dropped",
+    )
 
-    def __init__(self, descriptor: int, most_lines: int = 5000) -> None:
+    def __init__(self, descriptor: int, max_lines: int = 5000) -> None:
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._lines: deque[str] = deque()
-        self._most = most_lines
-        self._rest = b""
+        self._max_lines = max_lines
+        self._unwritten = b""
         self._scheduled = False
         self.dropped = 0
 
     def write(self, line: str) -> None:
-        """Take in a line; it is written within `FLUSH_S` if the reader keeps up."""
-        if len(self._lines) >= self._most:
+        """Queue a line, which is written within `FLUSH_S` if the reader keeps up."""
+        if len(self._lines) >= self._max_lines:
             self.dropped += 1
             return
         self._lines.append(line)
@@ -93,30 +103,31 @@
     def _flush_again(self) -> None:
         self._scheduled = False
         self.flush()
-        if self._rest or self._lines:
+        if self._unwritten or self._lines:
             self._scheduled = True
             asyncio.get_running_loop().call_later(FLUSH_S, self._flush_again)
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = self._next_batch()
+        """Write as much as the descriptor accepts without blocking."""
+        while self._unwritten or self._lines:
+            if not self._unwritten:
+                self._unwritten = self._next_batch()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more, and there is nowhere left to say so.
-                self.dropped += len(self._lines) + self._rest.count(b"\n")
+                # The reader has closed its end, so the lines are lost and the error
+                # cannot be logged either.
+                self.dropped += len(self._lines) + self._unwritten.count(b"\n")
                 self._lines.clear()
-                self._rest = b""
+                self._unwritten = b""
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
     def _next_batch(self) -> bytes:
         lines = []
-        while self._lines and len(lines) < BATCH_LINES:
+        while self._lines and len(lines) < MAX_BATCH_LINES:
             lines.append(self._lines.popleft())
         if self.dropped:
             lines.append(
@@ -127,7 +138,7 @@
 
 
 def setup_stdout(level: str = "INFO", **context: object) -> BoundedOutput:
-    """Send events at or above `level` to standard output, without waiting for it."""
+    """Send events at or above `level` to standard output, without blocking on it."""
     output = BoundedOutput(sys.stdout.fileno())
     logger.remove()
     _add(output.write, level, context)
@@ -155,7 +166,7 @@
     level : str, default="INFO"
         Level of the line.
     **pairs : object
-        What to say about the event.
+        Key-value pairs that describe the event.
     """
     parts = [f"event={name}"]
     parts.extend(f"{key}={_format_value(val)}" for key, val in pairs.items())
--- a/lacewingcross/operations.py
+++ b/lacewingcross/operations.py
@@ -1,4 +1,4 @@
-"""What operators do, as a library: apply, delete, follow, drain, explain."""
+"""Operator actions as a library: apply, delete, watch, drain, explain."""
 
 import asyncio
 import random
@@ -18,12 +18,12 @@
 from .errors import PlatformError, ResourceError, UserError
 from .platform_client import PlatformClient, StoredObject
 
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 
 
 @dataclass(slots=True, frozen=True)
 class Document:
-    """A resource as written in a file; `version` 0 means whatever is stored."""
+    """A resource as written in a file; `version` 0 matches any stored version."""
 
     kind: str
     name: str
@@ -32,13 +32,13 @@
 
     @property
     def key(self) -> str:
-        """Return the platform key."""
+        """Return the key of the resource in the platform."""
         return res.object_key(self.kind, self.name)
 
 
 @dataclass(slots=True, frozen=True)
 class Applied:
-    """What became of one document."""
+    """The result of applying or deleting one document."""
 
     key: str
     version: int
@@ -47,14 +47,24 @@
 
 @dataclass(slots=True)
 class InForce:
-    """Which hosts have a version in force."""
+    """Which hosts have applied a configuration version (have it in force).
+
+    Attributes
+    ----------
+    wanted : int
+        The version in question.
+    revisions : dict of str to int
+        The newest version that each host has in force.
+    live : set of str
+        Ids of the hosts that the platform lists as live.
+    """
 
     wanted: int
     revisions: dict[str, int] = field(default_factory=dict)
     live: set[str] = field(default_factory=set)
 
     def behind(self) -> list[str]:
-        """Return the live hosts that do not have the version yet."""
+        """Return the live hosts that have not applied the version yet."""
         return sorted(
             host_id
             for host_id in self.live
@@ -68,14 +78,14 @@
     Parameters
     ----------
     data : object
-        One resource, a list of them, or an object with `items`.
+        One resource, a list of resources, or an object with a list in `items`.
     where : str
-        Name of the source, for errors.
+        Name of the source for error messages.
 
     Raises
     ------
     ResourceError
-        Names the place and what was expected.
+        The message names the location and what was expected.
     """
     if isinstance(data, dict) and "items" in data:
         data = data["items"]
@@ -95,12 +105,12 @@
 
 
 class Operator:
-    """Operators' actions against the platform.
+    """Operator actions on the platform.
 
     Parameters
     ----------
     platform : PlatformClient
-        The object API.
+        Client of the object API.
     clock : Clock, optional
         Source of time.
     """
@@ -110,23 +120,24 @@
         self._now = (clock or SystemClock()).monotonic
 
     async def apply(self, document: Document, *, regroup: bool = False) -> Applied:
-        """Create or replace a resource by conditional update.
+        """Create or replace a resource with a conditional write.
 
         Parameters
         ----------
         document : Document
-            What to store.
+            The resource to store.
         regroup : bool, default=False
-            Accept a policy that changes which client group callers belong to.
+            Accept a policy that moves callers to another client group.
 
         Raises
         ------
         UserError
-            With code ``regroup`` for such a policy otherwise: the shift cap counts
-            buckets of a group and cannot see callers that change their group.
+            With code ``regroup`` when a policy moves callers to another client group
+            and `regroup` is false. The shift cap counts the buckets of a group, so it
+            does not limit callers that change their group.
         PlatformError
-            With code ``conflict`` when somebody else was first; the message says
-            who, and which fields differ.
+            With code ``conflict`` when another writer has changed the resource; the
+            message names the writer and the fields that differ.
         """
         try:
             stored = await self.platform.get(document.key)
@@ -138,7 +149,7 @@
             raise self._conflict(document, stored)
         if stored.spec() == document.spec:
             return Applied(document.key, stored.version, "unchanged")
-        changed = _regrouped(stored.spec(), document)
+        changed = _moved_groups(stored.spec(), document)
         if changed and not regroup:
             raise UserError(
                 "regroup",
@@ -152,7 +163,7 @@
         except PlatformError as exc:
             if exc.code not in ("conflict", "not-found"):
                 raise
-            raise await self._lost_race(document, exc) from exc
+            raise await self._conflict_with_stored(document, exc) from exc
         return Applied(document.key, written.version, "updated")
 
     async def _create(self, document: Document) -> Applied:
@@ -161,10 +172,12 @@
         except PlatformError as exc:
             if exc.code != "conflict":
                 raise
-            raise await self._lost_race(document, exc) from exc
+            raise await self._conflict_with_stored(document, exc) from exc
         return Applied(document.key, written.version, "created")
 
-    async def _lost_race(self, document: Document, exc: PlatformError) -> PlatformError:
+    async def _conflict_with_stored(
+        self, document: Document, exc: PlatformError
+    ) -> PlatformError:
         try:
             stored = await self.platform.get(document.key)
         except PlatformError:
@@ -173,30 +186,34 @@
 
     def _conflict(self, document: Document, stored: StoredObject) -> PlatformError:
         winner = stored.writer() or "another writer"
-        differs = ", ".join(differing_fields(stored.spec(), document.spec)) or "nothing"
+        differing = (
+            ", ".join(differing_fields(stored.spec(), document.spec)) or "nothing"
+        )
         return PlatformError(
             "conflict",
-            f"{document.key}: {winner} was first (version {stored.version}); "
-            f"differs in: {differs}; read it again and repeat",
+            f"{document.key}: already changed by {winner} (version {stored.version}); "
+            f"fields that differ: {differing}; read the resource again and repeat",
         )
 
     async def delete(self, kind: str, name: str) -> Applied:
-        """Delete a resource at the version just read."""
+        """Read a resource and delete it at the version that was read."""
         key = res.object_key(kind, name)
         stored = await self.platform.get(key)
         version = await self.platform.delete(key, stored.version)
         return Applied(key, version, "deleted")
 
     async def in_force(self, version: int) -> InForce:
-        """Return which live hosts have `version` in force."""
+        """Return which hosts have `version` in force."""
         listing = await self.platform.hosts()
         reports = await self.platform.list(REPORT_KIND)
         result = InForce(version)
         result.live = {info.host_id for info in listing.hosts if info.listed == LIVE}
         for report in reports.objects:
-            for host_id, said in _reported_hosts(report).items():
-                known = result.revisions.get(host_id, -1)
-                result.revisions[host_id] = max(known, int(said.get("revision", -1)))
+            for host_id, host_report in _reported_hosts(report).items():
+                known_revision = result.revisions.get(host_id, -1)
+                result.revisions[host_id] = max(
+                    known_revision, int(host_report.get("revision", -1))
+                )
         return result
 
     async def wait_in_force(self, version: int, timeout_s: float) -> InForce:
@@ -205,7 +222,8 @@
         Raises
         ------
         UserError
-            With code ``not-in-force`` naming the hosts that lag.
+            With code ``not-in-force`` when `timeout_s` is over; the message names the
+            hosts that have not applied the version.
         """
         deadline = self._now() + timeout_s
         while True:
@@ -214,47 +232,52 @@
             if state.live and not behind:
                 return state
             if self._now() >= deadline:
-                names = ", ".join(behind) or "no live host is listed"
+                names = ", ".join(behind) or "a live host to be listed"
                 raise UserError(
                     "not-in-force", f"version {version}: waiting for {names}"
                 )
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_drained(self, drain: str, timeout_s: float) -> None:
-        """Wait until every backend server of a drain is idle.
+        """Wait until all leaving servers that `drain_progress` counts are idle.
 
         Raises
         ------
         UserError
-            With code ``not-drained`` naming what is still in flight.
+            With code ``not-drained`` when `timeout_s` is over; the message lists the
+            requests still in flight at each server.
         """
         deadline = self._now() + timeout_s
         while True:
-            left = await self.drain_progress(drain)
-            if left is not None and not any(left.values()):
+            remaining = await self.drain_progress(drain)
+            if remaining is not None and not any(remaining.values()):
                 return
             if self._now() >= deadline:
-                raise UserError("not-drained", f"{drain}: in flight {left}")
-            await asyncio.sleep(POLL_S)
+                raise UserError("not-drained", f"{drain}: in flight {remaining}")
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def drain_progress(self, drain: str) -> dict[str, int] | None:
-        """Return requests in flight at each leaving server; None if not seen yet."""
+        """Return the number of requests in flight at each leaving server.
+
+        Included are all leaving servers of the services that the drain applies to.
+        Returns None when some of them are not in the hosts' reports yet.
+        """
         config = await self.config()
-        known = config.drains.get(drain)
-        if known is None:
+        drain_spec = config.drains.get(drain)
+        if drain_spec is None:
             raise UserError("not-found", f"Drain/{drain}: no such resource")
-        in_flight = await self._leaving()
+        in_flight = await self._in_flight_at_leaving_servers()
         wanted = [
             f"{service}/{server_id}"
             for service in config.pools
-            if known.service in ("", service)
+            if drain_spec.service in ("", service)
             for server_id in config.leaving_servers(service)
         ]
         if any(key not in in_flight for key in wanted):
             return None
         return {key: in_flight[key] for key in wanted}
 
-    async def _leaving(self) -> dict[str, int]:
+    async def _in_flight_at_leaving_servers(self) -> dict[str, int]:
         reports = await self.platform.list(REPORT_KIND)
         in_flight: dict[str, int] = {}
         for report in reports.objects:
@@ -264,7 +287,7 @@
         return in_flight
 
     async def config(self) -> Config:
-        """Return the stored configuration, interpreted as hosts do."""
+        """Return the stored configuration, interpreted as on hosts."""
         listing = await self.platform.list(*CONFIG_KINDS)
         config = Config()
         entries = (
@@ -275,12 +298,12 @@
         return config
 
     async def resources(self, *kinds: str) -> list[StoredObject]:
-        """Return stored objects, sorted by key."""
+        """Return the stored objects of the given kinds, sorted by key."""
         listing = await self.platform.list(*kinds)
         return sorted(listing.objects, key=lambda item: item.key)
 
-    async def follow(self, *kinds: str) -> AsyncIterator[StoredObject]:
-        """Yield the stored objects, then every change."""
+    async def watch_resources(self, *kinds: str) -> AsyncIterator[StoredObject]:
+        """Yield the stored objects of the given kinds, then every change to them."""
         listing = await self.platform.list(*kinds)
         for item in sorted(listing.objects, key=lambda item: item.version):
             yield item
@@ -294,19 +317,19 @@
     async def explain(
         self, service: str, address: str, caller: str
     ) -> dict[str, object]:
-        """Return step by step why a caller goes where it goes."""
+        """Return the steps that lead from a caller to its region and entry hosts."""
         config = await self.config()
         if service not in config.policies:
             raise UserError("not-found", f"SteeringPolicy/{service}: no such resource")
-        number = parse_address(address) if address else None
-        if address and number is None:
+        address_number = parse_address(address) if address else None
+        if address and address_number is None:
             raise UserError("bad-address", f"expected an IPv4 address, got {address!r}")
         caller = caller or address
-        group = config.group_of(service, number)
+        group = config.group_of(service, address_number)
         bucket = bucket_of(service, caller)
         stored_plan = config.plans.get(service)
         region = stored_plan.tables[group][bucket] if stored_plan else None
-        hosts = await self._entry_hosts(config, service, number, caller)
+        hosts = await self._entry_hosts(config, service, address_number, caller)
         return {
             "service": service,
             "address": address,
@@ -321,7 +344,7 @@
         }
 
     async def _entry_hosts(
-        self, config: Config, service: str, number: int | None, caller: str
+        self, config: Config, service: str, address_number: int | None, caller: str
     ) -> list[str]:
         listing = await self.platform.hosts()
         if not listing.hosts:
@@ -334,25 +357,36 @@
             plans[service] = EffectivePlan()
             plans[service].adopt(config.plans[service], config.cap(service), now)
         found = answer(
-            config, members, plans, service, number, caller, random.Random(0), now
+            config,
+            members,
+            plans,
+            service,
+            address_number,
+            caller,
+            random.Random(0),
+            now,
         )
         if isinstance(found, LookupRefusal):
             return []
         return [_host_text(info) for info in found.hosts]
 
 
-def _regrouped(stored: object, document: Document) -> str:
-    """Return the client groups whose callers a new policy would move, if any."""
+def _moved_groups(stored: object, document: Document) -> str:
+    """Return the names of the client groups whose callers a new policy would move."""
     if document.kind != res.POLICY:
         return ""
-    before, after = _membership(stored), _membership(document.spec)
+    before, after = _group_members(stored), _group_members(document.spec)
     return ", ".join(
         sorted(name for name in before | after if before.get(name) != after.get(name))
     )
 
 
-def _membership(spec: object) -> dict[str, object]:
-    """Return what decides on the callers of each group: its blocks, its place."""
+def _group_members(spec: object) -> dict[str, object]:
+    """Return what determines the callers of each group.
+
+    These are the address blocks of a group and whether it is the first in the list, and
+    the block table if there is one.
+    """
     groups = spec.get("groups", []) if isinstance(spec, dict) else []
     members = {
         group["name"]: (sorted(group.get("blocks", [])), place == 0)
--- a/lacewingcross/tls.py
+++ b/lacewingcross/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from files, reloaded when the files change."""
+"""TLS contexts that are loaded from files and reloaded when the files change."""
 
 import asyncio
 import ssl
@@ -8,20 +8,21 @@
 from .errors import SettingsError
 from .settings import TlsSettings
 
-RELOAD_S = 2.0
+RELOAD_INTERVAL_S = 2.0
 
 
 class TlsFiles:
-    """Server and client contexts of one process, for mutual TLS under one CA.
+    """Server and client contexts of one process, for mutual TLS under one private CA.
 
-    Membership of the private CA is the proof: whoever has no certificate of it
-    cannot join, read or write. Addresses change with every replaced host, so names in
-    certificates are compared with host ids, not with addresses.
+    A certificate of the private CA is the proof of membership: a process without one
+    cannot join the fleet, read or write. Addresses change whenever a host is replaced,
+    so the names in certificates are compared with host ids and not with addresses.
+    `open_server` does not ask its clients for a certificate.
 
     Parameters
     ----------
     cfg : TlsSettings
-        Names of the certificate chain, its key and the CA.
+        Paths of the certificate chain, its key and the CA.
 
     Raises
     ------
@@ -29,7 +30,7 @@
         With code ``bad-tls`` when a file cannot be used.
     """
 
-    __slots__ = ("_cfg", "_seen", "client", "mutual_server", "open_server")
+    __slots__ = ("_cfg", "_loaded_times", "client", "mutual_server", "open_server")
 
     def __init__(self, cfg: TlsSettings) -> None:
         self._cfg = cfg
@@ -38,7 +39,7 @@
         self.mutual_server = self._context(ssl.PROTOCOL_TLS_SERVER)
         self.mutual_server.verify_mode = ssl.CERT_REQUIRED
         self.open_server = self._context(ssl.PROTOCOL_TLS_SERVER)
-        self._seen = self._stamps()
+        self._loaded_times = self._modification_times()
         self._load()
 
     def _context(self, protocol: int) -> ssl.SSLContext:
@@ -46,7 +47,7 @@
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         return context
 
-    def _stamps(self) -> tuple[int, ...]:
+    def _modification_times(self) -> tuple[int, ...]:
         names = (self._cfg.cert, self._cfg.key, self._cfg.ca)
         try:
             return tuple(Path(name).stat().st_mtime_ns for name in names)
@@ -62,24 +63,25 @@
             raise SettingsError("bad-tls", f"tls: {self._cfg.cert}: {exc}") from exc
 
     async def run(self) -> None:
-        """Take over changed files until cancelled; bad ones leave the old in use.
+        """Reload changed files until cancelled.
 
-        Connections that are open stay; new handshakes use the new certificate.
+        Files that cannot be used are logged, and the previous certificate stays in use.
+        Open connections are kept; new handshakes use the new certificate.
         """
         while True:
-            await asyncio.sleep(RELOAD_S)
+            await asyncio.sleep(RELOAD_INTERVAL_S)
             try:
                 self.reload()
             except SettingsError as exc:
                 logs.event("tls-reload-failed", "ERROR", why=exc.message)
 
     def reload(self) -> bool:
-        """Load the files again if they changed; return whether they did."""
-        stamps = self._stamps()
-        if stamps == self._seen:
+        """Reload the files if they have changed; return whether they had."""
+        modification_times = self._modification_times()
+        if modification_times == self._loaded_times:
             return False
         self._load()
-        self._seen = stamps
+        self._loaded_times = modification_times
         logs.event("tls-reloaded", cert=self._cfg.cert)
         return True
 
--- a/tests/test_embedded_ports.py
+++ b/tests/test_embedded_ports.py
@@ -1,4 +1,4 @@
-"""Ports for listeners of tests, the demo and the soak."""
+"""Choice of listener ports for tests, the demo and the soak."""
 
 import itertools
 import socket
@@ -7,16 +7,18 @@
 from lacewingcross.embedded import free_ports
 
 
-def test_ports_are_none_that_an_outgoing_connection_may_be_given():
-    # A host of a test could not listen for its callers for ten seconds: between the
-    # choice of its port and its start, a connection of another host had been given it.
+def test_ports_are_outside_the_ephemeral_range():
+    # Guards against a listener port that is already in use when its host starts. An
+    # ephemeral port may be assigned to an outgoing connection of another host between
+    # the choice of the port and the start of the listener. A host could not listen for
+    # ten seconds for this reason.
     chosen = list(itertools.islice(free_ports(), 200))
     first, last = Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()
     assert len(set(chosen)) == 200
     assert not any(int(first) <= port <= int(last) for port in chosen)
 
 
-def test_a_port_in_use_is_passed_over():
+def test_a_port_in_use_is_skipped():
     ports = free_ports()
     first = next(ports)
     with socket.socket() as taken:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,15 +1,15 @@
-"""Output that is never waited for."""
+"""Log output that never blocks the process."""
 
 import os
 
 from lacewingcross.logs import BoundedOutput
 
 
-def test_a_reader_that_stops_costs_lines_not_time():
-    # Whoever reads our output stops reading. A write that waited would stop the whole
-    # process, and with it every request.
+def test_a_stopped_reader_loses_lines_but_does_not_block():
+    # The reader of the log output stops reading. A blocking write would stop the whole
+    # process and every request in it.
     reading, writing = os.pipe()
-    output = BoundedOutput(writing, most_lines=100)
+    output = BoundedOutput(writing, max_lines=100)
     line = "x" * 1000 + "\n"
     for _ in range(1000):
         output.write(line)
@@ -25,7 +25,7 @@
     os.close(writing)
 
 
-def test_a_reader_that_is_gone_does_no_harm():
+def test_a_closed_reader_is_tolerated():
     reading, writing = os.pipe()
     output = BoundedOutput(writing)
     os.close(reading)
