--- a/lacewingcross/core/eligibility.py
+++ b/lacewingcross/core/eligibility.py
@@ -12,7 +12,7 @@
 
 
 class Eligibility:
-    """Evacuations, limits of servers, and servers that failed at this host.
+    """Checks servers for evacuations, their own limits, and failures of attempts.
 
     Parameters
     ----------
@@ -85,24 +85,29 @@
         *,
         last_resort: bool,
     ) -> bool:
-        """Return whether a server may be sent a request, see `PassiveHealth.usable`."""
+        """Return whether a server may be sent a request.
+
+        See `PassiveHealth.usable` for `last_resort`.
+        """
         usable = self._usable(server, request, now, last_resort=last_resort)
         return usable and self.may_send(server, request, now)
 
     def may_send(self, server: Server, request: PlacementRequest, now: float) -> bool:
         """Return whether a server itself allows one more request.
 
-        This is checked when the server is chosen, and again just before the first byte
-        is sent: the request may have waited for a connection or a body in between.
+        The server's limits are checked when it is chosen, and again just before the
+        first byte is sent: the request may have waited for a connection or a body in
+        between.
         """
         return self.gate.may_send(server.entry.incarnation, now, urgent=request.urgent)
 
     def wait_s(
         self, servers: Iterable[Server], request: PlacementRequest, now: float
     ) -> float:
-        """Return when the first of some servers allows a request, in seconds.
+        """Return after how many seconds the first of `servers` allows a request.
 
-        Infinity if that is not known of any server that could take it otherwise.
+        Infinity if the end is not known for any server that, apart from its own limits,
+        may take the request.
         """
         soonest_s = float("inf")
         for server in servers:
@@ -131,6 +136,10 @@
         return not server.cold(now) or self._has_cold_room(server, now)
 
     def _has_cold_room(self, server: Server, now: float) -> bool:
+        """Return whether a cold server may get one more request from this host now.
+
+        Only hosts of the server's own region may send to it while it is cold.
+        """
         declared = self._services.get(server.entry.service)
         if declared is None or server.region != self._region:
             return False
@@ -143,10 +152,14 @@
         return server.cold_sends.has_room(limit, now)
 
     def learn_outcome(self, service: str, *, failed: bool) -> None:
-        """Add an outcome of an attempt to the service's share of failures."""
+        """Add the outcome of an attempt to the service's share of failed attempts."""
         self._failures.setdefault(service, FailureShare()).add(failed)
 
     def failing_alike(self, service: str) -> bool:
-        """Return whether failures are common to all servers of a service."""
+        """Return whether all servers of a service are taken to fail.
+
+        That is so when more than 30 % of this host's recent attempts at the service
+        failed, see `FailureShare`. The servers are not compared.
+        """
         failures = self._failures.get(service)
         return failures is not None and failures.is_common()
--- a/lacewingcross/core/homes.py
+++ b/lacewingcross/core/homes.py
@@ -3,12 +3,13 @@
 The home of a key is the server that rendezvous hashing gives the key.
 
 Designed for a few objects per server in three regions, where a cold run costs far more
-than a network round trip between regions. When requests spilled from each region's home
-to the homes of the other regions, each object was cold on many servers in turn, and
-cold runs filled the slots. So a request that finds the local home full goes to the one
-home that all regions share, which is warm (it has handled the object recently). If both
-homes came from one order over all regions, more requests would run in another region
-than their caller's.
+than a network round trip between regions. When requests went from the full home of each
+region on to the homes of the other regions, each object was cold on many servers in
+turn, and cold runs filled the slots. So a request that finds the local home full goes
+to the one home that all regions share, which is warm (it has handled the object
+recently). Both homes come from one order over all regions: its first server, and the
+next one of this host's region. If the first two servers were used unchanged, more
+requests would run in another region than their caller's.
 """
 
 from .backend_state import Server
@@ -24,7 +25,7 @@
     Parameters
     ----------
     region : str
-        Region of this host.
+        Region of this host; empty for keys without a local home.
     """
 
     __slots__ = ("_by_service", "_orders", "_region")
@@ -49,13 +50,14 @@
             self._orders.pop(service, None)
 
     def of_service(self, service: str) -> list[Server]:
-        """Return the servers of a service."""
+        """Return the servers of a service, in the order in which they were added."""
         return self._by_service.get(service, [])
 
     def order(self, service: str, key: str) -> list[Server]:
         """Return the servers of a service: the key's home, the local home, the others.
 
-        The local home is the first server of this host's region after the home itself.
+        The local home is the first server of this host's region after the key's home.
+        Without such a server, the order is that of rendezvous hashing.
         """
         orders = self._orders.setdefault(service, {})
         order = orders.get(key)
--- a/lacewingcross/core/placement_types.py
+++ b/lacewingcross/core/placement_types.py
@@ -10,9 +10,11 @@
 class PlacementRequest:
     """The properties of a request that decide on its backend server.
 
-    `kind` names the sort of work (the route); `urgent` requests may also wait at a
-    server whose slots are all taken; `regions` are those that may serve the request,
-    empty for all; `tried` are servers that the request was sent to before.
+    `key` is the affinity key, empty for none. `kind` names the sort of work (the
+    route), and `target_s` is the time within which operators want a response. `regions`
+    may serve the request, empty for all. One more `urgent` request may wait at a server
+    whose slots are all taken than other requests. `tried` are the ids of servers to
+    which the request was sent before.
     """
 
     service: str
@@ -28,8 +30,9 @@
 class Choice:
     """The server that gets the request, and the times expected there (`estimate`).
 
-    `object_name` names the request's object, `busy` is how many requests were believed
-    to be at the server, and `why` says which of the key's servers it is.
+    `object_name` names the request's object, empty for a request without a key. `busy`
+    is how many requests were believed to run or wait at the server. `why` is the name
+    of the server's place in the key's order, see `placement.HOME_NAMES`.
     """
 
     server: Server
--- a/lacewingcross/core/rate_limits.py
+++ b/lacewingcross/core/rate_limits.py
@@ -3,8 +3,9 @@
 Designed for an overloaded server that accepts a few requests per second from all hosts
 together, while its keys attract several times as many at each of them. Hosts exchange
 nothing about single requests: a bounded number of hosts each have an equal share of the
-rate, including hosts that receive nothing from each other, and all other hosts skip the
-server. Credit is the number of requests that a host may send now.
+rate, including hosts that receive nothing from each other. The other hosts skip the
+server, apart from single requests by which they check an outdated rate. Credit is the
+number of requests that a host may send now.
 """
 
 from collections.abc import Collection, Iterator
@@ -13,39 +14,47 @@
 from .backend_state import Incarnation
 from .rendezvous import ranked
 
-# Credit that a request needs beyond its own, in requests, unless it is urgent.
+# Credit that a host must have left after a request that is not urgent, in requests. It
+# is kept for urgent requests.
 URGENT_RESERVE = 0.2
-# Lower limit of the credit that each sharing host may save up, in requests.
+# Each sharing host may save up at least this credit, in requests. It is also the credit
+# at the first statement of a server, and what a request that is not urgent needs.
 MIN_CREDIT = 1.0 + URGENT_RESERVE
-# Fraction of what the bound allows beyond the rate itself that saved credit may use.
-# The rest is for hosts that do not agree yet on which hosts share, and for requests
-# that are under way.
+# The bound (`RateBound`) allows more requests in a window than the rate itself. Saved
+# credit may use this fraction of the surplus. The rest is for hosts that do not agree
+# yet on which hosts share the rate, and for requests that are under way.
 SAVINGS_FRACTION = 0.6
-# Lower limit of a server's rate, in requests per second over all hosts. A lower rate
-# counts as this one: only a response shows that a server accepts requests again.
+# Lower limit of a server's rate, in requests per second from all hosts together. A
+# lower rate counts as this one: only a response shows that a server accepts requests
+# again.
 MIN_RATE_PER_S = 0.25
-# Hosts without a share rely on a stated rate for this long, in seconds. Then they send
-# one request each in rotation, to see whether the rate still holds.
+# Hosts without a share of a server's rate rely on the rate for this long after it was
+# last known to hold, in seconds. Then they send one request each in rotation, to see
+# whether the rate still holds.
 RATE_VALID_S = 30.0
 # Position of a host that is not serving: it sends nothing to servers with a limit.
 NO_POSITION = -1
-# A server's statement is kept for this long, in seconds, after it was withdrawn or the
-# server is gone: another host may report an earlier statement later.
+# A statement that the server has withdrawn, or whose server is gone, is kept for this
+# long after it was last known to hold (`RateLimit.at`), in seconds: another host may
+# report an earlier statement later.
 REMEMBERED_S = 60.0
 
 
 @dataclass(slots=True, frozen=True)
 class RateBound:
-    """The bound that all hosts keep: at most `most` requests in any `window_s`.
+    """The bound on the requests that one server may get from all hosts together.
+
+    In any window of `window_s`, a server gets at most `most(rate)` requests, where the
+    rate is what the server states, in requests per second.
 
     Parameters
     ----------
     window_s : float
         Length of the window, in seconds.
     excess : float
-        Fraction of the rate that is allowed on top.
+        Fraction of the rate that is allowed on top of the rate.
     slack : float
-        Requests allowed on top of that.
+        Number of requests that are allowed on top of both in a window.
     """
 
     window_s: float = 4.0
@@ -57,27 +66,43 @@
         return rate * self.window_s * (1 + self.excess) + self.slack
 
     def max_sharers(self, rate: float) -> int:
-        """Return the maximum number of hosts that may save up credit for one server."""
+        """Return the maximum number of hosts that may share the rate of one server."""
         return max(1, int(self._savings(rate) / MIN_CREDIT))
 
     def credit_each(self, rate: float, sharers: int) -> float:
-        """Return the credit that each sharing host may save up, in requests."""
+        """Return the credit that each of `sharers` hosts may save up, in requests."""
         return max(MIN_CREDIT, self._savings(rate) / sharers)
 
     def _savings(self, rate: float) -> float:
+        """Return the credit that all hosts together may save up, in requests."""
         spare = rate * self.window_s * self.excess + self.slack
         return spare * SAVINGS_FRACTION
 
 
 @dataclass(slots=True)
 class RateLimit:
-    """The last statement of one run of a server; `rate` is None if it states no limit.
+    """The last statement of one run of a server, and this host's share of its rate.
 
-    `at` is when the statement was known to hold, by this host's clock: when a response
-    with a rate arrived, or when the request was sent whose response stated no rate.
-    `own` is true if this host received the response itself. `tried_at` is when this
-    host last sent a request without having a share; it may do so at its `position` in a
-    rotation of `positions` hosts. It saves up at most `max_credit` requests.
+    Attributes
+    ----------
+    rate : float or None
+        Requests per second that the server accepts from all hosts together; None if it
+        states no limit.
+    at : float
+        When the statement was last known to hold, by this host's clock: when a response
+        with a rate arrived, or when the request was sent whose response stated no rate.
+    own : bool
+        Whether this host received the current rate in a response itself. That stays so
+        when another host later reports the same rate.
+    share : float
+        Requests per second that this host may send; 0 for a host without a share.
+    credit, max_credit : float
+        Credit at `credited_at`, and its upper limit, in requests.
+    tried_at : float
+        When this host last sent a request without having a share.
+    position, positions : int
+        Hosts without a share probe in rotation: this host in position `position`, from
+        0, of `positions`. The last position belongs to no host.
     """
 
     rate: float | None
@@ -110,14 +135,15 @@
     host_id : str
         Id of this host.
     bound : RateBound, optional
-        The bound that all hosts keep.
+        Bound on the requests that one server may get from all hosts together.
 
     Attributes
     ----------
     version : int
-        Grows whenever this host itself has received something new.
+        Grows whenever a response to this host changes the rate of a server, or confirms
+        a statement that is older than `RATE_VALID_S`.
     skipped : int
-        How often a server was skipped because of its rate.
+        How often `may_send` did not allow a request.
     """
 
     __slots__ = ("_bound", "_by_server", "_host_id", "_hosts", "skipped", "version")
@@ -125,7 +151,8 @@
     def __init__(self, host_id: str, bound: RateBound | None = None) -> None:
         self._bound = bound or RateBound()
         self._by_server: dict[Incarnation, RateLimit] = {}
-        # As long as the serving hosts are not known, this host has no share.
+        # Hosts that may send requests to servers. While it is empty, this host has no
+        # share of any rate.
         self._hosts: frozenset[str] = frozenset()
         self._host_id = host_id
         self.skipped = 0
@@ -136,20 +163,20 @@
     ) -> bool:
         """Process a response of a server to a request that was sent at `asked_at`.
 
-        Guards against a late response from before the server stated its rate, which
-        comes over a link that loses packets and would end the limit. So a response
-        without a rate counts only if its request was sent after the last response that
-        stated one had arrived.
+        Guards against a late response: on a link that loses packets, a response from
+        before the server stated its rate arrives after the statement and would end the
+        limit. So a response without a rate counts only if its request was sent after
+        the last response with a rate had arrived.
 
         Returns
         -------
         changed : bool
-            Whether that changes the rate.
+            Whether the response changes the known rate.
         """
         at = now if rate is not None else asked_at
         known = self._by_server.get(server)
-        # The rotation starts at the last known statement, so all hosts need to learn of
-        # a renewed one.
+        # The rotation of the probing hosts starts when the statement was last known to
+        # hold, so all hosts need to learn that an outdated statement was confirmed.
         outdated = known is not None and now - known.at > RATE_VALID_S
         changed = self._apply(server, rate, at, now, own=True)
         if changed or outdated:
@@ -164,7 +191,7 @@
         Returns
         -------
         changed : bool
-            Whether that changes the rate.
+            Whether the report changes the known rate.
         """
         return self._apply(server, rate, at, now, own=False)
 
@@ -181,7 +208,8 @@
         if known is None:
             if rate is None:
                 return False
-            # The bound applies only some seconds after the first statement.
+            # Some credit may be given at once, since the bound applies only some
+            # seconds after the first statement.
             known = RateLimit(None, at, own, credit=MIN_CREDIT, credited_at=now)
             self._by_server[server] = known
         elif at <= known.at:
@@ -195,20 +223,23 @@
         return True
 
     def own_observations(self) -> Iterator[tuple[Incarnation, RateLimit]]:
-        """Yield the statements that this host received itself and still keeps."""
+        """Yield the statements whose rate this host received in a response itself."""
         return (item for item in self._by_server.items() if item[1].own)
 
     def share_of(self, server: Incarnation) -> float:
-        """Return how many requests per second this host may send; infinity for any."""
+        """Return this host's share of a server's rate, in requests per second.
+
+        Infinity if the server states no limit.
+        """
         limit = self._by_server.get(server)
         return float("inf") if limit is None or limit.rate is None else limit.share
 
     def in_force(self) -> Iterator[tuple[Incarnation, RateLimit]]:
-        """Yield the servers that state a rate, and their limits."""
+        """Yield the runs of servers that state a rate, and their limits."""
         return (item for item in self._by_server.items() if item[1].rate is not None)
 
     def set_hosts(self, hosts: Collection[str], now: float) -> None:
-        """Set which hosts may send requests to servers."""
+        """Set which hosts may send requests to servers, and update the shares."""
         if self._hosts == hosts:
             return
         self._hosts = frozenset(hosts)
@@ -233,7 +264,10 @@
         limit.positions = max(1, len(order) - max_sharers + 1)
 
     def forget_old(self, now: float, known: Collection[str]) -> None:
-        """Drop what is no longer needed; `known` are the ids of known servers."""
+        """Drop outdated statements; `known` are the ids of known servers.
+
+        A rate that a known server states is kept however old it is.
+        """
         outdated = [
             server
             for server, limit in self._by_server.items()
@@ -244,7 +278,7 @@
             del self._by_server[server]
 
     def may_send(self, server: Incarnation, now: float, *, urgent: bool) -> bool:
-        """Return whether a request may go to a server.
+        """Return whether a request may go to a server; count in `skipped` if not.
 
         Parameters
         ----------
@@ -253,7 +287,7 @@
         now : float
             Monotonic time in seconds.
         urgent : bool
-            Whether the request has precedence over requests that are not urgent.
+            Whether the request may use the credit that is reserved for urgent requests.
         """
         if not self._by_server:
             return True
@@ -270,9 +304,9 @@
     def _may_probe(self, limit: RateLimit, now: float) -> bool:
         """Return whether this host, without a share, may check if a rate still holds.
 
-        Guards against a burst: no host sends a request to a server for long, then all
-        hosts get one for it at once, each considers the known rate outdated, and
-        together they send too many.
+        Guards against a burst: after a long time without requests for a server, all
+        hosts get one at once. Each considers the known rate outdated, and together they
+        would send too many. In rotation, one host at most sends in each window.
         """
         if now - max(limit.at, limit.tried_at) <= RATE_VALID_S:
             return False
@@ -280,7 +314,10 @@
         return position == limit.position
 
     def sent(self, server: Incarnation, now: float) -> None:
-        """Count a request whose first byte is sent."""
+        """Count a request whose first byte is sent.
+
+        The request takes one credit from a host with a share of the server's rate.
+        """
         limit = self._by_server.get(server)
         if limit is None or limit.rate is None:
             return
@@ -291,9 +328,9 @@
             limit.tried_at = now
 
     def wait_s(self, server: Incarnation, now: float) -> float:
-        """Return when this host may send to a limited server, in seconds.
+        """Return after how many seconds a request that is not urgent may be sent.
 
-        0 if the server states no limit, infinity if this host has no share.
+        0 if the server states no limit, infinity if this host has no share of its rate.
         """
         limit = self._by_server.get(server)
         if limit is None or limit.rate is None:
--- a/lacewingcross/core/routes.py
+++ b/lacewingcross/core/routes.py
@@ -8,7 +8,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Part:
-    """One service of a route and its share of the route's requests."""
+    """One service of a route.
+
+    The service gets a share of the route's requests in proportion to its `weight`.
+    """
 
     service: str
     weight: float
@@ -16,7 +19,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """One route as operators declared it; durations in seconds."""
+    """One route as operators declared it; durations in seconds.
+
+    `host_name` and `prefix` select the requests of the route. `target_s` is the time
+    within which operators want a response. The lower `priority` is, the more urgent are
+    the requests. `home_regions` are the regions to which the requests are bound, empty
+    for none.
+    """
 
     name: str
     host_name: str
@@ -37,8 +46,10 @@
 class Service:
     """What operators declare about a service.
 
-    `cold_rate` is how many requests per second a server tolerates while it is cold,
-    that is, just after its start.
+    `max_connections` is the limit on open connections to one server, from all hosts
+    together. A server is cold for a while after its start, and for `cold_start_s`
+    seconds after an evacuation of its failure domain ends. While it is cold, it
+    tolerates `cold_rate` requests per second from all hosts together.
     """
 
     name: str
@@ -50,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerLimits:
-    """Limits on what a caller may send, and how long it may take."""
+    """Limits on what a caller may send, in bytes, and how long it may take."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 64 * 1024 * 1024
@@ -92,10 +103,10 @@
         return None
 
     def home_regions(self, host_name: str) -> frozenset[str]:
-        """Return the regions to which all bound routes of a host name may go.
+        """Return the regions that all bound routes of a host name have in common.
 
-        Empty if no route of that host name is bound to regions, or if those that are
-        have no region in common.
+        A route is bound if it has home regions. The result is empty if no route of the
+        host name is bound, or if the bound routes have no region in common.
         """
         bound = [r.home_regions for r in self._by_host.get(host_name, ())]
         bound = [regions for regions in bound if regions]
--- a/lacewingcross/core/waiting_requests.py
+++ b/lacewingcross/core/waiting_requests.py
@@ -7,21 +7,23 @@
 
 
 class WaitingRequests:
-    """Waiting requests for each service and region.
+    """Requests that wait for a permit, in one queue for each service and region.
 
-    Entries stay in their queue when a request stops waiting and are dropped when they
-    come to the front, so that adding and taking cost the same however many wait.
+    The region is the one to which a request is steered. An entry of a request that no
+    longer waits stays in its queue until it comes to the front, and is dropped there.
+    So adding and taking cost the same however many requests wait.
 
     Parameters
     ----------
     is_open : callable
-        Returns whether a request state is still one of the host's requests.
+        Returns whether the host still handles a request, given its state.
     """
 
     __slots__ = ("_is_open", "_queues")
 
     def __init__(self, is_open: Callable[[RequestState], bool]) -> None:
         self._is_open = is_open
+        # Requests and when each of them asked for its permit.
         self._queues: dict[tuple[str, str], deque[tuple[RequestState, float]]] = (
             defaultdict(deque)
         )
@@ -32,10 +34,12 @@
         queue.append((state, state.asked_at))
 
     def _still_waits(self, state: RequestState, asked_at: float) -> bool:
+        """Return whether a request still waits for what it asked for at `asked_at`."""
         waits = state.phase is Phase.PERMIT and state.asked_at == asked_at
         return waits and self._is_open(state)
 
     def _front(self, queue: deque[tuple[RequestState, float]]) -> RequestState | None:
+        """Return the oldest request that still waits; drop the entries before it."""
         while queue and not self._still_waits(*queue[0]):
             queue.popleft()
         return queue[0][0] if queue else None
@@ -43,7 +47,11 @@
     def take_for(
         self, service: str, region: str, held: HeldPermit, now: float
     ) -> RequestState | None:
-        """Remove and return the oldest request if it can use the permit, else None."""
+        """Remove and return the oldest waiting request if it can use the permit.
+
+        Return None if no request waits, if the oldest one is to be refused by now, if
+        it waits for another keeper, or if it must avoid the server of the permit.
+        """
         queue = self._queues[service, region]
         state = self._front(queue)
         if state is None or now >= state.give_up_at:
