--- a/lacewingcross/core/backend_state.py
+++ b/lacewingcross/core/backend_state.py
@@ -9,7 +9,8 @@
 # Identifies one run of a server: its id, and when it started (see `born_ms`).
 Incarnation = tuple[str, int]
 
-# A load report is used for this long, in seconds; then counts of hosts are more recent.
+# A server's report of its load is used for this long, in seconds. After that, the
+# hosts' own counts of requests in flight are more recent.
 MAX_REPORT_AGE_S = 0.15
 
 
@@ -19,6 +20,8 @@
 
     A server that starts again may keep its id; `born_ms`, its start time in Unix
     milliseconds, tells its runs apart. It is 0 for servers that do not report it.
+    `slots` is how many requests the server runs at a time. The server is cold for
+    `cold_left_s` more seconds, see `Server.cold`.
     """
 
     server_id: str
@@ -42,12 +45,14 @@
 
     entry: ServerEntry
     region: str
-    # When any host last had a request in flight there; at first, when it became known.
+    # When this host last sent an attempt there, or another host last reported requests
+    # in flight there or the end of them; at first, when the server became known.
     used_at: float
     cold_until: float = 0.0
-    # Requests in flight from this host, and from each of the other hosts.
+    # Number of requests in flight from this host, and from each other host by its id.
     own: int = 0
     of_peers: dict[str, int] = field(default_factory=dict)
+    # Number of requests that run or wait there, as the server itself reported when.
     reported: int = 0
     reported_at: float = float("-inf")
     cold_sends: ColdSends = field(default_factory=ColdSends)
@@ -62,7 +67,7 @@
         return max(counted, self.reported)
 
     def idle_s(self, now: float) -> float:
-        """Return for how long no host has had a request in flight there, in seconds."""
+        """Return the time since `used_at`, in seconds; 0 with requests in flight."""
         if self.own or self.of_peers:
             return 0.0
         return now - self.used_at
--- a/lacewingcross/core/completion.py
+++ b/lacewingcross/core/completion.py
@@ -11,10 +11,10 @@
 from .estimate import ServiceTimes
 from .work_times import KindTimes
 
-# Factor on the service time at a server that has just started. Both users state this
-# factor for their servers.
+# Factor on the service time at a cold server (`Server.cold`), such as one that has just
+# started. Both users state this factor for their servers.
 COLD_SERVER_FACTOR = 2.0
-# Service time assumed for a service before any response, in seconds.
+# Mean service time assumed for a service before any response, in seconds.
 INITIAL_SERVICE_TIME_S = 0.2
 # Lower limit of a service time, in seconds: a response may return sooner than the
 # measured network round trip, and no wait can be computed from a service time of zero.
@@ -23,7 +23,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Estimate:
-    """Times that a request is expected to meet at a server, in seconds."""
+    """Times that a request is expected to take at a server, in seconds.
+
+    `network_s` is the network round trip, `wait_s` the wait for a slot, and `warm` is
+    whether the server has handled the object recently.
+    """
 
     network_s: float
     wait_s: float
@@ -48,7 +52,10 @@
         self.rtt_s: dict[str, float] = {}
 
     def kind(self, name: str, target_s: float) -> KindTimes:
-        """Return the service times of a kind of request."""
+        """Return the service times of a kind of request.
+
+        `target_s` is used only when the kind is new; later targets are ignored.
+        """
         times = self._by_kind.get(name)
         if times is None:
             times = KindTimes(target_s)
@@ -63,20 +70,20 @@
         )
 
     def network_s(self, server: Server) -> float:
-        """Return the network round trip to a server, in seconds."""
+        """Return the network round trip to a server, in seconds; 0 if unknown."""
         return self.rtt_s.get(server.region, 0.0)
 
     def estimate(
         self, server: Server, key: str, times: KindTimes, now: float
     ) -> Estimate:
-        """Return the times that a request with `key` is expected to meet at a server.
+        """Return the times that a request is expected to take at a server.
 
         Parameters
         ----------
         server : Server
             Candidate.
         key : str
-            Affinity key, empty for none: then no server is warm.
+            Name of the request's object, empty for none: then no server is warm.
         times : KindTimes
             Times of the request's kind.
         now : float
--- a/lacewingcross/core/departures.py
+++ b/lacewingcross/core/departures.py
@@ -1,8 +1,8 @@
 """Backend servers that announced in a response that they are shutting down.
 
-An announcement counts from the first such response on and for good: the store may
-receive it many seconds later, and an older entry of the server must not bring the
-server back. It does not apply to another run of the server.
+An announcement applies from the first such response on and for good: the store may
+receive the announcement many seconds later, and an older entry of the server must not
+bring the server back. The announcement does not apply to another run of the server.
 """
 
 from collections import OrderedDict
@@ -10,8 +10,9 @@
 
 from .backend_state import Incarnation
 
-# Number of announcements that are kept; the oldest are dropped first. A store that was
-# unreachable for long brings old entries back when it returns.
+# Number of announcements that are kept; the oldest are dropped first. They are not
+# dropped by age: after a long outage, the store may still list servers that announced
+# their shutdown before it.
 MAX_DEPARTURES_KEPT = 4096
 
 
@@ -21,9 +22,9 @@
     Attributes
     ----------
     version : int
-        Grows whenever this host itself has received something new.
+        Grows whenever this host itself receives the first announcement of a run.
     skipped : int
-        How often a server was skipped.
+        How often `may_send` did not allow a request.
     """
 
     __slots__ = ("_leaving", "skipped", "version")
@@ -35,7 +36,7 @@
         self.version = 0
 
     def observe(self, server: Incarnation) -> bool:
-        """Record an announcement to this host; return whether it is new."""
+        """Record an announcement to this host; return whether it was unknown."""
         known = self._leaving.get(server)
         if known:
             return False
@@ -44,7 +45,7 @@
         return known is None
 
     def learn_from_peer(self, server: Incarnation) -> bool:
-        """Record an announcement to another host; return whether it is new."""
+        """Record an announcement to another host; return whether it was unknown."""
         if server in self._leaving:
             return False
         self._keep(server, own=False)
@@ -67,7 +68,7 @@
         return server in self._leaving
 
     def may_send(self, server: Incarnation) -> bool:
-        """Return whether a request may go to a server."""
+        """Return whether a request may go to a server; count in `skipped` if not."""
         leaves = server in self._leaving
         self.skipped += leaves
         return not leaves
--- a/lacewingcross/core/passive_health.py
+++ b/lacewingcross/core/passive_health.py
@@ -1,18 +1,22 @@
 """Outcomes of this host's attempts at a backend server, and whether to skip it."""
 
-# Pause after the first failed connection attempt, doubled with each further one.
+# Time for which a server is skipped after the first failed connection attempt or
+# silence, in seconds. It doubles with each further one, up to the maximum, until a
+# response.
 CONNECT_PAUSE_S = 0.5
 CONNECT_PAUSE_MAX_S = 4.0
 # Weight of the newest outcome in the share of failures: about the last eight count.
 FAILURE_WEIGHT = 0.12
-# A server that fails more than this share of its requests is skipped. Healthy servers
-# fail a few in a hundred because of invalid responses.
+# A server that fails more than `MAX_FAILURE_SHARE` of its recent attempts is skipped
+# for `FAILURE_PAUSE_S` seconds. Healthy servers fail a few in a hundred because of
+# invalid responses.
 MAX_FAILURE_SHARE = 0.35
 FAILURE_PAUSE_S = 1.5
-# Failures at all servers of a service: weight of the newest outcome, and the share from
-# which on failures count as common to all servers. Skipping servers then only makes
-# keys cold elsewhere: when every server sheds, a key wanders over all of them. A key is
-# cold at a server that has not handled it recently.
+# Failures at a service: weight of the newest outcome in the share of failed attempts,
+# and the share above which all servers of the service are taken to fail. Skipping
+# servers then only makes keys cold elsewhere: when every server sheds, the requests of
+# a key go to one server after another. A key is cold at a server that has not handled
+# it recently.
 COMMON_WEIGHT = 0.05
 COMMON_THRESHOLD = 0.3
 FAILING = "failing"
@@ -21,7 +25,14 @@
 
 
 class PassiveHealth:
-    """Outcomes of this host's attempts at one server."""
+    """Outcomes of this host's attempts at one server.
+
+    Attributes
+    ----------
+    why : str
+        Why the server was last skipped: `FAILING`, `SILENT` or `UNREACHABLE`. Empty if
+        it never was.
+    """
 
     __slots__ = (
         "_connect_pause_s",
@@ -36,7 +47,10 @@
         self._connect_pause_s = CONNECT_PAUSE_S
         self._failed_share = 0.0
         self._paused_until = 0.0
+        # Attempts in flight by id: since when the server is silent for the attempt, and
+        # the silence timeout in seconds.
         self._pending: dict[int, tuple[float, float]] = {}
+        # Whether only one attempt may be in flight after the pause, until a response.
         self._trial_after = False
         self.why = ""
 
@@ -45,9 +59,13 @@
         self._pending[attempt_id] = (now, silence_timeout_s)
 
     def answered(self, attempt_id: int, now: float, *, good: bool) -> None:
-        """Record a complete response; `good` is False for the server's own failures."""
+        """Record a complete response.
+
+        `good` is False for a response that reports a failure of the server itself.
+        """
         self._pending.pop(attempt_id, None)
-        # The silence timeout of other pending attempts restarts: the server responds.
+        # The silence timeouts of the other pending attempts restart: the server is not
+        # silent.
         for other_id, (_, silence_timeout_s) in self._pending.items():
             self._pending[other_id] = (now, silence_timeout_s)
         self._connect_pause_s = CONNECT_PAUSE_S
@@ -60,7 +78,11 @@
         self._add_outcome(True, now)
 
     def shed(self, attempt_id: int, now: float, *, full: bool) -> None:
-        """Record that the server shed an attempt; `full` if it had no free slot."""
+        """Record that the server shed an attempt.
+
+        A full server, one without a free slot, sheds as it should. With free slots
+        (`full` is False), shedding counts as a failure.
+        """
         self._pending.pop(attempt_id, None)
         if not full:
             self._add_outcome(True, now)
@@ -69,8 +91,9 @@
         """Record an attempt that timed out without a response.
 
         Guards against a server that loses power with its connections open: each request
-        sent there waits in vain, so the server is skipped like one that cannot be
-        reached. A server that has answered other attempts meanwhile is only busy.
+        sent there would wait in vain. So a server that was silent for the silence
+        timeout is skipped like one that cannot be reached. A server that has answered
+        other attempts meanwhile is only busy.
         """
         silent_since, silence_timeout_s = self._pending.pop(attempt_id, (now, 0.0))
         self._add_outcome(True, now)
@@ -86,7 +109,8 @@
         """Record that the server has crashed, as found by this host or another one.
 
         The server is skipped for as long as its entry may still be stored: the entry
-        expires after three heartbeats, and a new run has a new incarnation.
+        expires after three heartbeats. A new run of the server has a new incarnation
+        and is not skipped.
         """
         self._pause(CONNECT_PAUSE_MAX_S, UNREACHABLE, now)
 
@@ -95,7 +119,7 @@
         self._connect_pause_s = min(CONNECT_PAUSE_MAX_S, self._connect_pause_s * 2)
 
     def abandoned(self, attempt_id: int) -> None:
-        """Record that the result of attempt `attempt_id` is no longer awaited."""
+        """Record that attempt `attempt_id` ended without an outcome of the server."""
         self._pending.pop(attempt_id, None)
 
     def _add_outcome(self, failed: bool, now: float) -> None:
@@ -110,17 +134,22 @@
         self.why = why
 
     def silent(self, now: float) -> bool:
-        """Return whether a response is overdue and no other attempt was answered."""
+        """Return whether the server is silent for a pending attempt.
+
+        That is so when no attempt at the server was answered within the silence timeout
+        of the pending one.
+        """
         return any(
             now - since > timeout_s for since, timeout_s in self._pending.values()
         )
 
     def usable(self, now: float, *, last_resort: bool = False) -> bool:
-        """Return whether the server may be sent a request.
+        """Return whether the server may be sent a request; note a silence in `why`.
 
-        After a pause one request goes first; the others follow when it is answered.
-        When no other server is left (`last_resort`), a server that fails only now and
-        then is used after all, since it answers most of its requests.
+        After a pause one request goes first; other requests follow when the server has
+        answered it. When no other server is left, or all servers of the service are
+        taken to fail (`last_resort`), a server that was skipped for its share of
+        failures is used after all, since it may still answer.
         """
         if last_resort and self.why == FAILING:
             return not self.silent(now)
@@ -133,7 +162,11 @@
 
 
 class FailureShare:
-    """The share of a service's attempts that its servers failed, at this host."""
+    """The share of this host's attempts at a service that failed.
+
+    Recent outcomes weigh more. Attempts that timed out or could not connect are not
+    among them.
+    """
 
     __slots__ = ("_share",)
 
@@ -145,5 +178,5 @@
         self._share += COMMON_WEIGHT * (failed - self._share)
 
     def is_common(self) -> bool:
-        """Return whether failures are common to all servers of the service."""
+        """Return whether the share is so large that all servers are taken to fail."""
         return self._share > COMMON_THRESHOLD
--- a/lacewingcross/core/placement.py
+++ b/lacewingcross/core/placement.py
@@ -23,30 +23,36 @@
 from .send_gate import SendGate
 from .work_times import KindTimes
 
-# Servers that a key may use without being warm there. With one, a key whose server is
-# busy waits although another server is free; with three, each key is cold once more.
+# Number of usable servers that a key may use although they are not warm for it. With
+# one, the requests of a key whose server is busy wait although another server is free;
+# with three, each key is cold on one more server.
 HOMES_PER_KEY = 2
 # A request may wait for this multiple of what the target leaves beside network round
-# trip and service time. It is late then, but a warm server still answers it sooner than
-# a refusal and a second attempt would.
+# trip and service time. Its response then misses the target, but a warm server still
+# answers it sooner than a second attempt after a refusal would.
 MAX_WAIT_FACTOR = 2.0
-# At least this many requests may wait at a server, also while all servers are cold:
-# each request that is refused a slot makes another server warm for its object.
+# At least this many requests may wait at a server, also at one that is cold for their
+# object: each request that finds no room there makes another server warm for its
+# object.
 MIN_WAITING = 1
 # Lower limit of the silence timeout of a server, in seconds.
 MIN_SILENCE_TIMEOUT_S = 0.35
-# Relative jitter of pauses around the expected wait, so that callers that were refused
-# together do not return together.
+# Relative jitter of the retry delays that refused callers get, so that callers refused
+# together do not retry together: 0.5 to 1.5 times the service's mean service time, or
+# 1 to 1.5 times the wait that the servers ask for.
 PAUSE_JITTER = 0.5
-# Shortest and longest pause for a caller whose request was shed by a server with free
-# slots, in seconds: long enough to open a connection.
+# Shortest and longest retry delay for a caller whose request was shed by a server with
+# free slots, in seconds: long enough to open a connection.
 SHED_PAUSE_S = (0.01, 0.05)
-# Number of servers at the head of a key's order among which the key may stay warm.
+# Number of usable servers, in the key's order and from its homes on, among which a warm
+# one may be chosen besides the homes.
 WARM_CANDIDATES = 12
-# A home with nothing in flight for this long, in seconds, takes over a key that is warm
-# elsewhere. It is several times the service time of a warm run.
+# A home that has been idle (`Server.idle_s`) for this long, in seconds, takes over a
+# key that is warm elsewhere. The time is several times the service time of a warm run.
 HOME_IDLE_S = 1.0
-# Names of a key's servers in the log, in the order of the key.
+# Names in the log of the first and the second usable server in the key's order, and of
+# any further one. Usable servers are in a region that the request does not avoid, so
+# the first one need not be the home that rendezvous hashing gives the key.
 HOME_NAMES = ("home", "second", "stays")
 NO_USABLE_SERVER = "no-usable-server"
 ALL_ASK_TO_WAIT = "servers-ask-to-wait"
@@ -62,11 +68,11 @@
     region_of : dict of str to str
         Region of each failure domain.
     rng : RandomSource
-        Source of jitter.
+        Source of jitter, and of the positions of requests without a key.
     cold_over, cold_slack : float
         Bound on requests to cold servers, see `cold_send_limit`.
     policy : Policy, optional
-        Mechanisms that are switched off.
+        Mechanisms that are switched on; all by default.
     gate : SendGate, optional
         Limits that servers request in their responses.
     """
@@ -138,7 +144,11 @@
         return Refusal(reason, self.pause(request.service))
 
     def requested_wait_s(self, request: PlacementRequest, now: float) -> float:
-        """Return when to retry if all servers ask to wait, with jitter; else 0."""
+        """Return a retry delay if all usable servers ask to wait, in seconds.
+
+        The delay ends, with jitter, after the first of them allows a request. It is 0
+        if one of them allows a request now, or if no end is known.
+        """
         servers = self._homes.of_service(request.service)
         wait_s = self.eligibility.wait_s(servers, request, now)
         if wait_s == float("inf"):
@@ -146,7 +156,10 @@
         return wait_s * self.jitter(1.0, 1 + PAUSE_JITTER)
 
     def _avoided_regions(self, request: PlacementRequest) -> frozenset[str]:
-        """Return the regions that a request leaves to requests bound to them."""
+        """Return the regions that a request avoids since they are reserved.
+
+        Empty for a request that is itself bound to regions.
+        """
         free = not request.regions and self._policy.reserve_regions
         if not free or not self.reserved.has_any(request.service):
             return frozenset()
@@ -176,11 +189,13 @@
     ) -> list[Choice]:
         """Return the servers that may take the request, the key's first home first.
 
-        Besides the key's homes, these are the next servers in its order that are warm
-        for the object. A server that joins becomes the home of some keys, and a server
-        that returns after a loss becomes the home of its own keys again. Moving all of
-        these keys at once would make each of them cold. So they stay where they are
-        warm until the queue there makes the new home faster.
+        For a request without a key, these are all usable servers. For a request with a
+        key, they are the first two usable servers in the key's order and those of the
+        next ones that are warm for the object. A server that joins becomes the home of
+        some keys, and a server that returns after a loss becomes the home of its own
+        keys again. Moving all keys of such a server at once would make each of them
+        cold. So these keys stay where they are warm until the queue there makes the new
+        home faster, or the new home is idle.
         """
         found: list[Choice] = []
         warm_candidates = WARM_CANDIDATES if self._policy.stay_warm else 0
@@ -215,7 +230,11 @@
     def _usable(
         self, request: PlacementRequest, now: float, *, last_resort: bool
     ) -> Iterator[Server]:
-        """Yield the servers that may take the request, in the order of its key."""
+        """Yield the servers that may take the request, in the order of its key.
+
+        That is the rendezvous order of the key with the local home moved up, see
+        `Homes.order`. Without a key, it is the order in which servers became known.
+        """
         may_take = self.eligibility.may_take
         for server in self._in_order(request):
             if may_take(server, request, now, last_resort=last_resort):
@@ -227,10 +246,11 @@
         return self._homes.of_service(request.service)
 
     def _failing_alike(self, service: str) -> bool:
+        """Return whether all servers of a service are taken to fail."""
         return self._policy.failing_alike and self.eligibility.failing_alike(service)
 
     def _object_name(self, request: PlacementRequest) -> str:
-        """Return the name of the request's object, empty when it has no key.
+        """Return the name of the request's object, empty for a request without a key.
 
         Objects of two kinds may have the same key: a server that has handled one is no
         faster for the other.
@@ -247,8 +267,9 @@
         """Return how many requests may wait at a server for a slot.
 
         With `k` requests more than slots, a request waits for about ``k / slots`` of
-        the mean service time. A cold run leaves nothing of the target, so hardly any
-        request may wait for one.
+        the mean service time. A cold run leaves nothing of the target, so only
+        `MIN_WAITING` requests may wait at a server that is cold for their object.
+        There is one more place for urgent requests.
         """
         slots = choice.server.entry.slots
         estimate = choice.estimate
@@ -265,14 +286,14 @@
         return self._times(request).silence_timeout_s(MIN_SILENCE_TIMEOUT_S)
 
     def pause(self, service: str) -> float:
-        """Return the pause for refused callers, in seconds, with jitter."""
+        """Return the retry delay for refused callers, in seconds, with jitter."""
         mean_s = self.expectations.mean_service_time_s(service)
         return mean_s * self.jitter(1 - PAUSE_JITTER, 1 + PAUSE_JITTER)
 
     def pause_after_shed(
         self, request: PlacementRequest, now: float, *, with_room: bool
     ) -> float:
-        """Return the pause for a caller whose request servers have shed, in seconds.
+        """Return the retry delay for a caller whose request was shed, in seconds.
 
         A server that sheds although it has free slots (`with_room`) may well take the
         next request, so the caller need not wait for a free slot, unless all servers
@@ -284,11 +305,11 @@
         return self.jitter(*SHED_PAUSE_S) if with_room else self.pause(request.service)
 
     def jitter(self, low: float, high: float) -> float:
-        """Return a random number between two limits."""
+        """Return a random number from `low` to `high`."""
         return self._rng.uniform(low, high)
 
     def began(self, choice: Choice, attempt_id: int, now: float) -> None:
-        """Count an attempt that is about to be sent."""
+        """Count an attempt that is about to be sent as in flight at its server."""
         server = choice.server
         server.own += 1
         server.used_at = now
@@ -303,7 +324,10 @@
             server.cold_sends.count(now)
 
     def sent(self, choice: Choice, now: float) -> bool:
-        """Count an attempt at its first byte; return whether it still may be sent."""
+        """Return whether the server still allows an attempt; if so, count it as sent.
+
+        Called just before the first byte of the attempt is sent.
+        """
         if not self.eligibility.may_send(choice.server, choice.placement_request, now):
             return False
         self.gate.sent(choice.server.entry.incarnation, now)
@@ -314,12 +338,19 @@
         server.own -= 1
 
     def not_run(self, choice: Choice) -> None:
-        """Record that a server did not run an attempt and so is not warm by it."""
+        """Record that a server did not run an attempt.
+
+        The attempt has not made the server warm for its object.
+        """
         if choice.object_name and not choice.estimate.warm:
             choice.server.warm.forget(choice.object_name)
 
     def learn_answer(self, choice: Choice, latency_s: float, now: float) -> None:
-        """Record how long a good response took."""
+        """Record how long a good response took.
+
+        The service time is recorded only if no wait was expected and the server is not
+        cold (`Server.cold`).
+        """
         server = choice.server
         request = choice.placement_request
         times = self._times(request)
@@ -331,9 +362,9 @@
 
 
 def _is_idle_home(choice: Choice, now: float) -> bool:
-    """Return whether a key's home has had nothing in flight for a while.
+    """Return whether a choice is the key's home and has been idle for a while.
 
-    Such a home takes its keys over, one cold run at a time. By expected time alone, a
+    An idle home takes its keys over, one cold run at a time. By expected time alone, a
     server that joins under low load would never be sent a request.
     """
     return choice.why == HOME_NAMES[0] and choice.server.idle_s(now) > HOME_IDLE_S
--- a/lacewingcross/core/region_reservations.py
+++ b/lacewingcross/core/region_reservations.py
@@ -16,31 +16,37 @@
 from .backend_state import Server
 from .rendezvous import HASH_RANGE, hash64
 
-# A region is reserved from the first of these pressures on, until the pressure falls
-# below the second. Pressure is the share of a service's requests that are bound to the
-# region, divided by the region's share of the slots.
+# A region is reserved once the pressure on it reaches `RESERVE_FROM`, until the
+# pressure falls below `RESERVE_UNTIL`. Pressure is the share of a service's requests
+# that are bound to the region, divided by the region's share of the service's slots.
 RESERVE_FROM = 0.5
 RESERVE_UNTIL = 0.25
-# Factor on the counts at each review, so that about the last five seconds count.
+# Factor on the counts of requests at each review. With a review every half second,
+# about the last five seconds count.
 DECAY = 0.9
-# Fewer requests than this show no pressure.
+# With fewer counted requests of a service than this, no region of it changes its state.
 MIN_REQUESTS = 20.0
-# Share of a region's other requests that leave it, or return to it, per second. Moved
-# all at once, they would land on cold servers elsewhere.
+# Share of a region's unbound requests that leave it, or return to it, per second. Moved
+# all at once, these requests would land on cold servers elsewhere.
 MOVED_SHARE_PER_S = 0.1
 
 ServiceRegion = tuple[str, str]
 
 
 class RegionReservations:
-    """The degree to which each region is reserved, for each service."""
+    """For each service and region, the share of unbound requests that avoid the region.
+
+    A request is bound if only some regions may serve it.
+    """
 
     __slots__ = ("_avoiding", "_bound", "_requests", "_reviewed_at")
 
     def __init__(self) -> None:
+        # Requests by service, and bound requests by service and regions; older ones
+        # count less.
         self._requests: Counter[str] = Counter()
         self._bound: Counter[tuple[str, frozenset[str]]] = Counter()
-        # Share of the other requests that avoid the region, by service and region.
+        # Share of the unbound requests that avoid a region, by service and region.
         self._avoiding: dict[str, dict[str, float]] = {}
         self._reviewed_at: float | None = None
 
@@ -51,7 +57,7 @@
             self._bound[service, regions] += 1
 
     def has_any(self, service: str) -> bool:
-        """Return whether any region is reserved for a service."""
+        """Return whether requests to a service avoid any region."""
         return bool(self._avoiding.get(service))
 
     def avoided_regions(self, service: str, position: float) -> frozenset[str]:
@@ -69,7 +75,10 @@
         return frozenset(region for region, share in shares.items() if position < share)
 
     def review(self, servers: Iterable[Server], now: float) -> None:
-        """Update the reservations by the requests counted since the last review."""
+        """Update the reservations by the requests counted recently.
+
+        `servers` are all known servers; draining ones add no slots to their regions.
+        """
         elapsed_s = 0.0 if self._reviewed_at is None else now - self._reviewed_at
         self._reviewed_at = now
         for service_region, pressure in self._pressures(servers).items():
@@ -77,6 +86,7 @@
         self._decay()
 
     def _pressures(self, servers: Iterable[Server]) -> dict[ServiceRegion, float]:
+        """Return the pressure on each region of each service with enough requests."""
         slots: Counter[ServiceRegion] = Counter()
         of_service: Counter[str] = Counter()
         for server in servers:
@@ -93,7 +103,7 @@
         }
 
     def _bound_by_region(self, slots: Counter[ServiceRegion]) -> Counter[ServiceRegion]:
-        """Return the requests bound to each service and region.
+        """Return how many requests of each service are bound to each region.
 
         Requests that are bound to several regions are divided among them by slots.
         """
--- a/lacewingcross/core/splits.py
+++ b/lacewingcross/core/splits.py
@@ -3,21 +3,23 @@
 from .rendezvous import HASH_RANGE, hash64
 from .routes import Part, Route
 
-# Number of requests over which the proportions are kept; older ones fade out. It is
-# about ten seconds of one host's share of a route.
+# Number of requests over which the proportions are kept. When it is reached, the counts
+# are halved, so that older requests count less. The number is about ten seconds of one
+# host's share of a route.
 MEMORY_REQUESTS = 200
-# A service may exceed its weight by this share before keys are moved away from it. This
-# is a quarter of what the users count as wrong, since all hosts err on the same keys.
+# A service's share of the route's requests may exceed its weight by this much before
+# keys are moved away from the service. The tolerance is a quarter of what the users
+# count as wrong, since all hosts err on the same keys.
 TOLERANCE = 0.025
 
 
 class Splitter:
     """Picks the service of each request of one split route.
 
-    A key goes to the same service as long as the proportions allow, since a second
-    service would have to become warm for it too, that is, handle it recently. A few hot
-    keys can weigh more than the tolerance; then the service that is furthest below its
-    weight gets the request.
+    A key goes to the same service as long as the proportions allow, since a server of a
+    second service would have to handle the object of the key once before the server is
+    warm for it. A few hot keys can weigh more than the tolerance; then the service that
+    is furthest below its weight gets the request. Weights are scaled to add up to 1.
     """
 
     __slots__ = ("_counts", "_parts", "_total")
@@ -37,6 +39,7 @@
         return self._parts[index].service
 
     def _by_key(self, key: str) -> int:
+        """Return the index of the service that the key alone would give."""
         position = hash64("split", key) / HASH_RANGE
         for index, part in enumerate(self._parts):
             position -= part.weight
@@ -45,7 +48,11 @@
         return len(self._parts) - 1
 
     def _excess(self, index: int) -> float:
-        """Return by how much a service would exceed its weight with another request."""
+        """Return by how much a service's share would exceed its weight.
+
+        The share is that after one more request of the service. One request of excess
+        does not count, so that the first requests may go where their key says.
+        """
         share = (self._counts[index] + 1.0) / (self._total + 1.0)
         slack = 1.0 / (self._total + 1.0)
         return share - self._parts[index].weight - slack
--- a/lacewingcross/core/steering.py
+++ b/lacewingcross/core/steering.py
@@ -25,8 +25,9 @@
 # longer than any host waits before it queries the store itself
 # (`MAX_SILENCE_TIMEOUT_S`).
 OUTAGE_S = 2.3
-# Fraction of the common retry allowance that the hosts use. The rest covers hosts that
-# restart with a full allowance of their own.
+# Fraction of the common extra retries that the hosts use; the retries in proportion to
+# requests are used in full. The rest covers hosts that restart with all of their extra
+# retries.
 RETRY_MARGIN = 0.75
 
 
@@ -65,10 +66,19 @@
     decoder : Decoder
         Reads stored objects.
     rng : RandomSource
-        Source of jitter.
+        Source of the split positions of requests without a key.
     retry_ratio, retry_extra : float
         The retry allowance that all hosts share, for each service: retries as a
-        fraction of requests, and extra retries.
+        fraction of requests, and a number of extra retries.
+
+    Attributes
+    ----------
+    hosts : int
+        Number of hosts that share the limits on connections to servers.
+    rejected : list of Rejected
+        Stored objects that could not be decoded.
+    table : RouteTable or None
+        Routes of the configuration in force; None before the first configuration.
     """
 
     __slots__ = (
@@ -111,14 +121,17 @@
         self._retry_extra = retry_extra
         self._budgets: dict[str, RetryBudget] = {}
         self._splitters: dict[str, tuple[Route, Splitter]] = {}
+        # When servers whose entries expired in a store outage are dropped, by id.
         self._kept_until: dict[str, float] = {}
+        # Rank of the least urgent requests, by service.
         self._least_urgent: dict[str, int] = {}
+        # When the store last confirmed the copy of a kind of objects.
         self._confirmed_at: dict[Kind, float] = {}
         self._outage_ended_at = float("-inf")
         self.rejected: list[Rejected] = []
 
     def take(self, update: Update, now: float, *, fresh: bool = True) -> list[Document]:
-        """Apply an update from the store or a peer; return the changed documents.
+        """Apply an update from the store or another host; return the changed documents.
 
         Parameters
         ----------
@@ -127,7 +140,8 @@
         now : float
             Monotonic time in seconds.
         fresh : bool
-            Whether the update comes from the store right now. A peer's copy may be old.
+            Whether the update comes from the store right now. The copy of another host
+            may be old.
         """
         changed = self.replica.apply(update)
         if fresh and self.replica.as_of(update.kind) >= update.as_of:
@@ -136,7 +150,11 @@
         return changed
 
     def store_age(self, now: float) -> float:
-        """Return the age of the copy of the store, in seconds, by its oldest kind."""
+        """Return the age of the copy of the store, in seconds.
+
+        It is the age of the kind of objects that the store confirmed longest ago, and
+        infinite until the store has confirmed each of `OPERATORS_KINDS`.
+        """
         times = [
             self._confirmed_at.get(kind, float("-inf")) for kind in OPERATORS_KINDS
         ]
@@ -153,9 +171,9 @@
             try:
                 self._apply_one(doc, now)
             except UserError as exc:
-                # One object that cannot be decoded must not keep the others from taking
-                # effect. The configuration in force stays. A server whose entry cannot
-                # be decoded is dropped, since its address is unknown.
+                # One object that cannot be decoded must not keep other objects from
+                # taking effect. The configuration in force stays. A server whose entry
+                # cannot be decoded is dropped, since its address is unknown.
                 self.rejected.append(Rejected(doc, exc.code, exc.message))
                 if doc.kind is Kind.SERVER:
                     self._kept_until.pop(doc.name, None)
@@ -198,9 +216,9 @@
         release_at = self._outage_ended_at + LAPSE_GRACE_S
         if now < release_at and doc.name in self.placement.known.servers:
             # Guards against an empty list of servers after a store outage: no server
-            # can renew its entry while the store is away, so all entries expire
-            # together. Dropping them when the store returns would leave no server to
-            # send to until they have registered again.
+            # can renew its entry while the store is unreachable, so all entries expire
+            # together. Dropping the servers when the store returns would leave none to
+            # send to. So they are kept until they have had time to register again.
             self._kept_until[doc.name] = release_at
             return
         self.placement.known.drop(doc.name)
@@ -214,10 +232,11 @@
         return expired
 
     def ready(self) -> bool:
-        """Return whether everything that decides on a request has been read.
+        """Return whether configuration, servers and quarantines have been read.
 
-        Guards against requests at a host that has just started: it has read the
-        servers, but not yet which requests crash them.
+        Guards against requests that crash servers: a host that has just started has
+        read the servers, but not yet which requests are quarantined, and would send
+        such requests. So the host is not ready until it has read both.
         """
         read = (self.replica.as_of(k) for k in (Kind.SERVER, Kind.QUARANTINE))
         return self.table is not None and all(read)
@@ -228,7 +247,10 @@
         return self.table.config.limits if self.table else CallerLimits()
 
     def service_for(self, route: Route, key: str) -> str:
-        """Return the service that a request of `route` goes to."""
+        """Return the service that a request of `route` goes to.
+
+        `key` is the affinity key, empty for none.
+        """
         if len(route.parts) == 1:
             return route.parts[0].service
         known = self._splitters.get(route.name)
@@ -242,17 +264,21 @@
         return self._least_urgent.get(service, 0)
 
     def set_retry_allowance(self, ratio: float, extra: float) -> None:
-        """Set the retry allowance that all hosts share; a change resets the budgets."""
+        """Set the retry allowance that all hosts share; a change resets the budgets.
+
+        `ratio` is retries as a fraction of requests, `extra` a number of extra retries.
+        """
         if (ratio, extra) != (self._retry_ratio, self._retry_extra):
             self._retry_ratio = ratio
             self._retry_extra = extra
             self._budgets.clear()
 
     def set_host_share(self, share: float) -> None:
-        """Set this host's share of what all hosts may do together.
+        """Set this host's share, 0 to 1, of the extra retries of all hosts.
 
         Guards against oversized budgets: all hosts start together, and each knows only
-        itself when its first requests come. The reserve computed then must shrink.
+        itself when its first requests come. Each would keep the extra retries of all
+        hosts. So existing budgets are resized when the share changes.
         """
         if share != self._host_share:
             self._host_share = share
@@ -260,11 +286,12 @@
                 budget.resize(self._reserve())
 
     def _reserve(self) -> int:
+        """Return this host's number of extra retries, at least 1."""
         reserve = self._retry_extra * RETRY_MARGIN * self._host_share
         return max(1, int(reserve))
 
     def budget(self, service: str) -> RetryBudget:
-        """Return this host's share of the retry allowance of a service."""
+        """Return this host's budget of retries for a service."""
         budget = self._budgets.get(service)
         if budget is None:
             requests_per_retry = max(1, round(1.0 / self._retry_ratio))
--- a/lacewingcross/core/work_times.py
+++ b/lacewingcross/core/work_times.py
@@ -12,22 +12,24 @@
 # runs miss it.
 WARM_TARGET_FRACTION = 0.45
 COLD_TARGET_FACTOR = 1.6
-# Number of measured times from which on they replace the assumed ones.
+# The assumed service times are used until this number of times has been measured.
 MIN_SAMPLES = 5
-# A server is silent when it sends no response for this multiple of the time that 98 of
-# 100 responses of the kind stay under. With 1.3 times that of the whole service, runs
-# that were merely slow were aborted halfway and started again, cold, elsewhere.
+# A server is silent for a request that gets no response within `SILENCE_FACTOR` times
+# the 98th percentile of the response times of its kind. With 1.3 times the percentile
+# of the whole service, runs that were merely slow were aborted halfway and started
+# again, cold, elsewhere.
 SILENCE_QUANTILE = 0.98
 SILENCE_FACTOR = 2.0
-# With fewer responses than this, the silence timeout is this multiple of the target: a
-# cold run takes 1.6 targets, twice that on a server that has just started, and the
-# request may wait for as long again.
+# With fewer responses than `SILENCE_MIN_ANSWERS`, the silence timeout is
+# `SILENCE_TARGETS` times the target: a cold run takes 1.6 targets, and twice as long,
+# 3.2 targets, on a server that has just started. The rest is for the wait before the
+# run, which may take nearly as long again.
 SILENCE_MIN_ANSWERS = 50
 SILENCE_TARGETS = 6.0
 
 
 class KindTimes:
-    """Service times of one kind of request.
+    """Service times, and times until the response, of one kind of request.
 
     Parameters
     ----------
@@ -44,7 +46,7 @@
         self._warm = ServiceTimes()
 
     def learn_answer(self, latency_s: float) -> None:
-        """Record how long one response took, waiting included."""
+        """Record how long one response took, network and waiting included."""
         self._answers.add(latency_s)
 
     def learn_service_time(self, service_time_s: float, *, warm: bool) -> None:
@@ -59,7 +61,7 @@
         return max(warm_s, _median(self._cold, COLD_TARGET_FACTOR * self._target_s))
 
     def silence_timeout_s(self, min_s: float) -> float:
-        """Return how long a server may send no response, in seconds."""
+        """Return how long a server may send no response, at least `min_s` seconds."""
         if len(self._answers) < SILENCE_MIN_ANSWERS:
             return max(min_s, SILENCE_TARGETS * self._target_s)
         usual_s = self._answers.quantile(SILENCE_QUANTILE)
