--- a/lacewingcross/core/attempts.py
+++ b/lacewingcross/core/attempts.py
@@ -38,7 +38,11 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt at one backend server."""
+    """One attempt at one backend server.
+
+    `number` counts the attempts of a request from 1. `head_forwarded` is true once the
+    caller has got the head of the response.
+    """
 
     number: int
     server_id: str
@@ -125,11 +129,12 @@
 
     def __init__(self, requests_per_retry: int = 10, reserve: int = 10) -> None:
         self.requests_per_retry = requests_per_retry
+        # Each request earns one token; a retry costs `requests_per_retry` tokens.
         self._max_tokens = reserve * requests_per_retry
         self._tokens = self._max_tokens
 
     def resize(self, reserve: int) -> None:
-        """Set another reserve; savings beyond it are lost."""
+        """Set another reserve; retries saved up beyond it are lost."""
         self._max_tokens = reserve * self.requests_per_retry
         self._tokens = min(self._tokens, self._max_tokens)
 
--- a/lacewingcross/core/cold_limit.py
+++ b/lacewingcross/core/cold_limit.py
@@ -1,22 +1,24 @@
 """Limits requests to cold backend servers, summed over all hosts without messages.
 
-A server that has just started (a cold server) breaks when it gets many more requests
-than it can handle. The bound holds over all hosts, including those that receive nothing
+A cold server, such as one that has just started, breaks when it gets many more requests
+than it can handle. The bound holds over all hosts, including hosts that receive nothing
 from each other, so each host has a fixed share: only the hosts of the server's own
-region may send to it while it is cold, each in proportion to its size.
+region may send to the server while it is cold, each in proportion to its processor
+cores.
 """
 
 from collections import deque
 
 # Length of the windows to which the bound applies, in seconds.
 WINDOW_S = 1.0
-# Requests that are sent some time apart may arrive within one window. The window is
-# extended by this time, in seconds (the longest path inside a region).
+# Requests that are sent more than one window apart may arrive within one window. So
+# requests are counted over a window that is longer by this time, in seconds (the
+# longest path inside a region).
 ARRIVAL_JITTER_S = 0.1
 
 
 class ColdSends:
-    """Requests that one host sent to one cold server within the last second."""
+    """Requests that one host sent to one cold server within the extended window."""
 
     __slots__ = ("_sent",)
 
@@ -26,7 +28,7 @@
         self._sent: deque[float] | None = None
 
     def has_room(self, limit: int, now: float) -> bool:
-        """Return whether one more request stays within `limit` in the window."""
+        """Return whether one more request stays within `limit`; drop old requests."""
         if self._sent is None:
             return limit > 0
         oldest = now - WINDOW_S - ARRIVAL_JITTER_S
@@ -35,7 +37,7 @@
         return len(self._sent) < limit
 
     def count(self, now: float) -> None:
-        """Count one request."""
+        """Count one request that is sent now."""
         if self._sent is None:
             self._sent = deque()
         self._sent.append(now)
@@ -49,10 +51,10 @@
     per_s : float
         Requests per second that the server tolerates while it is cold.
     over, slack : float
-        The bound is ``per_s * over + slack`` in any second.
+        The bound over all hosts is ``per_s * over + slack`` requests in any second.
     share : float
-        This host's share of what all hosts of the server's region may send, alive or
-        not: the shares add up to at most 1.
+        This host's share of what all hosts of the server's region may send, whether the
+        hosts are alive or not: the shares add up to at most 1.
     """
     bound = per_s * over + slack
     return int(bound * share)
--- a/lacewingcross/core/estimate.py
+++ b/lacewingcross/core/estimate.py
@@ -3,15 +3,18 @@
 from bisect import bisect_left, insort
 from collections import deque
 
+# Number of most recent times from which quantiles are computed.
 WINDOW = 256
+# Lower limit of the weight of the newest time in the mean.
 MEAN_GAIN = 0.05
 
 
 class ServiceTimes:
-    """Service times of the last `WINDOW` responses.
+    """Service times or response times: their mean, and the last `WINDOW` of them.
 
     The keeper's acceptance test compares the time left to a deadline with a quantile of
-    these estimates; docs/design/slots.md names its source and what it is worth here.
+    these times; docs/design/slots.md names the source of this test and what the test is
+    worth here.
 
     Parameters
     ----------
@@ -30,7 +33,7 @@
         return len(self._recent)
 
     def add(self, seconds: float) -> None:
-        """Add one service time."""
+        """Add one time."""
         gain = max(MEAN_GAIN, 1.0 / (len(self._recent) + 1))
         self.mean_s += gain * (seconds - self.mean_s)
         self._recent.append(seconds)
@@ -40,7 +43,10 @@
             del self._sorted[bisect_left(self._sorted, oldest)]
 
     def quantile(self, fraction: float) -> float:
-        """Return the time that `fraction` of the recent responses stayed under."""
+        """Return the time that `fraction` of the recent times stay under.
+
+        Before the first time is added, it is the assumed mean.
+        """
         if not self._sorted:
             return self.mean_s
         index = min(len(self._sorted) - 1, int(fraction * len(self._sorted)))
--- a/lacewingcross/core/fixed_share.py
+++ b/lacewingcross/core/fixed_share.py
@@ -10,10 +10,13 @@
 class FixedShare:
     """Slots that this host may use without a keeper's permit.
 
-    Guards against a keeper that is frozen but not yet detected as failed: waiting would
-    refuse all requests of the region for a second or more. The shares of all hosts
-    together stay under the region's slots. What the silent keeper had granted besides
-    is shed by the backend servers, which answer "not run".
+    Guards against a keeper that is frozen but not yet detected as failed: if hosts
+    waited for its permits, all requests of the region would be refused for a second or
+    more. The shares of all hosts of the region together stay under the region's limit
+    on requests in flight, unless the hosts are as many as the limit or more: a share is
+    at least one slot. With the permits that the silent keeper had granted besides, more
+    requests may go to backend servers than these have slots. The backend servers then
+    shed requests and answer "not run".
 
     Parameters
     ----------
@@ -30,14 +33,17 @@
     def take(
         self, state: RequestState, in_use: list[tuple[str, int]], now: float
     ) -> HeldPermit | None:
-        """Return a permit of the share for a request, or None.
+        """Return a permit of the share for a request, or None if the share is used up.
+
+        None also for a request of another region, and without a server to use.
 
         Parameters
         ----------
         state : RequestState
-            A request of this host's own region.
+            The request.
         in_use : list of (str, int)
-            Backend server and permit of every slot that this host uses there.
+            Server id and permit id of each slot that this host uses for the service and
+            region of the request.
         now : float
             Monotonic time in seconds.
         """
--- a/lacewingcross/core/known_servers.py
+++ b/lacewingcross/core/known_servers.py
@@ -7,7 +7,7 @@
 
 
 class KnownServers:
-    """Backend servers by id, and their order for each key.
+    """Backend servers by id, and what hosts report of them.
 
     A server is warm for an object, and for its key, that it has handled recently.
 
@@ -23,8 +23,10 @@
 
     def __init__(self, region_of: dict[str, str], homes: Homes) -> None:
         self._homes = homes
+        # Servers and objects to report to other hosts.
         self._newly_handled: list[tuple[str, str]] = []
         self._region_of = region_of
+        # Requests in flight by server id, as each other host last reported them.
         self._peer_counts: dict[str, dict[str, int]] = {}
         self.servers: dict[str, Server] = {}
 
@@ -33,8 +35,9 @@
 
         Guards against a mix-up of runs: a server crashes and starts again under its id.
         What was observed of the earlier run (failures, warm keys, requests in flight)
-        does not hold for the new one, and an entry of the earlier run that arrives late
-        must not bring it back.
+        would be held against the new run, and an entry of the earlier run that arrives
+        late would bring that run back. So a new run begins without observations, and
+        entries of earlier runs are ignored.
         """
         known = self.servers.get(entry.server_id)
         if known is not None and entry.born_ms < known.entry.born_ms:
@@ -68,7 +71,7 @@
         }
 
     def set_peer_counts(self, peer: str, counts: dict[str, int], now: float) -> None:
-        """Set the requests that another host has in flight at each server.
+        """Set how many requests another host has in flight at each server.
 
         Touches only the servers that the host lists or listed last. With 22 other hosts
         in a region, each reporting eleven times per second, a walk over 250 servers for
@@ -87,7 +90,10 @@
     def change_peer_counts(
         self, peer: str, changes: dict[str, int], now: float
     ) -> None:
-        """Update another host's requests in flight where they have changed."""
+        """Update another host's numbers of requests in flight that have changed.
+
+        A number of 0 means that the host has no more requests in flight at the server.
+        """
         peer_counts = self._peer_counts.setdefault(peer, {})
         for server_id, count in changes.items():
             if count:
@@ -110,17 +116,21 @@
                 self.servers[server_id].warm.handled(object_name)
 
     def handled(self, server: Server, object_name: str) -> None:
-        """Record that a server is sent a request for an object."""
+        """Record that a server is sent a request of this host for an object."""
         if server.warm.handled(object_name):
             self._newly_handled.append((server.entry.server_id, object_name))
 
     def take_newly_handled(self) -> list[tuple[str, str]]:
-        """Return the servers and objects that were recorded since the last call."""
+        """Return and clear what `handled` has recorded since the last call.
+
+        These are pairs of a server id and the name of an object for which that server
+        was not warm before.
+        """
         newly_handled, self._newly_handled = self._newly_handled, []
         return newly_handled
 
     def learn_load(self, server: Server, load: int, now: float) -> None:
-        """Record the load that a server reports: the requests that run or wait."""
+        """Record the load that a server reports: how many requests run or wait."""
         server.reported = load
         server.reported_at = now
 
--- a/lacewingcross/core/neighbours.py
+++ b/lacewingcross/core/neighbours.py
@@ -5,7 +5,7 @@
 
 from .rendezvous import ranked
 
-# From this many other hosts on, a fleet counts as large.
+# With this many other hosts or more, a fleet counts as large.
 FULL_MESH_MAX = 64
 # Heartbeat intervals in seconds: between all hosts of a small fleet, within a failure
 # domain, and between relays.
@@ -28,17 +28,26 @@
 
 
 def relays(key: str, host_ids: Iterable[str]) -> list[str]:
-    """Return the hosts that represent a failure domain or a region to other hosts."""
+    """Return the hosts that represent a failure domain or a region to other hosts.
+
+    Parameters
+    ----------
+    key : str
+        Name of the failure domain or region.
+    host_ids : iterable of str
+        Ids of all its hosts.
+    """
     return ranked(f"relay/{key}", host_ids)[:RELAYS]
 
 
 def neighbours(own: Place, places: Iterable[Place]) -> dict[str, float]:
-    """Return the hosts to send heartbeats to, and how often, in seconds.
+    """Return the hosts to send heartbeats to, and the heartbeat intervals in seconds.
 
     In a small fleet, all hosts exchange heartbeats with each other. In a large fleet, a
-    host exchanges them within its own failure domain; relays of failure domains do so
-    within a region, and relays of regions over all regions. The rule is symmetric: both
-    sides derive the same result from the same list.
+    host exchanges heartbeats with all hosts of its own failure domain. In addition, the
+    relays of the failure domains of a region exchange heartbeats with each other, and
+    so do the relays of all regions. The rule is symmetric: two hosts derive the same
+    interval between them from the same list.
 
     Parameters
     ----------
--- a/lacewingcross/core/policy.py
+++ b/lacewingcross/core/policy.py
@@ -13,25 +13,29 @@
     Attributes
     ----------
     fastest : bool
-        Choose the server that is expected to answer first, not the first with room.
+        Choose the server that is expected to answer first, not the first one with room
+        in the key's order.
     local_home : bool
         Give each key a second home in the host's own region.
     stay_warm : bool
         Keep keys at servers that are warm for them when their homes change.
     idle_home : bool
-        Let a home that is idle take over its keys.
+        Let a home that is idle take over its keys from servers that are warm for them.
     kinds_apart : bool
         Distinguish objects of two kinds with the same key.
     warmth_told : bool
         Use reports of other hosts about the keys for which servers are warm.
     warm_waits : bool
-        Let requests wait longer at a server that is warm for their object.
+        Let requests wait as long as the target allows, which is longer at a server that
+        is warm for their object. Otherwise, `placement.MIN_WAITING` requests may wait.
     urgent_waits : bool
-        Let requests of an urgent kind wait where others are refused.
+        Let one urgent request wait at a server where other requests are refused.
     failing_alike : bool
-        Skip no server for failing when all servers of its service fail.
+        Skip no server for failed attempts when all servers of its service are taken to
+        fail.
     reserve_regions : bool
-        Reserve regions for the requests that are bound to them.
+        Reserve regions for the requests that are bound to them, as long as there is
+        room elsewhere for other requests.
     shed_back_soon : bool
         Let a caller retry soon if a server with free slots has shed its request.
     """
--- a/lacewingcross/core/rendezvous.py
+++ b/lacewingcross/core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every host picks the same owner from the same live set."""
+"""Rendezvous hashing: with the same members, all hosts pick the same owner of a key."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
--- a/lacewingcross/core/send_gate.py
+++ b/lacewingcross/core/send_gate.py
@@ -1,8 +1,8 @@
 """Checks whether a backend server itself allows one more request.
 
-Each request to a server passes this check: first attempts, retries, attempts after a
-server was skipped, attempts of quarantined requests. It is made when a server is chosen
-and again before the first byte is sent.
+Each attempt passes this check: first attempts, retries, attempts after a server was
+skipped, attempts of quarantined requests. The check is made when a server is chosen and
+again before the first byte is sent.
 """
 
 from .backend_state import Incarnation
@@ -29,11 +29,15 @@
 
     @property
     def version(self) -> int:
-        """Return a number that grows whenever there is news for other hosts."""
+        """Return a number that grows whenever there is an update for other hosts."""
         return self.departures.version + self.rates.version
 
     def may_send(self, server: Incarnation, now: float, *, urgent: bool) -> bool:
-        """Return whether a request may go to a run of a server."""
+        """Return whether a request may go to a run of a server.
+
+        A request that may not go is counted as skipped by the first limit that is in
+        its way.
+        """
         if not self.departures.may_send(server):
             return False
         if not self.backoffs.may_send(server, now):
@@ -46,9 +50,9 @@
         self.backoffs.sent(server, now)
 
     def wait_s(self, server: Incarnation, now: float) -> float:
-        """Return when the server will allow a request, in seconds.
+        """Return after how many seconds the server allows a request.
 
-        Infinity if that is not known.
+        Infinity if the end is not known, as for a server that is shutting down.
         """
         if self.departures.leaves(server):
             return float("inf")
--- a/lacewingcross/core/server_backoffs.py
+++ b/lacewingcross/core/server_backoffs.py
@@ -1,22 +1,29 @@
 """Backend servers that rejected a request and requested a back-off (Retry-After).
 
-A back-off applies between one server and one host; no other host is informed. After it
-one request goes first, so that a server that is still overloaded is not flooded.
+A back-off applies between one server and one host; no other host is informed. After a
+back-off one request goes first, so that a server that is still overloaded is not
+flooded.
 """
 
 from dataclasses import dataclass
 
 from .backend_state import Incarnation
 
-# Upper limit of a back-off, in seconds: a wrong value must not disable a server.
+# Upper limit of a back-off, in seconds: a wrong value must not disable a server for
+# good. Back-offs that ended longer ago than this are dropped.
 MAX_BACKOFF_S = 60.0
-# Time for which the first request after a back-off is waited for, in seconds.
+# After a back-off, a second request may follow the first one after this time, in
+# seconds, if the first one has had no response.
 TRIAL_TIMEOUT_S = 1.0
 
 
 @dataclass(slots=True)
 class ServerBackoff:
-    """The back-off of one server: its end, and when a request was last sent to it."""
+    """The back-off of one run of a server.
+
+    `until` is when the back-off ends, `tried_at` when this host last sent the server a
+    request.
+    """
 
     until: float
     tried_at: float = float("-inf")
@@ -28,7 +35,7 @@
     Attributes
     ----------
     skipped : int
-        How often a server was skipped.
+        How often `may_send` did not allow a request.
     """
 
     __slots__ = ("_by_server", "skipped")
@@ -62,7 +69,7 @@
         return True
 
     def may_send(self, server: Incarnation, now: float) -> bool:
-        """Return whether a request may go to a server."""
+        """Return whether a request may go to a server; count in `skipped` if not."""
         wait_s = self.wait_s(server, now)
         self.skipped += wait_s > 0.0
         return wait_s <= 0.0
@@ -74,7 +81,11 @@
             known.tried_at = now
 
     def wait_s(self, server: Incarnation, now: float) -> float:
-        """Return when a server allows a request, in seconds; 0 for now."""
+        """Return after how many seconds a server allows a request; 0 if it does now.
+
+        After the first request after a back-off, this is the time until
+        `TRIAL_TIMEOUT_S` has passed; a response ends it earlier, see `observe`.
+        """
         known = self._by_server.get(server)
         if known is None:
             return 0.0
--- a/lacewingcross/core/server_signals.py
+++ b/lacewingcross/core/server_signals.py
@@ -10,15 +10,15 @@
     Attributes
     ----------
     rate : float or None
-        Requests per second that it accepts from all hosts together; None if it states
-        no limit.
+        Requests per second that the server accepts from all hosts together; None if it
+        states no limit.
     leaving : bool
-        Whether it is shutting down soon and wants no more requests.
+        Whether the server is shutting down soon and wants no more requests.
     rest_s : float
-        Back-off that it requests from this host, in seconds; 0 for none.
+        Back-off that the server requests from this host, in seconds; 0 for none.
     unreadable : tuple of str
-        Names of fields that were present and could not be parsed. They change nothing:
-        what was known before stays.
+        Names of fields that were present and could not be parsed. Such fields change
+        nothing: what was known before stays.
     """
 
     rate: float | None = None
--- a/lacewingcross/core/terms.py
+++ b/lacewingcross/core/terms.py
@@ -10,9 +10,10 @@
 class Terms:
     """How a request is treated.
 
-    `account` is None where callers need no API key. `regions` are those that may serve
-    the request. `no_common_region` is true if the route and the account both have home
-    regions, but none in common.
+    `account` is None where callers need no API key. The lower `rank` is, the more
+    urgent is the request. `regions` may serve the request; empty stands for all
+    regions, unless `no_common_region` is true: then the route and the account both have
+    home regions, but none in common.
     """
 
     account: ClientAccount | None
@@ -29,7 +30,8 @@
 def terms_for(route: Route, account: ClientAccount | None) -> Terms:
     """Return how a request of an account on a route is treated.
 
-    The account's rank takes precedence over the route's; home regions of both apply.
+    The account's rank, if it has one, takes precedence over the route's priority. The
+    home regions of both apply.
     """
     if account is None:
         return Terms(None, route.priority, route.home_regions)
@@ -42,7 +44,7 @@
 
 
 def ranks_of(route: Route, accounts: Accounts) -> set[int]:
-    """Return the ranks that requests on a route may have."""
+    """Return the ranks that requests on a route may have, given all accounts."""
     if not accounts:
         return {route.priority}
     ranks = {terms_for(route, account).rank for account in accounts.by_name.values()}
--- a/lacewingcross/core/warm_keys.py
+++ b/lacewingcross/core/warm_keys.py
@@ -1,12 +1,14 @@
 """The objects that a server has handled recently, as far as a host knows.
 
 Designed for servers that need a third of the time for an object that they have just
-handled. Such a server is warm for the object, and a request is best sent to it, also if
-the earlier request came from another host.
+handled. Such a server is warm for the object. A request for the object is best sent to
+that server, also if the earlier request came from another host. A key is the name of an
+object.
 """
 
-# Upper limit of keys kept for each server, which bounds memory (some 100 bytes each).
-# Servers keep fewer objects themselves; the key handled longest ago is dropped first.
+# Upper limit of the number of keys kept for each server, which bounds memory (some 100
+# bytes for each key). Servers keep fewer objects themselves. The key handled longest
+# ago is dropped first.
 MAX_KEYS = 512
 
 
