--- a/lacewingcross/core/backend_state.py
+++ b/lacewingcross/core/backend_state.py
@@ -53,7 +53,7 @@
     own: int = 0
     of_peers: dict[str, int] = field(default_factory=dict)
     # Number of requests that run or wait there, as the server itself reported when.
-    reported: int = 0
+    reported_load: int = 0
     reported_at: float = float("-inf")
     cold_sends: ColdSends = field(default_factory=ColdSends)
     passive_health: PassiveHealth = field(default_factory=PassiveHealth)
@@ -64,7 +64,7 @@
         counted = self.own + sum(self.of_peers.values())
         if now - self.reported_at > MAX_REPORT_AGE_S:
             return counted
-        return max(counted, self.reported)
+        return max(counted, self.reported_load)
 
     def idle_s(self, now: float) -> float:
         """Return the time since `used_at`, in seconds; 0 with requests in flight."""
--- a/lacewingcross/core/completion.py
+++ b/lacewingcross/core/completion.py
@@ -74,7 +74,7 @@
         return self.rtt_s.get(server.region, 0.0)
 
     def estimate(
-        self, server: Server, key: str, times: KindTimes, now: float
+        self, server: Server, object_name: str, times: KindTimes, now: float
     ) -> Estimate:
         """Return the times that a request is expected to take at a server.
 
@@ -82,7 +82,7 @@
         ----------
         server : Server
             Candidate.
-        key : str
+        object_name : str
             Name of the request's object, empty for none: then no server is warm.
         times : KindTimes
             Times of the request's kind.
@@ -95,7 +95,7 @@
         wait_s = (
             factor * waiting / slots * self.mean_service_time_s(server.entry.service)
         )
-        warm = bool(key) and server.warm.holds(key)
+        warm = bool(object_name) and server.warm.holds(object_name)
         service_time_s = factor * times.expected_s(warm=warm)
         return Estimate(self.network_s(server), wait_s, service_time_s, warm)
 
--- a/lacewingcross/core/fixed_share.py
+++ b/lacewingcross/core/fixed_share.py
@@ -24,11 +24,11 @@
         Shared state.
     """
 
-    __slots__ = ("_last_number", "_view")
+    __slots__ = ("_last_sequence", "_view")
 
     def __init__(self, view: View) -> None:
         self._view = view
-        self._last_number = 0
+        self._last_sequence = 0
 
     def take(
         self, state: RequestState, in_use: list[tuple[str, int]], now: float
@@ -55,14 +55,14 @@
         server_id = self._least_used(state, Counter(server for server, _ in in_use))
         if server_id is None:
             return None
-        self._last_number += 1
-        number = (self._view.incarnation << 32) + self._last_number
-        return HeldPermit(number, server_id, state.keeper)
+        self._last_sequence += 1
+        permit_id = (self._view.incarnation << 32) + self._last_sequence
+        return HeldPermit(permit_id, server_id, state.keeper)
 
     def _size(self, service: str, region: str, now: float) -> int:
-        hosts = len(self._view.members.live(now, region)) or 1
+        host_count = len(self._view.members.live(now, region)) or 1
         limit = self._view.config.pools[service].limit(region)
-        return max(1, int(limit / (hosts + 1)))
+        return max(1, int(limit / (host_count + 1)))
 
     def _least_used(self, state: RequestState, in_use: Counter[str]) -> str | None:
         service = state.req.service
--- a/lacewingcross/core/homes.py
+++ b/lacewingcross/core/homes.py
@@ -44,9 +44,9 @@
     def remove(self, server: Server) -> None:
         """Remove a server that is gone, or that drains and gets no new requests."""
         service = server.entry.service
-        group = self._by_service.get(service, [])
-        if server in group:
-            group.remove(server)
+        servers = self._by_service.get(service, [])
+        if server in servers:
+            servers.remove(server)
             self._orders.pop(service, None)
 
     def of_service(self, service: str) -> list[Server]:
--- a/lacewingcross/core/known_servers.py
+++ b/lacewingcross/core/known_servers.py
@@ -131,7 +131,7 @@
 
     def learn_load(self, server: Server, load: int, now: float) -> None:
         """Record the load that a server reports: how many requests run or wait."""
-        server.reported = load
+        server.reported_load = load
         server.reported_at = now
 
 
--- a/lacewingcross/core/neighbours.py
+++ b/lacewingcross/core/neighbours.py
@@ -64,31 +64,31 @@
     others = [place for place in places if place.host_id != own.host_id]
     if len(others) < FULL_MESH_MAX:
         return {place.host_id: SMALL_FLEET_INTERVAL_S for place in others}
-    result = {
+    intervals_s = {
         place.host_id: DOMAIN_INTERVAL_S
         for place in others
         if place.failure_domain == own.failure_domain
     }
-    domains: dict[tuple[str, str], list[str]] = defaultdict(list)
-    regions: dict[str, list[str]] = defaultdict(list)
+    hosts_by_domain: dict[tuple[str, str], list[str]] = defaultdict(list)
+    hosts_by_region: dict[str, list[str]] = defaultdict(list)
     for place in [own, *others]:
-        domains[place.region, place.failure_domain].append(place.host_id)
-        regions[place.region].append(place.host_id)
-    if own.host_id in relays(own.failure_domain, domains[_domain(own)]):
-        for (region, domain), host_ids in domains.items():
+        hosts_by_domain[place.region, place.failure_domain].append(place.host_id)
+        hosts_by_region[place.region].append(place.host_id)
+    if own.host_id in relays(own.failure_domain, hosts_by_domain[_domain(own)]):
+        for (region, domain), host_ids in hosts_by_domain.items():
             if region == own.region:
-                _add_relays(result, own, relays(domain, host_ids))
-    if own.host_id in relays(own.region, regions[own.region]):
-        for region, host_ids in regions.items():
-            _add_relays(result, own, relays(region, host_ids))
-    return result
+                _add_relays(intervals_s, own, relays(domain, host_ids))
+    if own.host_id in relays(own.region, hosts_by_region[own.region]):
+        for region, host_ids in hosts_by_region.items():
+            _add_relays(intervals_s, own, relays(region, host_ids))
+    return intervals_s
 
 
 def _domain(place: Place) -> tuple[str, str]:
     return place.region, place.failure_domain
 
 
-def _add_relays(result: dict[str, float], own: Place, host_ids: list[str]) -> None:
+def _add_relays(intervals_s: dict[str, float], own: Place, host_ids: list[str]) -> None:
     for host_id in host_ids:
         if host_id != own.host_id:
-            result.setdefault(host_id, RELAY_INTERVAL_S)
+            intervals_s.setdefault(host_id, RELAY_INTERVAL_S)
--- a/lacewingcross/core/placement.py
+++ b/lacewingcross/core/placement.py
@@ -40,10 +40,10 @@
 # Relative jitter of the retry delays that refused callers get, so that callers refused
 # together do not retry together: 0.5 to 1.5 times the service's mean service time, or
 # 1 to 1.5 times the wait that the servers ask for.
-PAUSE_JITTER = 0.5
+RETRY_DELAY_JITTER = 0.5
 # Shortest and longest retry delay for a caller whose request was shed by a server with
 # free slots, in seconds: long enough to open a connection.
-SHED_PAUSE_S = (0.01, 0.05)
+SHED_RETRY_DELAY_S = (0.01, 0.05)
 # Number of usable servers, in the key's order and from its homes on, among which a warm
 # one may be chosen besides the homes.
 WARM_CANDIDATES = 12
@@ -131,7 +131,7 @@
             return self._no_server(request, now)
         available = [item for item in usable if self._has_room(item, request)]
         if not available:
-            return Refusal("full", self.pause(request.service))
+            return Refusal("full", self.retry_delay_s(request.service))
         return self._best(available, request, now)
 
     def _no_server(self, request: PlacementRequest, now: float) -> Refusal:
@@ -141,7 +141,7 @@
             return Refusal(ALL_ASK_TO_WAIT, requested_wait_s)
         known = self._homes.of_service(request.service)
         reason = NO_USABLE_SERVER if known else "no-server"
-        return Refusal(reason, self.pause(request.service))
+        return Refusal(reason, self.retry_delay_s(request.service))
 
     def requested_wait_s(self, request: PlacementRequest, now: float) -> float:
         """Return a retry delay if all usable servers ask to wait, in seconds.
@@ -153,7 +153,7 @@
         wait_s = self.eligibility.wait_s(servers, request, now)
         if wait_s == float("inf"):
             return 0.0
-        return wait_s * self.jitter(1.0, 1 + PAUSE_JITTER)
+        return wait_s * self.jitter(1.0, 1 + RETRY_DELAY_JITTER)
 
     def _avoided_regions(self, request: PlacementRequest) -> frozenset[str]:
         """Return the regions that a request avoids since they are reserved.
@@ -260,8 +260,8 @@
         return f"{request.kind}/{request.key}"
 
     def _has_room(self, choice: Choice, request: PlacementRequest) -> bool:
-        places = choice.server.entry.slots + self._waiting_places(choice, request)
-        return choice.busy < places
+        max_busy = choice.server.entry.slots + self._waiting_places(choice, request)
+        return choice.busy < max_busy
 
     def _waiting_places(self, choice: Choice, request: PlacementRequest) -> int:
         """Return how many requests may wait at a server for a slot.
@@ -285,10 +285,10 @@
         """Return the silence timeout of a server for a request, in seconds."""
         return self._times(request).silence_timeout_s(MIN_SILENCE_TIMEOUT_S)
 
-    def pause(self, service: str) -> float:
+    def retry_delay_s(self, service: str) -> float:
         """Return the retry delay for refused callers, in seconds, with jitter."""
         mean_s = self.expectations.mean_service_time_s(service)
-        return mean_s * self.jitter(1 - PAUSE_JITTER, 1 + PAUSE_JITTER)
+        return mean_s * self.jitter(1 - RETRY_DELAY_JITTER, 1 + RETRY_DELAY_JITTER)
 
     def pause_after_shed(
         self, request: PlacementRequest, now: float, *, with_room: bool
@@ -302,7 +302,11 @@
         requested_wait_s = self.requested_wait_s(request, now)
         if requested_wait_s:
             return requested_wait_s
-        return self.jitter(*SHED_PAUSE_S) if with_room else self.pause(request.service)
+        return (
+            self.jitter(*SHED_RETRY_DELAY_S)
+            if with_room
+            else self.retry_delay_s(request.service)
+        )
 
     def jitter(self, low: float, high: float) -> float:
         """Return a random number from `low` to `high`."""
--- a/lacewingcross/core/rate_limits.py
+++ b/lacewingcross/core/rate_limits.py
@@ -94,7 +94,7 @@
     own : bool
         Whether this host received the current rate in a response itself. That stays so
         when another host later reports the same rate.
-    share : float
+    share_per_s : float
         Requests per second that this host may send; 0 for a host without a share.
     credit, max_credit : float
         Credit at `credited_at`, and its upper limit, in requests.
@@ -108,7 +108,7 @@
     rate: float | None
     at: float
     own: bool
-    share: float = 0.0
+    share_per_s: float = 0.0
     credit: float = 0.0
     max_credit: float = MIN_CREDIT
     credited_at: float = 0.0
@@ -118,7 +118,7 @@
 
     def credit_now(self, now: float) -> float:
         """Return the credit of this host, in requests."""
-        grown = self.credit + self.share * (now - self.credited_at)
+        grown = self.credit + self.share_per_s * (now - self.credited_at)
         return min(self.max_credit, grown)
 
     def settle(self, now: float) -> None:
@@ -146,14 +146,21 @@
         How often `may_send` did not allow a request.
     """
 
-    __slots__ = ("_bound", "_by_server", "_host_id", "_hosts", "skipped", "version")
+    __slots__ = (
+        "_bound",
+        "_by_server",
+        "_host_id",
+        "_serving_hosts",
+        "skipped",
+        "version",
+    )
 
     def __init__(self, host_id: str, bound: RateBound | None = None) -> None:
         self._bound = bound or RateBound()
         self._by_server: dict[Incarnation, RateLimit] = {}
         # Hosts that may send requests to servers. While it is empty, this host has no
         # share of any rate.
-        self._hosts: frozenset[str] = frozenset()
+        self._serving_hosts: frozenset[str] = frozenset()
         self._host_id = host_id
         self.skipped = 0
         self.version = 0
@@ -226,13 +233,15 @@
         """Yield the statements whose rate this host received in a response itself."""
         return (item for item in self._by_server.items() if item[1].own)
 
-    def share_of(self, server: Incarnation) -> float:
+    def share_per_s_of(self, server: Incarnation) -> float:
         """Return this host's share of a server's rate, in requests per second.
 
         Infinity if the server states no limit.
         """
         limit = self._by_server.get(server)
-        return float("inf") if limit is None or limit.rate is None else limit.share
+        return (
+            float("inf") if limit is None or limit.rate is None else limit.share_per_s
+        )
 
     def in_force(self) -> Iterator[tuple[Incarnation, RateLimit]]:
         """Yield the runs of servers that state a rate, and their limits."""
@@ -240,31 +249,31 @@
 
     def set_hosts(self, hosts: Collection[str], now: float) -> None:
         """Set which hosts may send requests to servers, and update the shares."""
-        if self._hosts == hosts:
+        if self._serving_hosts == hosts:
             return
-        self._hosts = frozenset(hosts)
+        self._serving_hosts = frozenset(hosts)
         for server, limit in self._by_server.items():
             self._update_share(server, limit, now)
 
     def _update_share(self, server: Incarnation, limit: RateLimit, now: float) -> None:
         limit.settle(now)
         if limit.rate is None:
-            limit.share = 0.0
+            limit.share_per_s = 0.0
             return
         rate = max(MIN_RATE_PER_S, limit.rate)
-        order = ranked(server[0], self._hosts)
+        order = ranked(server[0], self._serving_hosts)
         max_sharers = self._bound.max_sharers(rate)
-        serving = self._host_id in self._hosts
+        serving = self._host_id in self._serving_hosts
         rank = order.index(self._host_id) if serving else len(order)
         sharing = serving and rank < max_sharers
         sharers = max(1, min(max_sharers, len(order)))
-        limit.share = rate / sharers if sharing else 0.0
+        limit.share_per_s = rate / sharers if sharing else 0.0
         limit.max_credit = self._bound.credit_each(rate, sharers)
         limit.position = rank - max_sharers if serving else NO_POSITION
         limit.positions = max(1, len(order) - max_sharers + 1)
 
-    def forget_old(self, now: float, known: Collection[str]) -> None:
-        """Drop outdated statements; `known` are the ids of known servers.
+    def forget_old(self, now: float, known_ids: Collection[str]) -> None:
+        """Drop outdated statements; `known_ids` are the ids of known servers.
 
         A rate that a known server states is kept however old it is.
         """
@@ -272,7 +281,7 @@
             server
             for server, limit in self._by_server.items()
             if now - limit.at > REMEMBERED_S
-            and (limit.rate is None or server[0] not in known)
+            and (limit.rate is None or server[0] not in known_ids)
         ]
         for server in outdated:
             del self._by_server[server]
@@ -294,7 +303,7 @@
         limit = self._by_server.get(server)
         if limit is None or limit.rate is None:
             return True
-        if limit.share > 0.0:
+        if limit.share_per_s > 0.0:
             allowed = limit.credit_now(now) >= (1.0 if urgent else MIN_CREDIT)
         else:
             allowed = self._may_probe(limit, now)
@@ -321,7 +330,7 @@
         limit = self._by_server.get(server)
         if limit is None or limit.rate is None:
             return
-        if limit.share > 0.0:
+        if limit.share_per_s > 0.0:
             limit.settle(now)
             limit.credit = max(0.0, limit.credit - 1.0)
         else:
@@ -335,6 +344,6 @@
         limit = self._by_server.get(server)
         if limit is None or limit.rate is None:
             return 0.0
-        if limit.share <= 0.0:
+        if limit.share_per_s <= 0.0:
             return float("inf")
-        return max(0.0, MIN_CREDIT - limit.credit_now(now)) / limit.share
+        return max(0.0, MIN_CREDIT - limit.credit_now(now)) / limit.share_per_s
--- a/lacewingcross/core/region_reservations.py
+++ b/lacewingcross/core/region_reservations.py
@@ -39,13 +39,13 @@
     A request is bound if only some regions may serve it.
     """
 
-    __slots__ = ("_avoiding", "_bound", "_requests", "_reviewed_at")
+    __slots__ = ("_avoiding", "_bound_requests", "_requests", "_reviewed_at")
 
     def __init__(self) -> None:
         # Requests by service, and bound requests by service and regions; older ones
         # count less.
         self._requests: Counter[str] = Counter()
-        self._bound: Counter[tuple[str, frozenset[str]]] = Counter()
+        self._bound_requests: Counter[tuple[str, frozenset[str]]] = Counter()
         # Share of the unbound requests that avoid a region, by service and region.
         self._avoiding: dict[str, dict[str, float]] = {}
         self._reviewed_at: float | None = None
@@ -54,7 +54,7 @@
         """Count a request and the regions to which it is bound, empty for none."""
         self._requests[service] += 1
         if regions:
-            self._bound[service, regions] += 1
+            self._bound_requests[service, regions] += 1
 
     def has_any(self, service: str) -> bool:
         """Return whether requests to a service avoid any region."""
@@ -88,15 +88,15 @@
     def _pressures(self, servers: Iterable[Server]) -> dict[ServiceRegion, float]:
         """Return the pressure on each region of each service with enough requests."""
         slots: Counter[ServiceRegion] = Counter()
-        of_service: Counter[str] = Counter()
+        service_slots: Counter[str] = Counter()
         for server in servers:
             if not server.entry.draining:
                 slots[server.entry.service, server.region] += server.entry.slots
-                of_service[server.entry.service] += server.entry.slots
+                service_slots[server.entry.service] += server.entry.slots
         bound = self._bound_by_region(slots)
         return {
             (service, region): bound[service, region]
-            * of_service[service]
+            * service_slots[service]
             / (self._requests[service] * count)
             for (service, region), count in slots.items()
             if self._requests[service] >= MIN_REQUESTS
@@ -108,7 +108,7 @@
         Requests that are bound to several regions are divided among them by slots.
         """
         bound: Counter[ServiceRegion] = Counter()
-        for (service, regions), count in self._bound.items():
+        for (service, regions), count in self._bound_requests.items():
             slots_by_region = {
                 r: slots[service, r] for r in regions if slots[service, r]
             }
@@ -133,7 +133,7 @@
             del shares[region]
 
     def _decay(self) -> None:
-        for counts in (self._requests, self._bound):
+        for counts in (self._requests, self._bound_requests):
             for name in list(counts):
                 counts[name] *= DECAY
                 if counts[name] < 0.01:
--- a/lacewingcross/core/routes.py
+++ b/lacewingcross/core/routes.py
@@ -85,7 +85,7 @@
     """Finds the route of a request by its host name, then by the longest prefix."""
 
     config: Configuration
-    _by_host: dict[str, list[Route]] = field(init=False)
+    _by_host_name: dict[str, list[Route]] = field(init=False)
 
     def __post_init__(self) -> None:
         grouped = defaultdict(list)
@@ -93,11 +93,11 @@
             grouped[route.host_name].append(route)
         for routes in grouped.values():
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
-        self._by_host = dict(grouped)
+        self._by_host_name = dict(grouped)
 
     def match(self, host_name: str, path: str) -> Route | None:
         """Return the route of a request, or None when no route matches."""
-        for route in self._by_host.get(host_name, ()):
+        for route in self._by_host_name.get(host_name, ()):
             if path.startswith(route.prefix):
                 return route
         return None
@@ -108,6 +108,6 @@
         A route is bound if it has home regions. The result is empty if no route of the
         host name is bound, or if the bound routes have no region in common.
         """
-        bound = [r.home_regions for r in self._by_host.get(host_name, ())]
-        bound = [regions for regions in bound if regions]
-        return frozenset.intersection(*bound) if bound else frozenset()
+        region_sets = [r.home_regions for r in self._by_host_name.get(host_name, ())]
+        region_sets = [regions for regions in region_sets if regions]
+        return frozenset.intersection(*region_sets) if region_sets else frozenset()
--- a/lacewingcross/core/slew.py
+++ b/lacewingcross/core/slew.py
@@ -65,10 +65,10 @@
         self, group: str, wanted: list[str], cap: ShiftCap, now: float
     ) -> int:
         table = self.tables[group]
-        budget = self._budget(group, cap, now)
+        allowed_moves = self._allowed_moves(group, cap, now)
         moved = 0
         for index, region in enumerate(wanted):
-            if moved >= budget:
+            if moved >= allowed_moves:
                 break
             if table[index] != region:
                 table[index] = region
@@ -80,7 +80,7 @@
             del self._behind[group]
         return moved
 
-    def _budget(self, group: str, cap: ShiftCap, now: float) -> int:
+    def _allowed_moves(self, group: str, cap: ShiftCap, now: float) -> int:
         """Return how many buckets of a client group may move now."""
         moves = self._moves.setdefault(group, deque())
         while moves and now - moves[0][0] > cap.window_s:
--- a/lacewingcross/core/steering.py
+++ b/lacewingcross/core/steering.py
@@ -73,7 +73,7 @@
 
     Attributes
     ----------
-    hosts : int
+    host_count : int
         Number of hosts that share the limits on connections to servers.
     rejected : list of Rejected
         Stored objects that could not be decoded.
@@ -93,7 +93,7 @@
         "_retry_ratio",
         "_splitters",
         "crashes",
-        "hosts",
+        "host_count",
         "placement",
         "rejected",
         "replica",
@@ -114,7 +114,7 @@
         self.crashes = CrashLedger()
         self.rng = rng
         self.table: RouteTable | None = None
-        self.hosts = 1
+        self.host_count = 1
         self._host_share = 1.0
         self._decoder = decoder
         self._retry_ratio = retry_ratio
@@ -166,8 +166,8 @@
             self._outage_ended_at = now
         self._confirmed_at[kind] = now
 
-    def _apply(self, fresh: list[Document], now: float) -> None:
-        for doc in fresh:
+    def _apply(self, changed: list[Document], now: float) -> None:
+        for doc in changed:
             try:
                 self._apply_one(doc, now)
             except UserError as exc:
@@ -178,7 +178,7 @@
                 if doc.kind is Kind.SERVER:
                     self._kept_until.pop(doc.name, None)
                     self.placement.known.drop(doc.name)
-        if any(doc.kind is Kind.EVACUATION for doc in fresh):
+        if any(doc.kind is Kind.EVACUATION for doc in changed):
             domains = [doc.name for doc in self.replica.known(Kind.EVACUATION)]
             servers = self.placement.known.servers.values()
             self.placement.eligibility.set_evacuated(domains, servers, now)
--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -165,7 +165,9 @@
         table = self.gateway.steering.table
         declared = table.config.services.get(service) if table else None
         limit = declared.max_connections if declared else 100
-        return max(2, int(limit * CONNECTION_LIMIT_SHARE / self.gateway.steering.hosts))
+        return max(
+            2, int(limit * CONNECTION_LIMIT_SHARE / self.gateway.steering.host_count)
+        )
 
     async def _tick(self) -> None:
         for tick in itertools.count():
@@ -202,7 +204,7 @@
         placement = steering.placement
         servers = placement.known.servers.values()
         roster = gateway.roster
-        steering.hosts = len(roster.active.keys() | {roster.own.host_id})
+        steering.host_count = len(roster.active.keys() | {roster.own.host_id})
         steering.set_host_share(fleet_share(roster, now))
         placement.eligibility.host_region_share = region_share(roster, now)
         rates = placement.gate.rates
--- a/lacewingcross/gateway/gauges.py
+++ b/lacewingcross/gateway/gauges.py
@@ -34,5 +34,6 @@
         "servers.limit.", {name: limit.rate for name, limit in limits.items()}
     )
     metrics.replace_gauges(
-        "servers.limit-here.", {name: limit.share for name, limit in limits.items()}
+        "servers.limit-here.",
+        {name: limit.share_per_s for name, limit in limits.items()},
     )
--- a/lacewingcross/gateway/signals.py
+++ b/lacewingcross/gateway/signals.py
@@ -128,7 +128,7 @@
     rates = gateway.steering.placement.gate.rates
     now = gateway.now()
     rates.set_hosts(serving_hosts(gateway.roster, now), now)
-    own_share = rates.share_of(server)
+    own_share = rates.share_per_s_of(server)
     logs.event(
         "server-limit",
         server=server[0],
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -113,7 +113,7 @@
         limits.set_hosts(names, 0.0)
         limits.observe(SERVER, 0.0, 0.0, 0.0)
         for second in range(int(RATE_VALID_S) + 60):
-            if limits.share_of(SERVER) or not limits.may_send(
+            if limits.share_per_s_of(SERVER) or not limits.may_send(
                 SERVER, second, urgent=True
             ):
                 continue
@@ -149,7 +149,7 @@
     for limits in hosts:
         limits.set_hosts(frozenset(f"h{number}" for number in range(40)), 0.0)
         limits.observe(SERVER, 0.5, 0.0, 0.0)
-    shares = [limits.share_of(SERVER) for limits in hosts]
+    shares = [limits.share_per_s_of(SERVER) for limits in hosts]
     assert sum(share > 0 for share in shares) <= bound.max_sharers(0.5)
     assert sum(shares) == pytest.approx(0.5)
 
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -23,7 +23,7 @@
     rng = random.Random(1)
     placement = Placement("a", {"a1": "a"}, rng, 1.5, 5.0)
     state = Steering(placement, ObjectDecoder(), rng, 0.2, 64.0)
-    state.hosts = hosts
+    state.host_count = hosts
     state.set_host_share(1.0 / hosts)
     return state
 
