--- a/lacewingcross/core/eligibility.py
+++ b/lacewingcross/core/eligibility.py
@@ -22,6 +22,11 @@
         Bound on requests to cold servers, see `cold_send_limit`.
     gate : SendGate
         Limits that servers request in their responses.
+
+    Attributes
+    ----------
+    host_region_share : float
+        This host's share of what the hosts of its region may send to a cold server.
     """
 
     __slots__ = (
@@ -45,7 +50,7 @@
         self._failures: dict[str, FailureShare] = {}
         self._services: dict[str, Service] = {}
         self.gate = gate
-        # This host's share of what its region's hosts may send to a cold server.
+        # The number of hosts is assumed until the shares are reviewed.
         self.host_region_share = 1.0 / ASSUMED_HOSTS
 
     def set_services(self, services: dict[str, Service]) -> None:
--- a/lacewingcross/core/known_servers.py
+++ b/lacewingcross/core/known_servers.py
@@ -110,7 +110,10 @@
                 server.of_peers.pop(peer, None)
 
     def set_handled(self, pairs: Iterable[tuple[str, str]]) -> None:
-        """Record which servers are warm for which objects, as another host reports."""
+        """Record which servers are warm for which objects, as another host reports.
+
+        `pairs` holds a server id and the name of an object each.
+        """
         for server_id, object_name in pairs:
             if server_id in self.servers:
                 self.servers[server_id].warm.handled(object_name)
--- a/lacewingcross/core/passive_health.py
+++ b/lacewingcross/core/passive_health.py
@@ -126,6 +126,7 @@
         self._failed_share += FAILURE_WEIGHT * (failed - self._failed_share)
         if self._failed_share > MAX_FAILURE_SHARE:
             self._pause(FAILURE_PAUSE_S, FAILING, now)
+            # A single failure after the pause does not skip the server again.
             self._failed_share = MAX_FAILURE_SHARE / 2
 
     def _pause(self, pause_s: float, why: str, now: float) -> None:
--- a/lacewingcross/core/placement.py
+++ b/lacewingcross/core/placement.py
@@ -28,8 +28,8 @@
 # with three, each key is cold on one more server.
 HOMES_PER_KEY = 2
 # A request may wait for this multiple of what the target leaves beside network round
-# trip and service time. Its response then misses the target, but a warm server still
-# answers it sooner than a second attempt after a refusal would.
+# trip and service time. After the longest wait its response misses the target, but a
+# warm server still answers it sooner than a second attempt after a refusal would.
 MAX_WAIT_FACTOR = 2.0
 # At least this many requests may wait at a server, also at one that is cold for their
 # object: each request that finds no room there makes another server warm for its
@@ -44,7 +44,7 @@
 # Shortest and longest retry delay for a caller whose request was shed by a server with
 # free slots, in seconds: long enough to open a connection.
 SHED_RETRY_DELAY_S = (0.01, 0.05)
-# Number of usable servers, in the key's order and from its homes on, among which a warm
+# Number of usable servers in the key's order, including its homes, among which a warm
 # one may be chosen besides the homes.
 WARM_CANDIDATES = 12
 # A home that has been idle (`Server.idle_s`) for this long, in seconds, takes over a
--- a/lacewingcross/core/rate_limits.py
+++ b/lacewingcross/core/rate_limits.py
@@ -92,8 +92,8 @@
         When the statement was last known to hold, by this host's clock: when a response
         with a rate arrived, or when the request was sent whose response stated no rate.
     own : bool
-        Whether this host received the current rate in a response itself. That stays so
-        when another host later reports the same rate.
+        Whether this host received the current statement in a response itself. It stays
+        true when another host later reports the same rate.
     share_per_s : float
         Requests per second that this host may send; 0 for a host without a share.
     credit, max_credit : float
@@ -230,7 +230,7 @@
         return True
 
     def own_observations(self) -> Iterator[tuple[Incarnation, RateLimit]]:
-        """Yield the statements whose rate this host received in a response itself."""
+        """Yield the statements that this host received itself, see `RateLimit.own`."""
         return (item for item in self._by_server.items() if item[1].own)
 
     def share_per_s_of(self, server: Incarnation) -> float:
@@ -315,7 +315,8 @@
 
         Guards against a burst: after a long time without requests for a server, all
         hosts get one at once. Each considers the known rate outdated, and together they
-        would send too many. In rotation, one host at most sends in each window.
+        would send too many. The rotation leaves each window of the bound to one of
+        them, or to none.
         """
         if now - max(limit.at, limit.tried_at) <= RATE_VALID_S:
             return False
--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -9,11 +9,11 @@
 STEP_S = 0.05
 RESPONSE_DELAY_S = 0.1
 NETWORK_DELAY_S = 0.04
-# A host is bound from this long after it has passed on a response with a rate, in
-# seconds.
+# A host must keep to a rate from this long after it has received a response with the
+# rate, in seconds.
 BOUND_AFTER_S = 0.5
-# The bound applies from this long after the first such response, in seconds. A host is
-# exempt for as long after a restart.
+# The bound applies from this long after the first response with a rate at any host, in
+# seconds. The requests of a host are not counted for as long after its start.
 STABLE_S = 3.0
 # Extra delay of responses that are held up, in seconds.
 LATE_S = 1.2
@@ -22,7 +22,9 @@
 class LimitFleet:
     """Hosts, their views of each other, and the requests that the server got.
 
-    `cut` holds hosts that reach no other host; they still reach the server.
+    `cut` holds hosts that reach no other host; they still reach the server. `arrivals`
+    holds the time of each counted request and the rate that its host had to keep.
+    Without `gated`, hosts send requests whatever the rate is.
     """
 
     def __init__(self, count, rate, *, gated=True):
@@ -54,7 +56,7 @@
             self.gossip(other, name)
 
     def join(self):
-        """Add a host; the others learn of it after a network delay."""
+        """Add a host; the other hosts learn of it after a network delay."""
         name = f"h{len(self.hosts)}"
         self.start(name, [*self.hosts, name])
         for other in self.hosts:
@@ -86,7 +88,10 @@
             self.hosts[receiver].learn_from_peer(*statement, self.now)
 
     def send(self, name, *, late_s=0.0):
-        """Let a host send a request; its response may be delayed. Return if it did."""
+        """Let a host send a request, if it may; return whether it did.
+
+        `late_s` is the extra delay of the response.
+        """
         limits = self.hosts[name]
         if self.gated and not limits.may_send(SERVER, self.now, urgent=True):
             return False
@@ -113,7 +118,10 @@
                 self.gossip(name, other)
 
     def play(self, seconds, *, tries=2, senders=None, late_s=0.0):
-        """Have each host request more of the server than it accepts."""
+        """Have hosts send more requests than the server accepts.
+
+        Each of `senders`, or of all hosts, tries to send `tries` requests per step.
+        """
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             while self._events and self._events[0][0] <= self.now:
@@ -124,9 +132,10 @@
                     self.send(name, late_s=late_s)
 
     def _bound_by(self, name):
-        """Return the rate that binds a host by what it has passed on; None for none.
+        """Return the rate that a host must keep by its own responses, None for none.
 
-        A statement that it passed on within the last half second need not be kept yet.
+        A rate that the host received within the last half second need not be kept yet,
+        so the largest recent rate counts.
         """
         statements = self.responses[name]
         while len(statements) > 1 and statements[1][0] <= self.now - BOUND_AFTER_S:
@@ -136,13 +145,16 @@
         return None if not known or None in rates else max(rates)
 
     def excess(self):
-        """Return how far the worst window exceeds the bound; 0 or less keeps it."""
+        """Return by how many requests the worst window exceeds the bound.
+
+        With 0 or less, the bound has been kept.
+        """
         bound = RateBound()
         if self.first_rate_at is None:
             return self._worst
         first = self.first_rate_at + STABLE_S
         counted = [(at, rate) for at, rate in self.arrivals if at >= first]
-        # Windows that began earlier have been checked.
+        # Windows that began more than 20 s ago have been checked.
         self.arrivals = [item for item in counted if item[0] > self.now - 20.0]
         for since, _ in counted:
             until = since + bound.window_s
--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -21,7 +21,12 @@
 
 @dataclass
 class Kind:
-    """One sort of request: its rate, its service time and its target."""
+    """One sort of request: its rate, its service time and its target.
+
+    `per_s` is the number of requests per second from all regions together, and
+    `service_time_s` that of a server that is cold for the object. There are `objects`
+    objects.
+    """
 
     name: str
     service: str
@@ -31,20 +36,24 @@
     objects: int = 24
     urgent: bool = False
     regions: frozenset = frozenset()
-    # Name of the kind whose objects and work it shares.
+    # Name of another kind, if the requests are for its objects and ask for its work.
     like: str = ""
 
 
 @dataclass(slots=True)
 class ModelServer:
-    """A backend server: its slots, its queue, and the objects for which it is warm."""
+    """A backend server: its slots, its queue, and the objects for which it is warm.
+
+    Its service times are `slow` times the usual ones. It sheds a fraction `shed` of its
+    requests.
+    """
 
     slots: int
     slow: float = 1.0
     shed: float = 0.0
     running: int = 0
     waiting: deque = field(default_factory=deque)
-    # Objects for which the server is warm, the latest last; there may be `keeps`.
+    # Objects for which the server is warm, the latest last; at most `keeps` of them.
     warm: dict = field(default_factory=dict)
     keeps: int = 10**6
     cold_runs: int = 0
@@ -60,7 +69,12 @@
 
 @dataclass
 class Outcome:
-    """What callers got, and where their requests ran, by seconds."""
+    """What callers got, and where their requests ran, by seconds.
+
+    `asked` counts the requests, `in_target` those answered in time, and `refused` those
+    refused, each by kind and second of arrival. `ran_in` counts by the caller's region
+    and second the requests that ran in each region.
+    """
 
     in_target: Counter = field(default_factory=Counter)
     asked: Counter = field(default_factory=Counter)
@@ -68,13 +82,19 @@
     ran_in: dict = field(default_factory=dict)
 
     def share(self, kind, since=0, until=10**6):
-        """Return the share of a kind's requests that were answered in time."""
+        """Return the share of a kind's requests that were answered in time.
+
+        Only requests that arrived from second `since` on and before `until` count.
+        """
         spans = [(k, s) for k, s in self.asked if k == kind and since <= s < until]
         asked = sum(self.asked[key] for key in spans)
         return sum(self.in_target[key] for key in spans) / asked
 
     def worst_shift(self, region, since=4, span=2):
-        """Return the largest share that changed its region between adjacent spans."""
+        """Return the largest share of a region's requests that moved between spans.
+
+        Compared are the regions in which they ran in adjacent spans of `span` seconds.
+        """
         spans = {}
         for (origin, second), counts in self.ran_in.items():
             if origin == region:
@@ -141,11 +161,11 @@
         self.out = Outcome()
 
     def at(self, due_at, call, *args):
-        """Schedule a call."""
+        """Schedule a call at `due_at`, in seconds of virtual time."""
         heapq.heappush(self.events, (due_at, next(self.sequence), call, args))
 
     def play(self, kinds, seconds, rate=lambda region, now: 1.0):
-        """Play a load; `rate` scales a region's callers over time."""
+        """Play a load; `rate` returns the factor on a region's request rate."""
         for kind in kinds:
             for index, _ in enumerate(self.hosts):
                 self.at(self.rng.uniform(0, 0.1), self._arrive, kind, index, rate)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -10,19 +10,26 @@
 
 
 def _possible(ending, sent):
-    """Return whether an ending can follow, given whether bytes were written."""
+    """Return whether an attempt can end so, given whether its bytes were written."""
     if not sent:
         return ending in (Ending.CONNECT_FAILED, Ending.CANCELLED, Ending.TIMED_OUT)
     return ending is not Ending.CONNECT_FAILED
 
 
 def _may_run(ending, sent):
-    """Return whether the server may have run it, computed independently of the code."""
+    """Return whether the server may have run the request.
+
+    The result does not depend on the code under test.
+    """
     return sent and ending is not Ending.SERVER_NOT_RUN
 
 
 def _run_path(repeatable, replayable, path):
-    """Yield (verdict, number of attempts that may have run) for a path of endings."""
+    """Return (verdict, number of attempts that may have run) for a path of endings.
+
+    The result is None for a path that cannot occur or does not end the request, and the
+    number is None if the request ends before the path does.
+    """
     ran = 0
     for number, (ending, sent) in enumerate(path, 1):
         if not _possible(ending, sent):
--- a/tests/test_passive_health.py
+++ b/tests/test_passive_health.py
@@ -18,8 +18,8 @@
 
 
 def test_after_a_pause_one_request_goes_first():
-    # The pause of a crashed server is over. If all its keys were sent at once, all of
-    # them would be lost if it is still down.
+    # The pause of a crashed server is over. If the requests of all its keys were sent
+    # at once and the server was still down, all of these requests would be lost.
     health = PassiveHealth()
     health.unreachable(1, 0.0)
     assert health.usable(1.0)
@@ -88,8 +88,9 @@
 
 
 def test_the_silence_timeout_is_that_of_each_request():
-    # A history takes 1.6 s on a cold server and a level 80 ms. With the silence timeout
-    # of the level, the server would count as silent while it runs the history.
+    # A history request takes 1.6 s on a cold server, and a level request 80 ms. With
+    # the silence timeout of the level request, the server would count as silent while
+    # it runs the history request.
     health = PassiveHealth()
     health.sent(1, 0.0, 4.0)
     assert health.usable(1.0)
@@ -99,7 +100,8 @@
 
 def test_failures_of_a_whole_service_are_distinguished_from_those_of_a_few_servers():
     # For eight seconds every server sheds half of its requests. If each were skipped in
-    # turn, every key would wander over all servers and be cold on each of them.
+    # turn, the requests of each key would go to one server after another, and the key
+    # would be cold on all of them.
     partial = FailureShare()
     for number in range(400):
         partial.add(number % 7 == 0 and number % 2 == 0)
--- a/tests/test_placement_load.py
+++ b/tests/test_placement_load.py
@@ -39,9 +39,10 @@
 
 
 def test_objects_become_warm_soon_and_stay_warm():
-    # With a home in each region and spilling over to others, 0.3 to 0.6 of the requests
-    # of such a day were answered in time. Two homes for the whole fleet make some two
-    # hundred cold runs, one for each object and home, of five thousand requests.
+    # With a home in each region, and requests that go on to the other homes when it is
+    # full, 0.3 to 0.6 of the requests of such a day were answered in time. Two homes
+    # for the whole fleet make some two hundred cold runs, one for each object and home,
+    # of five thousand requests.
     player = LoadPlayer(SERVERS, HOSTS)
     out = player.play(KINDS, 30, wave)
     assert player.cold_runs < 250
@@ -122,7 +123,8 @@
 
 
 def test_requests_leave_a_reserved_region_gradually():
-    # What leaves a region lands on cold servers, so it must move in small steps.
+    # Requests that leave a region land on cold servers, so they must leave in small
+    # steps.
     ran_in = {}
     for seed in range(8):
         for span, counts in play_bound(seconds=24, seed=seed).ran_in.items():
@@ -148,8 +150,9 @@
 
 
 def test_no_account_is_starved_when_all_send_twice_the_capacity():
-    # Requests of urgent accounts may wait where others are refused. The others must
-    # still get a fair share of the slots: at least a quarter of what any account gets.
+    # Requests of urgent accounts may wait where other requests are refused. The other
+    # accounts must still get a fair share of the slots: at least a quarter of what any
+    # account gets.
     kinds = [
         Kind("urgent", "dispatch", 60.0, 0.64, 0.4, urgent=True, like="usual"),
         Kind("usual", "dispatch", 540.0, 0.64, 0.4),
@@ -162,8 +165,8 @@
 
 def test_servers_that_all_shed_keep_their_keys():
     # For eight seconds each server sheds half of its requests although it has free
-    # slots. If servers were skipped for that, every key would wander over all servers
-    # and be cold on each.
+    # slots. If servers were skipped for shedding, the requests of each key would go to
+    # one server after another, and the key would be cold on all of them.
     player = LoadPlayer(SERVERS, HOSTS)
     player.at(8.0, lambda: [setattr(m, "shed", 0.55) for m in player.models.values()])
     player.at(16.0, lambda: [setattr(m, "shed", 0.0) for m in player.models.values()])
@@ -174,7 +177,8 @@
 
 def test_a_few_slow_servers_have_little_effect():
     # Three of sixteen servers take eight times as long for some seconds. No host is
-    # told; their slots stay taken, and requests that find them full go elsewhere.
+    # informed. The slots of these servers stay taken, and requests that find them full
+    # go elsewhere.
     player = LoadPlayer(SERVERS, HOSTS)
     slow = [player.models[f"dispatch-s-{number}"] for number in range(3)]
     player.at(8.0, lambda: [setattr(model, "slow", 8.0) for model in slow])
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -79,8 +79,8 @@
 
 
 def test_a_limit_that_is_no_longer_stated_ends_at_all_hosts():
-    # One host receives the update. The others sent nothing meanwhile and must drop the
-    # limit too.
+    # One host receives a response without a rate. The other hosts sent nothing in the
+    # meantime and must drop the limit too.
     fleet = flooded(6.0)
     fleet.set_rate(None)
     fleet.play(3.0, senders=["h0"])
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -122,7 +122,7 @@
 
 
 def test_a_server_with_an_invalid_entry_is_dropped():
-    # Another writer overwrites a server's entry with something that cannot be decoded.
+    # Another writer overwrites a server's entry with an object that cannot be decoded.
     # That server must get no more requests; the other servers stay in use.
     state = make_steering()
     apply_document(state, 1, ENTRY, 0.0)
@@ -150,7 +150,8 @@
 
 
 def test_an_invalid_quarantine_is_ignored():
-    # Something else stores invalid quarantines. Those of the hosts must still hold.
+    # Another writer stores invalid quarantines. The quarantines of the hosts must still
+    # hold.
     state = make_steering()
     apply_document(
         state, 1, {"servers": ["i-1"]}, 0.0, name="good", kind=Kind.QUARANTINE
