--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -96,10 +96,10 @@
         if self.gated and not limits.may_send(SERVER, self.now, urgent=True):
             return False
         limits.sent(SERVER, self.now)
-        bound_by = self._bound_by(name)
+        binding_rate = self._binding_rate(name)
         settled = self.now - self.started_at[name] > STABLE_S
-        if settled and bound_by is not None:
-            self.arrivals.append((self.now, bound_by))
+        if settled and binding_rate is not None:
+            self.arrivals.append((self.now, binding_rate))
         statement = (self.rate, self.now, self.hosts[name])
         self.later(RESPONSE_DELAY_S + late_s, self._answer, name, statement)
         return True
@@ -131,7 +131,7 @@
                 for _ in range(tries):
                     self.send(name, late_s=late_s)
 
-    def _bound_by(self, name):
+    def _binding_rate(self, name):
         """Return the rate that a host must keep by its own responses, None for none.
 
         A rate that the host received within the last half second need not be kept yet,
@@ -152,8 +152,8 @@
         bound = RateBound()
         if self.first_rate_at is None:
             return self._worst
-        first = self.first_rate_at + STABLE_S
-        counted = [(at, rate) for at, rate in self.arrivals if at >= first]
+        bound_from = self.first_rate_at + STABLE_S
+        counted = [(at, rate) for at, rate in self.arrivals if at >= bound_from]
         # Windows that began more than 20 s ago have been checked.
         self.arrivals = [item for item in counted if item[0] > self.now - 20.0]
         for since, _ in counted:
--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -81,7 +81,7 @@
     refused: Counter = field(default_factory=Counter)
     ran_in: dict = field(default_factory=dict)
 
-    def share(self, kind, since=0, until=10**6):
+    def in_time_share(self, kind, since=0, until=10**6):
         """Return the share of a kind's requests that were answered in time.
 
         Only requests that arrived from second `since` on and before `until` count.
@@ -164,11 +164,13 @@
         """Schedule a call at `due_at`, in seconds of virtual time."""
         heapq.heappush(self.events, (due_at, next(self.sequence), call, args))
 
-    def play(self, kinds, seconds, rate=lambda region, now: 1.0):
-        """Play a load; `rate` returns the factor on a region's request rate."""
+    def play(self, kinds, seconds, rate_factor=lambda region, now: 1.0):
+        """Play a load; `rate_factor` returns the factor on a region's request rate."""
         for kind in kinds:
             for index, _ in enumerate(self.hosts):
-                self.at(self.rng.uniform(0, 0.1), self._arrive, kind, index, rate)
+                self.at(
+                    self.rng.uniform(0, 0.1), self._arrive, kind, index, rate_factor
+                )
         self.at(0.0, self._gossip)
         self.at(0.0, self._review)
         while self.events and self.events[0][0] < seconds:
@@ -176,10 +178,16 @@
             call(*args)
         return self.out
 
-    def _arrive(self, kind, index, rate):
+    def _arrive(self, kind, index, rate_factor):
         region, host = self.hosts[index]
-        per_s = kind.per_s / len(self.hosts) * rate(region, self.now)
-        self.at(self.now + self.rng.expovariate(per_s), self._arrive, kind, index, rate)
+        per_s = kind.per_s / len(self.hosts) * rate_factor(region, self.now)
+        self.at(
+            self.now + self.rng.expovariate(per_s),
+            self._arrive,
+            kind,
+            index,
+            rate_factor,
+        )
         key = str(self.rng.randrange(kind.objects))
         request = PlacementRequest(
             kind.service, key, kind.regions, kind.urgent, frozenset(), kind.target_s,
@@ -188,15 +196,15 @@
         self.out.asked[kind.name, int(self.now)] += 1
         self._try(request, region, host, self.now, kind)
 
-    def _try(self, request, region, host, since, kind):
+    def _try(self, request, region, host, arrived_at, kind):
         choice = host.choose(request, self.now)
         if not isinstance(choice, Choice):
-            self.out.refused[kind.name, int(since)] += 1
+            self.out.refused[kind.name, int(arrived_at)] += 1
             return
         attempt_id = next(self.sequence)
         host.began(choice, attempt_id, self.now)
         network_s = 0.0 if choice.server.region == region else self.network_s
-        job = (choice, attempt_id, host, since, kind, self.now)
+        job = (choice, attempt_id, host, arrived_at, kind, self.now)
         self.at(self.now + network_s / 2, self._arrive_at_server, job, region)
 
     def _arrive_at_server(self, job, region):
@@ -233,7 +241,7 @@
         model.running -= 1
         if model.waiting:
             self._run(model, model.waiting.popleft())
-        choice, attempt_id, host, since, kind, sent = job
+        choice, attempt_id, host, arrived_at, kind, sent_at = job
         network_s = choice.estimate.network_s / 2
         self.at(
             self.now + network_s,
@@ -241,18 +249,18 @@
             choice,
             attempt_id,
             host,
-            since,
+            arrived_at,
             kind,
-            sent,
+            sent_at,
         )
 
-    def _answer(self, choice, attempt_id, host, since, kind, sent_at):
+    def _answer(self, choice, attempt_id, host, arrived_at, kind, sent_at):
         host.ended(choice.server)
         choice.server.passive_health.answered(attempt_id, self.now, good=True)
         host.eligibility.learn_outcome(choice.server.entry.service, failed=False)
         host.learn_answer(choice, self.now - sent_at, self.now)
-        if self.now - since <= kind.target_s:
-            self.out.in_target[kind.name, int(since)] += 1
+        if self.now - arrived_at <= kind.target_s:
+            self.out.in_target[kind.name, int(arrived_at)] += 1
 
     def _gossip(self):
         self.at(self.now + GOSSIP_INTERVAL_S, self._gossip)
--- a/tests/test_placement_load.py
+++ b/tests/test_placement_load.py
@@ -48,14 +48,14 @@
     assert player.cold_runs < 250
     assert out.refused.total() < 0.05 * out.asked.total()
     for kind in KINDS:
-        assert out.share(kind.name, since=8) > 0.85
+        assert out.in_time_share(kind.name, since=8) > 0.85
 
 
-def largest_shifts(rate, seconds=20, plays=8):
+def largest_shifts(rate_factor, seconds=20, plays=8):
     """Return each region's largest shift, over several runs to reduce chance."""
     ran_in = {}
     for seed in range(plays):
-        out = LoadPlayer(SERVERS, HOSTS, seed=seed).play(KINDS, seconds, rate)
+        out = LoadPlayer(SERVERS, HOSTS, seed=seed).play(KINDS, seconds, rate_factor)
         for span, counts in out.ran_in.items():
             ran_in.setdefault(span, Counter()).update(counts)
     total = Outcome(ran_in=ran_in)
@@ -117,9 +117,9 @@
     # with them; of the bound ones, 0.023 are refused without them, and none with them.
     before = play_bound(Policy(reserve_regions=False))
     after = play_bound()
-    assert after.share("free", 15) > before.share("free", 15) + 0.05
+    assert after.in_time_share("free", 15) > before.in_time_share("free", 15) + 0.05
     assert refused_share(after, "bound", 15) < 0.01 < refused_share(before, "bound", 15)
-    assert after.share("bound", 15) > before.share("bound", 15) - 0.02
+    assert after.in_time_share("bound", 15) > before.in_time_share("bound", 15) - 0.02
 
 
 def test_requests_leave_a_reserved_region_gradually():
@@ -145,8 +145,8 @@
 
 def test_an_account_that_floods_hardly_affects_the_others():
     # One account sends eight times its usual rate. Only its quota reaches the servers.
-    before = play_accounts(flooding=False).share("others", since=8)
-    assert play_accounts(flooding=True).share("others", since=8) > before - 0.01
+    before = play_accounts(flooding=False).in_time_share("others", since=8)
+    assert play_accounts(flooding=True).in_time_share("others", since=8) > before - 0.01
 
 
 def test_no_account_is_starved_when_all_send_twice_the_capacity():
@@ -172,7 +172,7 @@
     player.at(16.0, lambda: [setattr(m, "shed", 0.0) for m in player.models.values()])
     out = player.play(KINDS, 24, wave)
     assert player.cold_runs < 300
-    assert out.share("route-sheet", since=17) > 0.85
+    assert out.in_time_share("route-sheet", since=17) > 0.85
 
 
 def test_a_few_slow_servers_have_little_effect():
@@ -183,5 +183,5 @@
     slow = [player.models[f"dispatch-s-{number}"] for number in range(3)]
     player.at(8.0, lambda: [setattr(model, "slow", 8.0) for model in slow])
     out = player.play(KINDS, 18, wave)
-    assert out.share("route-sheet", since=10) > 0.85
-    assert out.share("assignment", since=10) > 0.85
+    assert out.in_time_share("route-sheet", since=10) > 0.85
+    assert out.in_time_share("assignment", since=10) > 0.85
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -137,10 +137,10 @@
     limits.observe(SERVER, 0.5, 0.0, 0.0)
     while limits.may_send(SERVER, 0.0, urgent=True):
         limits.sent(SERVER, 0.0)
-    soon = limits.wait_s(SERVER, 0.0)
-    assert limits.may_send(SERVER, soon - 0.1, urgent=True)
-    assert not limits.may_send(SERVER, soon - 0.1, urgent=False)
-    assert limits.may_send(SERVER, soon + 0.001, urgent=False)
+    wait_s = limits.wait_s(SERVER, 0.0)
+    assert limits.may_send(SERVER, wait_s - 0.1, urgent=True)
+    assert not limits.may_send(SERVER, wait_s - 0.1, urgent=False)
+    assert limits.may_send(SERVER, wait_s + 0.001, urgent=False)
 
 
 def test_only_hosts_that_may_save_up_credit_share_a_small_rate():
