--- a/lacewingcross/core/departures.py
+++ b/lacewingcross/core/departures.py
@@ -64,7 +64,7 @@
         return iter(self._leaving)
 
     def leaves(self, server: Incarnation) -> bool:
-        """Return whether a server has announced its shutdown."""
+        """Return whether a run of a server has announced its shutdown."""
         return server in self._leaving
 
     def may_send(self, server: Incarnation) -> bool:
--- a/lacewingcross/core/eligibility.py
+++ b/lacewingcross/core/eligibility.py
@@ -67,8 +67,8 @@
     ) -> None:
         """Set the failure domains that get no more requests.
 
-        Servers of a domain that is no longer evacuated have been idle and are cold;
-        nothing in their entries says so.
+        Servers of a domain that is no longer evacuated have been idle. They count as
+        cold for the `cold_start_s` of their service; nothing in their entries says so.
         """
         evacuated = frozenset(domains)
         for server in servers:
@@ -131,6 +131,7 @@
         *,
         last_resort: bool,
     ) -> bool:
+        """Return whether a server may take a request, apart from its own limits."""
         entry = server.entry
         if request.regions and server.region not in request.regions:
             return False
--- a/lacewingcross/core/homes.py
+++ b/lacewingcross/core/homes.py
@@ -56,7 +56,8 @@
     def order(self, service: str, key: str) -> list[Server]:
         """Return the servers of a service: the key's home, the local home, the others.
 
-        The local home is the first server of this host's region after the key's home.
+        `key` is the name of an object, as for `Server.warm`. The local home is the
+        first server of this host's region after the key's home.
         Without such a server, the order is that of rendezvous hashing.
         """
         orders = self._orders.setdefault(service, {})
--- a/lacewingcross/core/passive_health.py
+++ b/lacewingcross/core/passive_health.py
@@ -5,7 +5,8 @@
 # response.
 CONNECT_PAUSE_S = 0.5
 CONNECT_PAUSE_MAX_S = 4.0
-# Weight of the newest outcome in the share of failures: about the last eight count.
+# Weight of the newest outcome in a server's share of failures: about the last eight
+# outcomes count.
 FAILURE_WEIGHT = 0.12
 # A server that fails more than `MAX_FAILURE_SHARE` of its recent attempts is skipped
 # for `FAILURE_PAUSE_S` seconds. Healthy servers fail a few in a hundred because of
@@ -115,11 +116,12 @@
         self._pause(CONNECT_PAUSE_MAX_S, UNREACHABLE, now)
 
     def _back_off(self, why: str, now: float) -> None:
+        """Skip the server for the connect pause, which doubles each time."""
         self._pause(self._connect_pause_s, why, now)
         self._connect_pause_s = min(CONNECT_PAUSE_MAX_S, self._connect_pause_s * 2)
 
     def abandoned(self, attempt_id: int) -> None:
-        """Record that attempt `attempt_id` ended without an outcome of the server."""
+        """Record that attempt `attempt_id` ended for reasons other than the server."""
         self._pending.pop(attempt_id, None)
 
     def _add_outcome(self, failed: bool, now: float) -> None:
@@ -130,6 +132,7 @@
             self._failed_share = MAX_FAILURE_SHARE / 2
 
     def _pause(self, pause_s: float, why: str, now: float) -> None:
+        """Skip the server for `pause_s` seconds, after which one request goes first."""
         self._paused_until = max(self._paused_until, now + pause_s)
         self._trial_after = True
         self.why = why
@@ -165,8 +168,8 @@
 class FailureShare:
     """The share of this host's attempts at a service that failed.
 
-    Recent outcomes weigh more. Attempts that timed out or could not connect are not
-    among them.
+    Recent outcomes weigh more. Attempts that timed out or could not connect do not
+    count.
     """
 
     __slots__ = ("_share",)
--- a/lacewingcross/core/placement.py
+++ b/lacewingcross/core/placement.py
@@ -190,12 +190,14 @@
         """Return the servers that may take the request, the key's first home first.
 
         For a request without a key, these are all usable servers. For a request with a
-        key, they are the first two usable servers in the key's order and those of the
-        next ones that are warm for the object. A server that joins becomes the home of
-        some keys, and a server that returns after a loss becomes the home of its own
-        keys again. Moving all keys of such a server at once would make each of them
-        cold. So these keys stay where they are warm until the queue there makes the new
-        home faster, or the new home is idle.
+        key, they are the first two usable servers in the key's order, and of the next
+        ones, up to `WARM_CANDIDATES` in all, the servers that are warm for the object.
+        Servers in `avoided_regions` are left out.
+
+        A server that joins becomes the home of some keys, and a server that returns
+        after a loss becomes the home of its own keys again. Moving all keys of such a
+        server at once would make each of them cold. So these keys stay where they are
+        warm until the queue there makes the new home faster, or the new home is idle.
         """
         found: list[Choice] = []
         warm_candidates = WARM_CANDIDATES if self._policy.stay_warm else 0
--- a/lacewingcross/core/region_reservations.py
+++ b/lacewingcross/core/region_reservations.py
@@ -57,7 +57,7 @@
             self._bound_requests[service, regions] += 1
 
     def has_any(self, service: str) -> bool:
-        """Return whether requests to a service avoid any region."""
+        """Return whether any unbound requests to a service have to avoid a region."""
         return bool(self._avoiding.get(service))
 
     def avoided_regions(self, service: str, position: float) -> frozenset[str]:
@@ -121,6 +121,7 @@
     def _adjust(
         self, service_region: ServiceRegion, pressure: float, elapsed_s: float
     ) -> None:
+        """Move the share of unbound requests that avoid a region by one step."""
         service, region = service_region
         shares = self._avoiding.get(service, {})
         share = shares.get(region, 0.0)
