--- a/lacewingcross/core/fixed_share.py
+++ b/lacewingcross/core/fixed_share.py
@@ -10,10 +10,13 @@
 class FixedShare:
     """Slots that this host may use without a keeper's permit.
 
-    Guards against a keeper that is frozen but not yet detected as failed: waiting would
-    refuse all requests of the region for a second or more. The shares of all hosts
-    together stay under the region's slots. What the silent keeper had granted besides
-    is shed by the backend servers, which answer "not run".
+    Guards against a keeper that is frozen but not yet detected as failed: if hosts
+    waited for its permits, all requests of the region would be refused for a second or
+    more. The shares of all hosts of the region together stay under the region's limit
+    on requests in flight, unless the hosts are as many as the limit or more: a share is
+    at least one slot. With the permits that the silent keeper had granted besides, more
+    requests may go to backend servers than these have slots. The backend servers then
+    shed requests and answer "not run".
 
     Parameters
     ----------
@@ -21,23 +24,26 @@
         Shared state.
     """
 
-    __slots__ = ("_last_number", "_view")
+    __slots__ = ("_last_sequence", "_view")
 
     def __init__(self, view: View) -> None:
         self._view = view
-        self._last_number = 0
+        self._last_sequence = 0
 
     def take(
         self, state: RequestState, in_use: list[tuple[str, int]], now: float
     ) -> HeldPermit | None:
-        """Return a permit of the share for a request, or None.
+        """Return a permit of the share for a request, or None if the share is used up.
+
+        None also for a request of another region, and without a server to use.
 
         Parameters
         ----------
         state : RequestState
-            A request of this host's own region.
+            The request.
         in_use : list of (str, int)
-            Backend server and permit of every slot that this host uses there.
+            Server id and permit id of each slot that this host uses for the service and
+            region of the request.
         now : float
             Monotonic time in seconds.
         """
@@ -49,14 +55,14 @@
         server_id = self._least_used(state, Counter(server for server, _ in in_use))
         if server_id is None:
             return None
-        self._last_number += 1
-        number = (self._view.incarnation << 32) + self._last_number
-        return HeldPermit(number, server_id, state.keeper)
+        self._last_sequence += 1
+        permit_id = (self._view.incarnation << 32) + self._last_sequence
+        return HeldPermit(permit_id, server_id, state.keeper)
 
     def _size(self, service: str, region: str, now: float) -> int:
-        hosts = len(self._view.members.live(now, region)) or 1
+        host_count = len(self._view.members.live(now, region)) or 1
         limit = self._view.config.pools[service].limit(region)
-        return max(1, int(limit / (hosts + 1)))
+        return max(1, int(limit / (host_count + 1)))
 
     def _least_used(self, state: RequestState, in_use: Counter[str]) -> str | None:
         service = state.req.service
--- a/lacewingcross/core/neighbours.py
+++ b/lacewingcross/core/neighbours.py
@@ -5,7 +5,7 @@
 
 from .rendezvous import ranked
 
-# From this many other hosts on, a fleet counts as large.
+# With this many other hosts or more, a fleet counts as large.
 FULL_MESH_MAX = 64
 # Heartbeat intervals in seconds: between all hosts of a small fleet, within a failure
 # domain, and between relays.
@@ -28,17 +28,26 @@
 
 
 def relays(key: str, host_ids: Iterable[str]) -> list[str]:
-    """Return the hosts that represent a failure domain or a region to other hosts."""
+    """Return the hosts that represent a failure domain or a region to other hosts.
+
+    Parameters
+    ----------
+    key : str
+        Name of the failure domain or region.
+    host_ids : iterable of str
+        Ids of all its hosts.
+    """
     return ranked(f"relay/{key}", host_ids)[:RELAYS]
 
 
 def neighbours(own: Place, places: Iterable[Place]) -> dict[str, float]:
-    """Return the hosts to send heartbeats to, and how often, in seconds.
+    """Return the hosts to send heartbeats to, and the heartbeat intervals in seconds.
 
     In a small fleet, all hosts exchange heartbeats with each other. In a large fleet, a
-    host exchanges them within its own failure domain; relays of failure domains do so
-    within a region, and relays of regions over all regions. The rule is symmetric: both
-    sides derive the same result from the same list.
+    host exchanges heartbeats with all hosts of its own failure domain. In addition, the
+    relays of the failure domains of a region exchange heartbeats with each other, and
+    so do the relays of all regions. The rule is symmetric: two hosts derive the same
+    interval between them from the same list.
 
     Parameters
     ----------
@@ -55,31 +64,31 @@
     others = [place for place in places if place.host_id != own.host_id]
     if len(others) < FULL_MESH_MAX:
         return {place.host_id: SMALL_FLEET_INTERVAL_S for place in others}
-    result = {
+    intervals_s = {
         place.host_id: DOMAIN_INTERVAL_S
         for place in others
         if place.failure_domain == own.failure_domain
     }
-    domains: dict[tuple[str, str], list[str]] = defaultdict(list)
-    regions: dict[str, list[str]] = defaultdict(list)
+    hosts_by_domain: dict[tuple[str, str], list[str]] = defaultdict(list)
+    hosts_by_region: dict[str, list[str]] = defaultdict(list)
     for place in [own, *others]:
-        domains[place.region, place.failure_domain].append(place.host_id)
-        regions[place.region].append(place.host_id)
-    if own.host_id in relays(own.failure_domain, domains[_domain(own)]):
-        for (region, domain), host_ids in domains.items():
+        hosts_by_domain[place.region, place.failure_domain].append(place.host_id)
+        hosts_by_region[place.region].append(place.host_id)
+    if own.host_id in relays(own.failure_domain, hosts_by_domain[_domain(own)]):
+        for (region, domain), host_ids in hosts_by_domain.items():
             if region == own.region:
-                _add_relays(result, own, relays(domain, host_ids))
-    if own.host_id in relays(own.region, regions[own.region]):
-        for region, host_ids in regions.items():
-            _add_relays(result, own, relays(region, host_ids))
-    return result
+                _add_relays(intervals_s, own, relays(domain, host_ids))
+    if own.host_id in relays(own.region, hosts_by_region[own.region]):
+        for region, host_ids in hosts_by_region.items():
+            _add_relays(intervals_s, own, relays(region, host_ids))
+    return intervals_s
 
 
 def _domain(place: Place) -> tuple[str, str]:
     return place.region, place.failure_domain
 
 
-def _add_relays(result: dict[str, float], own: Place, host_ids: list[str]) -> None:
+def _add_relays(intervals_s: dict[str, float], own: Place, host_ids: list[str]) -> None:
     for host_id in host_ids:
         if host_id != own.host_id:
-            result.setdefault(host_id, RELAY_INTERVAL_S)
+            intervals_s.setdefault(host_id, RELAY_INTERVAL_S)
--- a/lacewingcross/core/routes.py
+++ b/lacewingcross/core/routes.py
@@ -8,7 +8,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Part:
-    """One service of a route and its share of the route's requests."""
+    """One service of a route.
+
+    The service gets a share of the route's requests in proportion to its `weight`.
+    """
 
     service: str
     weight: float
@@ -16,7 +19,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """One route as operators declared it; durations in seconds."""
+    """One route as operators declared it; durations in seconds.
+
+    `host_name` and `prefix` select the requests of the route. `target_s` is the time
+    within which operators want a response. The lower `priority` is, the more urgent are
+    the requests. `home_regions` are the regions to which the requests are bound, empty
+    for none.
+    """
 
     name: str
     host_name: str
@@ -37,8 +46,10 @@
 class Service:
     """What operators declare about a service.
 
-    `cold_rate` is how many requests per second a server tolerates while it is cold,
-    that is, just after its start.
+    `max_connections` is the limit on open connections to one server, from all hosts
+    together. A server is cold for a while after its start, and for `cold_start_s`
+    seconds after an evacuation of its failure domain ends. While it is cold, it
+    tolerates `cold_rate` requests per second from all hosts together.
     """
 
     name: str
@@ -50,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerLimits:
-    """Limits on what a caller may send, and how long it may take."""
+    """Limits on what a caller may send, in bytes, and how long it may take."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 64 * 1024 * 1024
@@ -74,7 +85,7 @@
     """Finds the route of a request by its host name, then by the longest prefix."""
 
     config: Configuration
-    _by_host: dict[str, list[Route]] = field(init=False)
+    _by_host_name: dict[str, list[Route]] = field(init=False)
 
     def __post_init__(self) -> None:
         grouped = defaultdict(list)
@@ -82,21 +93,21 @@
             grouped[route.host_name].append(route)
         for routes in grouped.values():
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
-        self._by_host = dict(grouped)
+        self._by_host_name = dict(grouped)
 
     def match(self, host_name: str, path: str) -> Route | None:
         """Return the route of a request, or None when no route matches."""
-        for route in self._by_host.get(host_name, ()):
+        for route in self._by_host_name.get(host_name, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def home_regions(self, host_name: str) -> frozenset[str]:
-        """Return the regions to which all bound routes of a host name may go.
+        """Return the regions that all bound routes of a host name have in common.
 
-        Empty if no route of that host name is bound to regions, or if those that are
-        have no region in common.
+        A route is bound if it has home regions. The result is empty if no route of the
+        host name is bound, or if the bound routes have no region in common.
         """
-        bound = [r.home_regions for r in self._by_host.get(host_name, ())]
-        bound = [regions for regions in bound if regions]
-        return frozenset.intersection(*bound) if bound else frozenset()
+        region_sets = [r.home_regions for r in self._by_host_name.get(host_name, ())]
+        region_sets = [regions for regions in region_sets if regions]
+        return frozenset.intersection(*region_sets) if region_sets else frozenset()
--- a/tests/load_player.py
+++ b/tests/load_player.py
@@ -21,7 +21,12 @@
 
 @dataclass
 class Kind:
-    """One sort of request: its rate, its service time and its target."""
+    """One sort of request: its rate, its service time and its target.
+
+    `per_s` is the number of requests per second from all regions together, and
+    `service_time_s` that of a server that is cold for the object. There are `objects`
+    objects.
+    """
 
     name: str
     service: str
@@ -31,20 +36,24 @@
     objects: int = 24
     urgent: bool = False
     regions: frozenset = frozenset()
-    # Name of the kind whose objects and work it shares.
+    # Name of another kind, if the requests are for its objects and ask for its work.
     like: str = ""
 
 
 @dataclass(slots=True)
 class ModelServer:
-    """A backend server: its slots, its queue, and the objects for which it is warm."""
+    """A backend server: its slots, its queue, and the objects for which it is warm.
+
+    Its service times are `slow` times the usual ones. It sheds a fraction `shed` of its
+    requests.
+    """
 
     slots: int
     slow: float = 1.0
     shed: float = 0.0
     running: int = 0
     waiting: deque = field(default_factory=deque)
-    # Objects for which the server is warm, the latest last; there may be `keeps`.
+    # Objects for which the server is warm, the latest last; at most `keeps` of them.
     warm: dict = field(default_factory=dict)
     keeps: int = 10**6
     cold_runs: int = 0
@@ -60,21 +69,32 @@
 
 @dataclass
 class Outcome:
-    """What callers got, and where their requests ran, by seconds."""
+    """What callers got, and where their requests ran, by seconds.
+
+    `asked` counts the requests, `in_target` those answered in time, and `refused` those
+    refused, each by kind and second of arrival. `ran_in` counts by the caller's region
+    and second the requests that ran in each region.
+    """
 
     in_target: Counter = field(default_factory=Counter)
     asked: Counter = field(default_factory=Counter)
     refused: Counter = field(default_factory=Counter)
     ran_in: dict = field(default_factory=dict)
 
-    def share(self, kind, since=0, until=10**6):
-        """Return the share of a kind's requests that were answered in time."""
+    def in_time_share(self, kind, since=0, until=10**6):
+        """Return the share of a kind's requests that were answered in time.
+
+        Only requests that arrived from second `since` on and before `until` count.
+        """
         spans = [(k, s) for k, s in self.asked if k == kind and since <= s < until]
         asked = sum(self.asked[key] for key in spans)
         return sum(self.in_target[key] for key in spans) / asked
 
     def worst_shift(self, region, since=4, span=2):
-        """Return the largest share that changed its region between adjacent spans."""
+        """Return the largest share of a region's requests that moved between spans.
+
+        Compared are the regions in which they ran in adjacent spans of `span` seconds.
+        """
         spans = {}
         for (origin, second), counts in self.ran_in.items():
             if origin == region:
@@ -141,14 +161,16 @@
         self.out = Outcome()
 
     def at(self, due_at, call, *args):
-        """Schedule a call."""
+        """Schedule a call at `due_at`, in seconds of virtual time."""
         heapq.heappush(self.events, (due_at, next(self.sequence), call, args))
 
-    def play(self, kinds, seconds, rate=lambda region, now: 1.0):
-        """Play a load; `rate` scales a region's callers over time."""
+    def play(self, kinds, seconds, rate_factor=lambda region, now: 1.0):
+        """Play a load; `rate_factor` returns the factor on a region's request rate."""
         for kind in kinds:
             for index, _ in enumerate(self.hosts):
-                self.at(self.rng.uniform(0, 0.1), self._arrive, kind, index, rate)
+                self.at(
+                    self.rng.uniform(0, 0.1), self._arrive, kind, index, rate_factor
+                )
         self.at(0.0, self._gossip)
         self.at(0.0, self._review)
         while self.events and self.events[0][0] < seconds:
@@ -156,10 +178,16 @@
             call(*args)
         return self.out
 
-    def _arrive(self, kind, index, rate):
+    def _arrive(self, kind, index, rate_factor):
         region, host = self.hosts[index]
-        per_s = kind.per_s / len(self.hosts) * rate(region, self.now)
-        self.at(self.now + self.rng.expovariate(per_s), self._arrive, kind, index, rate)
+        per_s = kind.per_s / len(self.hosts) * rate_factor(region, self.now)
+        self.at(
+            self.now + self.rng.expovariate(per_s),
+            self._arrive,
+            kind,
+            index,
+            rate_factor,
+        )
         key = str(self.rng.randrange(kind.objects))
         request = PlacementRequest(
             kind.service, key, kind.regions, kind.urgent, frozenset(), kind.target_s,
@@ -168,15 +196,15 @@
         self.out.asked[kind.name, int(self.now)] += 1
         self._try(request, region, host, self.now, kind)
 
-    def _try(self, request, region, host, since, kind):
+    def _try(self, request, region, host, arrived_at, kind):
         choice = host.choose(request, self.now)
         if not isinstance(choice, Choice):
-            self.out.refused[kind.name, int(since)] += 1
+            self.out.refused[kind.name, int(arrived_at)] += 1
             return
         attempt_id = next(self.sequence)
         host.began(choice, attempt_id, self.now)
         network_s = 0.0 if choice.server.region == region else self.network_s
-        job = (choice, attempt_id, host, since, kind, self.now)
+        job = (choice, attempt_id, host, arrived_at, kind, self.now)
         self.at(self.now + network_s / 2, self._arrive_at_server, job, region)
 
     def _arrive_at_server(self, job, region):
@@ -213,7 +241,7 @@
         model.running -= 1
         if model.waiting:
             self._run(model, model.waiting.popleft())
-        choice, attempt_id, host, since, kind, sent = job
+        choice, attempt_id, host, arrived_at, kind, sent_at = job
         network_s = choice.estimate.network_s / 2
         self.at(
             self.now + network_s,
@@ -221,18 +249,18 @@
             choice,
             attempt_id,
             host,
-            since,
+            arrived_at,
             kind,
-            sent,
+            sent_at,
         )
 
-    def _answer(self, choice, attempt_id, host, since, kind, sent_at):
+    def _answer(self, choice, attempt_id, host, arrived_at, kind, sent_at):
         host.ended(choice.server)
         choice.server.passive_health.answered(attempt_id, self.now, good=True)
         host.eligibility.learn_outcome(choice.server.entry.service, failed=False)
         host.learn_answer(choice, self.now - sent_at, self.now)
-        if self.now - since <= kind.target_s:
-            self.out.in_target[kind.name, int(since)] += 1
+        if self.now - arrived_at <= kind.target_s:
+            self.out.in_target[kind.name, int(arrived_at)] += 1
 
     def _gossip(self):
         self.at(self.now + GOSSIP_INTERVAL_S, self._gossip)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -79,8 +79,8 @@
 
 
 def test_a_limit_that_is_no_longer_stated_ends_at_all_hosts():
-    # One host receives the update. The others sent nothing meanwhile and must drop the
-    # limit too.
+    # One host receives a response without a rate. The other hosts sent nothing in the
+    # meantime and must drop the limit too.
     fleet = flooded(6.0)
     fleet.set_rate(None)
     fleet.play(3.0, senders=["h0"])
@@ -113,7 +113,7 @@
         limits.set_hosts(names, 0.0)
         limits.observe(SERVER, 0.0, 0.0, 0.0)
         for second in range(int(RATE_VALID_S) + 60):
-            if limits.share_of(SERVER) or not limits.may_send(
+            if limits.share_per_s_of(SERVER) or not limits.may_send(
                 SERVER, second, urgent=True
             ):
                 continue
@@ -137,10 +137,10 @@
     limits.observe(SERVER, 0.5, 0.0, 0.0)
     while limits.may_send(SERVER, 0.0, urgent=True):
         limits.sent(SERVER, 0.0)
-    soon = limits.wait_s(SERVER, 0.0)
-    assert limits.may_send(SERVER, soon - 0.1, urgent=True)
-    assert not limits.may_send(SERVER, soon - 0.1, urgent=False)
-    assert limits.may_send(SERVER, soon + 0.001, urgent=False)
+    wait_s = limits.wait_s(SERVER, 0.0)
+    assert limits.may_send(SERVER, wait_s - 0.1, urgent=True)
+    assert not limits.may_send(SERVER, wait_s - 0.1, urgent=False)
+    assert limits.may_send(SERVER, wait_s + 0.001, urgent=False)
 
 
 def test_only_hosts_that_may_save_up_credit_share_a_small_rate():
@@ -149,7 +149,7 @@
     for limits in hosts:
         limits.set_hosts(frozenset(f"h{number}" for number in range(40)), 0.0)
         limits.observe(SERVER, 0.5, 0.0, 0.0)
-    shares = [limits.share_of(SERVER) for limits in hosts]
+    shares = [limits.share_per_s_of(SERVER) for limits in hosts]
     assert sum(share > 0 for share in shares) <= bound.max_sharers(0.5)
     assert sum(shares) == pytest.approx(0.5)
 
