--- a/lacewingcross/gateway/admission.py
+++ b/lacewingcross/gateway/admission.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Permit:
+class AdmittedRequest:
     """The route, terms and client account of a request that may be served."""
 
     route: Route
@@ -30,7 +30,7 @@
 
 def check_request(
     table: RouteTable | None, frame: Frame, head: RequestHead
-) -> Permit | HostAnswer:
+) -> AdmittedRequest | HostAnswer:
     """Return the terms on which a request may be served, or its refusal.
 
     Parameters
@@ -59,7 +59,9 @@
     if terms.no_common_region:
         return HostAnswer(503, "no-common-region", NO_COMMON_REGION_RETRY_S)
     has_accounts = bool(table.config.accounts)
-    return Permit(route, terms, CallerAccount(has_accounts, terms.account_name))
+    return AdmittedRequest(
+        route, terms, CallerAccount(has_accounts, terms.account_name)
+    )
 
 
 def _identify_account(
--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -119,7 +119,7 @@
         self.gateway = Gateway(
             cfg, clock, steering, Roster(own), rng.getrandbits(INCARNATION_BITS)
         )
-        self.gateway.backends.limit = self._connection_limit
+        self.gateway.backends.connection_limit = self._connection_limit
         self.entry = CallerListener(self.gateway)
         # Until servers are known, the smallest possible number of hosts is active.
         self.gateway.roster.needed = 0.0
@@ -252,7 +252,7 @@
             bounds.cold_over, bounds.cold_slack
         )
         steering.set_retry_allowance(bounds.retry_ratio, bounds.retry_extra)
-        self.gateway.quotas.set_bound(bounds.quotas, self.gateway.times())
+        self.gateway.quotas.set_bound(bounds.quota_bound, self.gateway.times())
         logs.event("settings-reloaded", host_id=cfg.host_id)
 
     async def run(self, stop: asyncio.Event) -> None:
--- a/lacewingcross/gateway/attempt_feedback.py
+++ b/lacewingcross/gateway/attempt_feedback.py
@@ -87,7 +87,7 @@
     elif ending is Ending.CONNECT_FAILED and result.failure_reason in CONNECT_FAILURES:
         health.unreachable(result.attempt_id, now)
         if result.failure_reason == REFUSED:
-            gateway.crashes.refused(server.entry)
+            gateway.crashes.connection_refused(server.entry)
     elif ending is Ending.CONNECT_FAILED or result.caller_gone:
         health.abandoned(result.attempt_id)
     elif ending in (Ending.TIMED_OUT, Ending.CANCELLED):
--- a/lacewingcross/gateway/backend_connection.py
+++ b/lacewingcross/gateway/backend_connection.py
@@ -213,7 +213,7 @@
         digits = granted.partition(",")[0].strip()
         self.keep_alive_s = float(digits) if digits.isdigit() else DEFAULT_KEEP_ALIVE_S
 
-    def reusable(self) -> bool:
+    def prepare_for_reuse(self) -> bool:
         """Prepare for another exchange; return False when that is impossible."""
         done = (h11.DONE, h11.DONE)
         if self.lost or (self._h11.our_state, self._h11.their_state) != done:
--- a/lacewingcross/gateway/backends.py
+++ b/lacewingcross/gateway/backends.py
@@ -31,14 +31,16 @@
         Called for each new connection.
     """
 
-    __slots__ = ("_idle", "_now", "_on_open", "_open", "limit")
+    __slots__ = ("_idle", "_now", "_on_open", "_open_counts", "connection_limit")
 
     def __init__(self, now: Callable[[], float], on_open: Callable[[], None]) -> None:
         self._now = now
         self._on_open = on_open
         self._idle: dict[Incarnation, list[BackendConnection]] = defaultdict(list)
-        self._open: dict[Incarnation, int] = defaultdict(int)
-        self.limit: Callable[[str], int] = lambda service: DEFAULT_CONNECTION_LIMIT
+        self._open_counts: dict[Incarnation, int] = defaultdict(int)
+        self.connection_limit: Callable[[str], int] = lambda service: (
+            DEFAULT_CONNECTION_LIMIT
+        )
 
     async def acquire(
         self, server: ServerEntry, *, repeatable: bool
@@ -89,14 +91,16 @@
         return True
 
     async def _open_new(self, server: ServerEntry) -> BackendConnection:
-        if self._open[server.incarnation] >= self.limit(server.service):
+        if self._open_counts[server.incarnation] >= self.connection_limit(
+            server.service
+        ):
             raise HttpError(CONNECTION_LIMIT, sent=False)
-        self._open[server.incarnation] += 1
+        self._open_counts[server.incarnation] += 1
         self._on_open()
         try:
             return await BackendConnection.open(server.address, CONNECT_TIMEOUT_S)
         except BaseException:
-            self._open[server.incarnation] -= 1
+            self._open_counts[server.incarnation] -= 1
             raise
 
     def _drop_lost(self, server: ServerEntry) -> None:
@@ -113,7 +117,7 @@
 
     def release(self, server: ServerEntry, conn: BackendConnection) -> None:
         """Keep a connection whose exchange is complete; close any other."""
-        if conn.reusable():
+        if conn.prepare_for_reuse():
             conn.used_at = self._now()
             self._idle[server.incarnation].append(conn)
         else:
@@ -130,7 +134,7 @@
     def discard(self, server: ServerEntry, conn: BackendConnection) -> None:
         """Close a connection and stop counting it."""
         conn.close()
-        self._open[server.incarnation] -= 1
+        self._open_counts[server.incarnation] -= 1
 
     def sweep(self) -> None:
         """Close connections that have been idle for too long to be used again."""
@@ -140,11 +144,11 @@
                 if not conn.fresh(now, REPEATABLE_IDLE_S):
                     idle.remove(conn)
                     conn.close()
-                    self._open[incarnation] -= 1
+                    self._open_counts[incarnation] -= 1
             if not idle:
                 del self._idle[incarnation]
-                if not self._open[incarnation]:
-                    del self._open[incarnation]
+                if not self._open_counts[incarnation]:
+                    del self._open_counts[incarnation]
 
     def close(self) -> None:
         """Close all idle connections."""
--- a/lacewingcross/gateway/context.py
+++ b/lacewingcross/gateway/context.py
@@ -82,7 +82,7 @@
             steering, self.backends, self.metrics, clock.monotonic
         )
         self.quotas = Quotas(
-            roster, cfg.bounds.quotas, steering.rng, first_start=cfg.first_start
+            roster, cfg.bounds.quota_bound, steering.rng, first_start=cfg.first_start
         )
         self.quota_admission = QuotaAdmission(
             self.quotas, roster, self.metrics, self.times
--- a/lacewingcross/gateway/crashes.py
+++ b/lacewingcross/gateway/crashes.py
@@ -83,7 +83,9 @@
         """Return the ledger of crashes."""
         return self._steering.crashes
 
-    def broke(self, entry: ServerEntry, request: str) -> asyncio.Task[None] | None:
+    def connection_broke(
+        self, entry: ServerEntry, request: str
+    ) -> asyncio.Task[None] | None:
         """Note that the connection to a server broke while it ran a request.
 
         Parameters
@@ -110,7 +112,7 @@
             task.add_done_callback(lambda _task: self._checks.pop(server, None))
         return self._checks[server]
 
-    def refused(self, entry: ServerEntry) -> None:
+    def connection_refused(self, entry: ServerEntry) -> None:
         """Note that the address of a server refuses connections.
 
         The requests whose connections broke here count even if the crash is known.
@@ -151,7 +153,7 @@
                 reason = "listens"
                 break
         if reason == REFUSED or self.ledger.has_crashed(entry.incarnation):
-            self.refused(entry)
+            self.connection_refused(entry)
             return
         requests = self._suspect_requests.pop(entry.incarnation, set())
         logs.event(
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -84,10 +84,10 @@
             return
         roster = self.gateway.roster
         # 0 hops: the message comes directly from the host that watches the store.
-        ring_neighbours = next_hops(roster) if message.hops == 0 else frozenset()
+        ring_group = next_hops(roster) if message.hops == 0 else frozenset()
         frame = b""
         for host_id, link in self._links.items():
-            needs = host_id in ring_neighbours or host_id not in roster.active
+            needs = host_id in ring_group or host_id not in roster.active
             if not needs or host_id == info.host_id:
                 continue
             frame = frame or encode(replace(message, hops=message.hops + 1))
--- a/lacewingcross/gateway/quota_admission.py
+++ b/lacewingcross/gateway/quota_admission.py
@@ -83,9 +83,7 @@
         self._count(account, admission.outcome)
         return admission
 
-    async def _wait_for_keeper(
-        self, account: str, first_answer: Admission
-    ) -> Admission:
+    async def _wait_for_keeper(self, account: str, pending: Admission) -> Admission:
         fut = asyncio.get_running_loop().create_future()
         waiters = self._waiters.setdefault(account, deque())
         waiters.append(fut)
@@ -105,7 +103,7 @@
                 waiters.remove(fut)
                 self._quotas.ledger.give_up(account)
         if outcome is Outcome.ADMITTED:
-            return Admission(outcome, keeper=first_answer.keeper)
+            return Admission(outcome, keeper=pending.keeper)
         return self._quotas.ledger.refusal(account, self._times().now)
 
     def cancel(self, account: str) -> None:
--- a/lacewingcross/gateway/repeats.py
+++ b/lacewingcross/gateway/repeats.py
@@ -72,7 +72,7 @@
             self._fingerprint = fingerprint_of(identity, self._body.parts)
         return self._fingerprint
 
-    def refused_for_s(self) -> float:
+    def check_quarantine(self) -> float:
         """Return for how many seconds the request is refused, 0 if it is not.
 
         A quarantined request whose trial is due is let through once, on one host.
@@ -110,7 +110,9 @@
 
     def connection_broke(self, entry: ServerEntry) -> None:
         """Record that a server's connection broke during the request."""
-        self._crash_check = self._gateway.crashes.broke(entry, self.fingerprint)
+        self._crash_check = self._gateway.crashes.connection_broke(
+            entry, self.fingerprint
+        )
 
     async def wait_for_crash_check(self) -> None:
         """Wait until it is known whether the server crashed, if that may matter.
--- a/lacewingcross/gateway/request.py
+++ b/lacewingcross/gateway/request.py
@@ -59,26 +59,28 @@
             await self._reply.finish(HostAnswer(400, "bad-frame", detail=str(exc)))
             return
         self._reply.request_id = frame.request_id
-        permit = check_request(self._gateway.steering.table, frame, self._exchange.head)
-        if isinstance(permit, HostAnswer):
-            await self._reply.finish(permit)
+        admitted = check_request(
+            self._gateway.steering.table, frame, self._exchange.head
+        )
+        if isinstance(admitted, HostAnswer):
+            await self._reply.finish(admitted)
             return
-        self._reply.route = permit.route.name
-        self._reply.account = permit.terms.account_name
+        self._reply.route = admitted.route.name
+        self._reply.account = admitted.terms.account_name
         req = RoutedRequest(
             self._exchange,
             frame,
-            permit.route,
-            permit.terms,
-            permit.caller_account,
+            admitted.route,
+            admitted.terms,
+            admitted.caller_account,
             CallerBody(self._exchange, []),
-            self._started_at + _time_allowed_s(permit.route, frame),
+            self._started_at + _time_allowed_s(admitted.route, frame),
         )
         self._series = AttemptSeries(self._gateway, req, self._reply)
         self._task = asyncio.current_task()
         self._exchange.on_gone = self._on_caller_gone
         try:
-            if await self._admitted_by_quota(permit.terms):
+            if await self._admitted_by_quota(admitted.terms):
                 await self._serve(req)
         except CallerGoneError:
             self._reply.log_end("caller-gone")
@@ -87,7 +89,7 @@
                 raise
             self._reply.log_end("caller-gone")
         finally:
-            self._refund_quota(permit.terms)
+            self._refund_quota(admitted.terms)
 
     async def _admitted_by_quota(self, terms: Terms) -> bool:
         """Count the request for its client account; refuse it if the quota is used up.
--- a/lacewingcross/gateway/settings.py
+++ b/lacewingcross/gateway/settings.py
@@ -30,7 +30,7 @@
     quota_slack: float = 20.0
 
     @property
-    def quotas(self) -> QuotaBound:
+    def quota_bound(self) -> QuotaBound:
         """Return the bound that all hosts together keep for each client account."""
         return QuotaBound(self.quota_window_s, self.quota_excess, self.quota_slack)
 
--- a/lacewingcross/gateway/signals.py
+++ b/lacewingcross/gateway/signals.py
@@ -128,13 +128,13 @@
     rates = gateway.steering.placement.gate.rates
     now = gateway.now()
     rates.set_hosts(serving_hosts(gateway.roster, now), now)
-    own_share = rates.share_of(server)
+    own_rate_per_s = rates.share_of(server)
     logs.event(
         "server-limit",
         server=server[0],
         born_ms=server[1],
         limit_per_s="none" if rate is None else rate,
-        here_per_s="any" if rate is None else round(own_share, 3),
+        here_per_s="any" if rate is None else round(own_rate_per_s, 3),
         source=source,
         age_ms=int(1000 * age_s),
     )
--- a/lacewingcross/gateway/store_follower.py
+++ b/lacewingcross/gateway/store_follower.py
@@ -119,9 +119,9 @@
         lacks more must not consider itself up to date.
         """
         gateway = self._gateway
-        fresh = gateway.take(update)
+        changed = gateway.take(update)
         self._publish(update)
-        log_changes(gateway, update, fresh, source)
+        log_changes(gateway, update, changed, source)
 
     def _note_failure(self, kind: Kind, exc: PlatformError) -> None:
         self._gateway.metrics.count(f"store.{exc.code}")
@@ -145,7 +145,7 @@
 
 
 def log_changes(
-    gateway: Gateway, update: Update, fresh: list[Document], source: str
+    gateway: Gateway, update: Update, changed: list[Document], source: str
 ) -> None:
     """Log each change that this host has applied and each object it cannot read.
 
@@ -155,7 +155,7 @@
         Shared state of this host.
     update : Update
         The update that was applied.
-    fresh : list of Document
+    changed : list of Document
         The documents of the update that were new to this host.
     source : str
         Where the update came from: ``listing``, ``watch`` or the id of a host.
@@ -173,7 +173,7 @@
             why=rejected.why,
         )
     table = steering.table
-    for doc in fresh:
+    for doc in changed:
         logs.event(
             "store-change",
             kind=update.kind.name,
@@ -216,7 +216,7 @@
                 elif not self._gateway.roster.has_live_relay(self._gateway.now()):
                     await self._refresh_list()
                 backoff.reset()
-                await asyncio.sleep(self._pause_s())
+                await asyncio.sleep(self._choose_pause_s())
             except PlatformError as exc:
                 self._gateway.metrics.count(f"store.hosts-{exc.code}")
                 await backoff.wait()
@@ -230,7 +230,7 @@
     def _has_live_peers(self) -> bool:
         return len(self._gateway.roster.live(self._gateway.now())) > 1
 
-    def _pause_s(self) -> float:
+    def _choose_pause_s(self) -> float:
         """Return the time until the list is read again, in seconds.
 
         Guards against this failure: of hosts that start together, the first ones read a
--- a/tests/test_backend_connection.py
+++ b/tests/test_backend_connection.py
@@ -50,7 +50,7 @@
     async def check(conn, server):
         for index in range(3):
             assert await exchange(conn, f"r{index}") == (200, b"hello")
-            assert conn.reusable()
+            assert conn.prepare_for_reuse()
         assert server.connections == 1
 
     with_server(behave, check)
@@ -63,7 +63,7 @@
 
     async def check(conn, server):
         assert await exchange(conn) == (200, b"hello")
-        assert not conn.reusable()
+        assert not conn.prepare_for_reuse()
 
     # The scripted server aborts its connections, so the stream is closed here to end
     # the response cleanly.
@@ -134,9 +134,9 @@
 
     async def check(conn, server):
         assert await exchange(conn, "r1") == (200, b"r1")
-        assert conn.reusable()
+        assert conn.prepare_for_reuse()
         assert await exchange(conn, "r2") == (200, b"r2")
-        assert conn.reusable()
+        assert conn.prepare_for_reuse()
 
     with_server(behave, check)
 
@@ -151,7 +151,7 @@
 
     async def check(conn, server):
         await exchange(conn)
-        conn.reusable()
+        conn.prepare_for_reuse()
         await asyncio.sleep(0.2)
         assert conn.lost
         with pytest.raises(HttpError) as caught:
@@ -167,7 +167,7 @@
 
     async def check(conn, server):
         await exchange(conn)
-        assert not conn.reusable()
+        assert not conn.prepare_for_reuse()
 
     with_server(behave, check)
 
@@ -193,7 +193,7 @@
         assert got.status == 413
         while await conn.read_part():
             pass
-        assert not conn.reusable()
+        assert not conn.prepare_for_reuse()
 
     with_server(behave, check)
 
@@ -205,7 +205,7 @@
 
     async def check(conn, server):
         await exchange(conn)
-        assert conn.reusable()
+        assert conn.prepare_for_reuse()
         conn.used_at = 100.0
         assert conn.fresh(105.9, 60.0)
         assert not conn.fresh(106.1, 60.0)
@@ -220,7 +220,7 @@
         entry = ServerEntry("i-1", "calendar", server.address, "a1", 4, False, 0.0)
         opened = []
         backends = Backends(time.monotonic, lambda: opened.append(1))
-        backends.limit = lambda service: 2
+        backends.connection_limit = lambda service: 2
         kept = [await backends.acquire(entry, repeatable=True) for _ in range(2)]
         with pytest.raises(HttpError) as caught:
             await backends.acquire(entry, repeatable=True)
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -42,7 +42,7 @@
     async def check():
         server = await ScriptedServer(None).start()
         backends = Backends(lambda: 1.0, lambda: None)
-        backends.limit = lambda service: 2
+        backends.connection_limit = lambda service: 2
         known = entry(server.address, 1)
         for _ in range(2):
             assert await backends.open_spare(known, 0.0)
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -54,14 +54,14 @@
     backends = ScriptedBackends("connect-refused")
 
     async def scenario(crashes):
-        first = crashes.broke(ENTRY, "r1")
-        assert crashes.broke(ENTRY, "r2") is first
+        first = crashes.connection_broke(ENTRY, "r1")
+        assert crashes.connection_broke(ENTRY, "r2") is first
         backends.go.set()
         await first
         assert backends.attempts == 1
         assert crashes.ledger.crash_requests(SERVER) == {"r1", "r2"}
         # For a connection that breaks later the server is not checked again.
-        assert crashes.broke(ENTRY, "r3") is None
+        assert crashes.connection_broke(ENTRY, "r3") is None
         assert crashes.ledger.crash_requests(SERVER) == {"r1", "r2", "r3"}
 
     run_scenario(backends, scenario)
@@ -73,7 +73,7 @@
 
     async def scenario(crashes):
         backends.go.set()
-        await crashes.broke(ENTRY, "r1")
+        await crashes.connection_broke(ENTRY, "r1")
         assert not crashes.ledger.has_suspects
         assert not crashes.ledger.has_crashed(SERVER)
 
@@ -89,7 +89,7 @@
     backends = ScriptedBackends(reason)
 
     async def scenario(crashes):
-        check = crashes.broke(ENTRY, "bad")
+        check = crashes.connection_broke(ENTRY, "bad")
         crashes.receive("host-2", msg.ServerEnded(*SERVER, ["innocent"]))
         backends.go.set()
         await check
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -25,9 +25,9 @@
     return apps
 
 
-async def repeat(apps, target, seconds):
+async def repeat(apps, target, duration_s):
     """Send one request repeatedly to all hosts in rotation, under new ids."""
-    end_at = time.monotonic() + seconds
+    end_at = time.monotonic() + duration_s
     statuses = []
     while time.monotonic() < end_at:
         index = len(statuses)
