--- a/tests/test_quotas_gateway.py
+++ b/tests/test_quotas_gateway.py
@@ -50,7 +50,7 @@
         assert refused
         assert all(float(header(r, "retry-after")) > 0 for r in refused)
         assert len(server.requests) == sum(r.status == 200 for r in responses)
-        assert len(server.requests) <= Bounds().quotas.max_per_window(
+        assert len(server.requests) <= Bounds().quota_bound.max_per_window(
             env.apps[0].gateway.steering.table.config.accounts.by_name["school"].quota
         )
 
