--- a/lacewingcross/gateway/admission.py
+++ b/lacewingcross/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Decides by route and client account whether this host may serve a request."""
+"""Decides by route, body size and account whether this host may serve a request."""
 
 from dataclasses import dataclass
 
@@ -31,7 +31,7 @@
 def check_request(
     table: RouteTable | None, frame: Frame, head: RequestHead
 ) -> AdmittedRequest | HostAnswer:
-    """Return the terms on which a request may be served, or its refusal.
+    """Return the route and terms of a request that may be served, or its refusal.
 
     Parameters
     ----------
--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -34,36 +34,42 @@
 from .store_follower import HostDirectory, StoreFollower
 
 INCARNATION_BITS = 31
-# Time between reviews of this host's state, in seconds.
+# Time between reviews of this host's state once it can serve, in seconds.
 TICK_S = 0.1
-# The same while the host cannot serve yet, in seconds. It is shorter so that callers
-# are sent to the host as soon as it can serve.
+# Time between reviews while the host cannot serve yet, in seconds. It is shorter so
+# that callers are sent to the host as soon as it can serve.
 START_TICK_S = 0.02
-# Ticks between reviews of shares. These reviews iterate over all hosts and servers, and
-# shares change slowly.
+# Reviews of this host's state for each review of its shares of common limits. Reviews
+# of shares iterate over all hosts and servers, and shares change slowly.
 SHARE_REVIEW_TICKS = 5
-# How long a leaving host still accepts new connections, in seconds. Callers keep a list
-# of hosts for up to three times its lifetime.
+# How long a leaving host still accepts new connections, in seconds, but at most half of
+# `Bounds.grace_s`. Callers keep the answer to a look-up for up to three times its
+# lifetime, 3 * 1.5 s. This time covers two lifetimes. A caller that keeps an answer for
+# longer may still connect to the host after its listener has closed.
 ACCEPT_WHILE_LEAVING_S = 3.2
-# Time between the latest end of a request and the time at which the platform kills the
-# process, in seconds.
+# How long before the platform kills the process the host stops waiting for requests, in
+# seconds. The platform kills it `Bounds.grace_s` after the shutdown began.
 KILL_MARGIN_S = 0.3
 FINISH_POLL_S = 0.02
-# How long a leaving host waits for requests on connections that are still open, in
-# seconds. A lost packet is sent again within this time.
+# Time without a running request after which a leaving host closes the connections that
+# are still open, in seconds. On an open connection a lost packet is usually sent again
+# within this time; only a lost opening packet is sent again after a second.
 QUIET_BEFORE_CLOSE_S = 0.3
 SETTINGS_POLL_S = 2.0
-# Share of a server's connection limit that all hosts together use.
+# Share of a server's connection limit that all active hosts together use.
 CONNECTION_LIMIT_SHARE = 0.8
 # Allocations between garbage collections of the youngest generation. A request leaves
-# few reference cycles, and rarer collections find as many at once.
+# few reference cycles, and a rarer collection finds those of many requests at once.
 GC_THRESHOLD = 10_000
 
 
 class GatewayApp:
     """One entry host.
 
-    Its supervisor runs these children::
+    Its supervisor runs the children below. `peers` listens for other hosts and keeps
+    the links to them. `tell` sends signs of life, requests in flight, and crashes and
+    signals of servers. `seek` greets the seeds while no other host is known. `quotas`
+    sends quota messages::
 
         gateway
         |-- readiness, directory, entry, metrics    listeners
@@ -161,7 +167,13 @@
         await self.gateway.quota_admission.send_updates(self._peers.send_to)
 
     def _connection_limit(self, service: str) -> int:
-        """Return this host's share of a server's connection limit."""
+        """Return how many connections to one server of a service this host may open.
+
+        That is an equal share for each active host of the part of the service's limit
+        given by `CONNECTION_LIMIT_SHARE`, but at least 2. With many hosts, all hosts
+        together may therefore exceed that part. The limit is 100 if the configuration
+        does not contain the service.
+        """
         table = self.gateway.steering.table
         declared = table.config.services.get(service) if table else None
         limit = declared.max_connections if declared else 100
@@ -196,7 +208,11 @@
             logs.event("host-serving", config=gateway.steering.table.config.version)
 
     def _review_shares(self, now: float) -> None:
-        """Update this host's shares of common limits and the number of cores needed."""
+        """Update this host's shares of common limits, and the cores that are needed.
+
+        The needed cores decide how many hosts are active. Old limits and back-offs of
+        servers are forgotten as well.
+        """
         gateway = self.gateway
         steering = gateway.steering
         placement = steering.placement
@@ -225,7 +241,7 @@
         self._reload.set()
 
     async def _watch_settings(self) -> None:
-        """Read the settings file again after `reload`, or when it has changed."""
+        """Read the settings file again after `reload`, or when its time has changed."""
         modified_at = _modified_at(self._settings_path)
         while True:
             try:
@@ -239,7 +255,11 @@
             self._apply_settings()
 
     def _apply_settings(self) -> None:
-        """Apply new bounds and seeds; addresses only change at the next start."""
+        """Apply new bounds and seeds; addresses only change at the next start.
+
+        Of `policy`, only the switches that are read for each request or message apply.
+        A file that cannot be read is logged, and the host keeps the settings it has.
+        """
         try:
             cfg = load_gateway(self._settings_path)
         except SettingsError as exc:
@@ -262,8 +282,11 @@
     async def _shut_down(self) -> None:
         """Announce the shutdown, go on serving for a while, finish all requests, stop.
 
-        Failure: a host that closes its listener first refuses callers that a look-up
-        has just sent to it. A host that stops at once cuts off bookings and uploads.
+        Guards against a shutdown that callers notice. A host that closes its listener
+        first refuses callers that a look-up has just sent to it. A host that stops at
+        once cuts off bookings and uploads. So this host first announces that it is
+        shutting down, goes on accepting connections for `ACCEPT_WHILE_LEAVING_S`, and
+        then waits for the requests that are running.
         """
         gateway = self.gateway
         gateway.roster.leaving = True
@@ -286,12 +309,12 @@
     async def _wait_for_requests(self, deadline: float) -> None:
         """Wait until every request is answered, at most until `deadline`.
 
-        Failure: a connection is being accepted while the listener closes and is not yet
-        in the list of open connections. Its request arrives a moment later and is sent
-        to a server, but the host has found no request running and stops during it.
-        Therefore a host that still has connections waits until they have been quiet
-        for `QUIET_BEFORE_CLOSE_S`, and then closes them before another request can
-        begin.
+        Guards against a connection that is being accepted while the listener closes and
+        is not closed with the idle ones. Its request arrives a moment later and is sent
+        to a server, while a host that has found no request running stops during it.
+        Therefore a host that still has connections waits until no request has been
+        running for `QUIET_BEFORE_CLOSE_S`, and then closes the connections before
+        another request can begin.
 
         Parameters
         ----------
@@ -336,7 +359,10 @@
 
 
 async def run_gateway(settings_path: str) -> None:
-    """Run an entry host on the platform until SIGTERM."""
+    """Run an entry host on the platform until SIGTERM or SIGINT.
+
+    SIGHUP makes the host read the settings file again.
+    """
     cfg = load_gateway(settings_path)
     output = logs.setup_stdout(cfg.log_level, host=cfg.host_id)
     app = GatewayApp(cfg, settings_path)
--- a/lacewingcross/gateway/attempt.py
+++ b/lacewingcross/gateway/attempt.py
@@ -14,11 +14,12 @@
 from .backends import Backends
 
 # A response up to this size is read completely before any of it goes to the caller, so
-# that the request can be tried again if the response is invalid. A larger one is
+# that the request can be tried again if the response breaks off. A larger response is
 # forwarded as it arrives.
 MAX_BUFFERED_BYTES = 256 * 1024
+# Status of a process that is not the incarnation to which the request was sent.
 MISDIRECTED = 421
-# Statuses from this one on are the server's own errors.
+# Minimum status that is an error of the server itself.
 MIN_SERVER_ERROR = 500
 
 
@@ -52,7 +53,10 @@
 
 
 class InvalidResponseError(Exception):
-    """The response is not the server's own complete response to this request."""
+    """The response reports success, but nothing shows that the server has sent it.
+
+    The message is the stable code of the reason.
+    """
 
 
 class AttemptRun:
@@ -65,11 +69,12 @@
     server : Server
         The server to send the request to.
     attempt : Attempt
-        State of the attempt; it records when the first byte is written.
+        State of the attempt; it records that the first byte is written.
     body : CallerBody
         The caller's body.
     repeatable : bool
-        Whether the request may run twice.
+        Whether the request may run twice. Only then is a connection used that has been
+        idle for longer, see `Backends.acquire`.
     """
 
     __slots__ = (
@@ -174,7 +179,7 @@
 
     Raises
     ------
-    SpoiltAnswerError
+    InvalidResponseError
         The response reports success but lacks the server's signature. It was damaged
         on its way, or did not come from a backend server.
     """
@@ -201,5 +206,8 @@
 
 
 def was_full(answer: Answer, slots: int) -> bool:
-    """Return whether all slots were taken at a server that did not run a request."""
+    """Return whether all slots were taken at a server that did not run a request.
+
+    False if the response does not report the server's load.
+    """
     return (reported_load(answer.head) or 0) >= slots
--- a/lacewingcross/gateway/attempt_feedback.py
+++ b/lacewingcross/gateway/attempt_feedback.py
@@ -31,7 +31,8 @@
     answer : Answer or None
         The server's response, None when none was received.
     caller_gone : bool
-        Whether the caller had left, so that the ending says nothing about the server.
+        Whether the caller had left. A cancelled or timed-out attempt then says nothing
+        about the server.
     """
 
     attempt_id: int
@@ -79,8 +80,9 @@
     placement = gateway.steering.placement
     ending = result.ending
     if ending is Ending.SERVER_NOT_RUN:
-        # A full server sheds requests as it should. A server is skipped when it sheds
-        # with free slots or when its address now belongs to another incarnation.
+        # A full server sheds requests as it should. A server counts as failing when it
+        # sheds without reporting that all its slots are taken, for example because its
+        # address now belongs to another incarnation.
         full = was_full(result.answer, server.entry.slots)
         health.shed(result.attempt_id, now, full=full)
         placement.eligibility.learn_outcome(server.entry.service, failed=not full)
--- a/lacewingcross/gateway/attempt_log.py
+++ b/lacewingcross/gateway/attempt_log.py
@@ -17,7 +17,7 @@
     frame : Frame
         The request's id and key.
     terms : Terms
-        The request's account and rank.
+        The client account of the request, and its rank: a lower one is more urgent.
     gateway : Gateway
         Gives the version of the configuration in force.
     """
@@ -71,7 +71,10 @@
         )
 
     def superseded(self, attempt: Attempt, time_left_s: float) -> None:
-        """Log that the chosen server takes no more requests and nothing was sent."""
+        """Log that the server's limits no longer allow the request.
+
+        This is found just before the first byte; nothing was sent.
+        """
         logs.event(
             "attempt-overtaken",
             id=self._frame.request_id,
@@ -92,8 +95,23 @@
     ) -> None:
         """Log how an attempt ended and what happens to the request.
 
-        `fingerprint` is given when a server's connection broke during the request:
-        other copies of the same request have the same fingerprint.
+        Parameters
+        ----------
+        attempt : Attempt
+            The attempt; `Attempt.number` is 1 for the request's first one.
+        ending : Ending
+            How the attempt ended.
+        answer : Answer or None
+            The server's response, None when none was received.
+        verdict : Verdict
+            What happens to the request.
+        reason : str
+            Stable code of the request's latest failure, empty if there was none.
+        time_left_s : float
+            Time until the request's deadline, in seconds.
+        fingerprint : str, default=""
+            Given when `ending` is BROKEN: other copies of the same request have the
+            same fingerprint.
         """
         logs.event(
             "attempt-ended",
--- a/lacewingcross/gateway/attempt_series.py
+++ b/lacewingcross/gateway/attempt_series.py
@@ -26,7 +26,8 @@
 # Request bodies up to this size are read before a server is chosen. A caller that sends
 # slowly then holds no slot, and the request can be sent again to another server.
 READ_AHEAD_BYTES = 512 * 1024
-# Minimum time to the deadline at which another attempt is made, in seconds.
+# Another attempt is made only if more than this time is left to the deadline, in
+# seconds.
 MIN_TIME_LEFT_S = 0.03
 QUARANTINED = "quarantined"
 
@@ -49,7 +50,7 @@
         Attempts that were started and not superseded.
     may_have_run : bool
         Whether a server may have run the request.
-    gone : bool
+    caller_gone : bool
         Whether the caller has closed its connection.
     """
 
@@ -79,12 +80,13 @@
         )
         self._service = ""
         self._tried: set[str] = set()
-        # Whether the last server shed the request although it had free slots.
+        # Whether the latest server that shed the request did not report all its slots
+        # as taken. Always False if the policy has `shed_back_soon` switched off.
         self._shed_with_room = False
-        # Stable code of the last failed attempt.
+        # Stable code of why the latest failed attempt has failed; empty if none has.
         self._failure_reason = ""
-        # Whether the chosen server could not take the last attempt any more, so that
-        # nothing of the request was sent to it.
+        # Whether the limits of the chosen server no longer allowed the latest attempt
+        # just before its first byte, so that nothing of the request was sent there.
         self._superseded = False
         self.attempts = 0
         self.may_have_run = False
@@ -94,7 +96,10 @@
         return self._req.time_left_s(self._gateway.now())
 
     def may_be_cancelled(self) -> bool:
-        """Return whether cancelling the request leaves no work half done."""
+        """Return whether the request may be cancelled.
+
+        It may if it can run twice without harm, or if no server can have begun it.
+        """
         return self._req.route.repeatable or not self.may_have_run
 
     async def run(self) -> HostAnswer | None:
@@ -240,7 +245,7 @@
         return await self._conclude(run, attempt, ending, answer)
 
     def _undo_attempt(self, attempt: Attempt) -> Verdict:
-        """Undo a superseded attempt; none of it was sent, so it counts as not made."""
+        """Undo a superseded attempt; nothing was sent, so it counts as not made."""
         self.attempts -= 1
         self._reply.attempts = self.attempts
         self._tried.discard(attempt.server_id)
@@ -281,8 +286,9 @@
     ) -> ResponseHead:
         """Wait for the head of the response.
 
-        A request that may be repeated leaves a server after its silence timeout if
-        another server can take it.
+        A request that may be repeated leaves a silent server when only one silence
+        timeout is left before the deadline, but not before one silence timeout has
+        passed. It waits on if no other attempt is allowed or no server can take it.
         """
         if not self._req.route.repeatable:
             return await run.read_head(request_id)
@@ -292,6 +298,7 @@
         while True:
             # Any response before the deadline is equally useful. The server gets all of
             # the time left, except one silence timeout that another server would need.
+            # `RequestRun` ends the wait at the deadline.
             wait_s = max(timeout_s, self._time_left_s() - timeout_s)
             try:
                 async with asyncio.timeout(wait_s):
@@ -379,15 +386,21 @@
             )
 
     def _retry_server_error(self, verdict: Verdict) -> Verdict:
-        """Return RETRY after a server's own error if another attempt is allowed."""
+        """Return RETRY after a server's own error if another attempt is allowed.
+
+        Otherwise, and for a request that must not run twice, return `verdict`.
+        """
         route = self._req.route
         may_retry = self._may_try_another()
         return Verdict.RETRY if route.repeatable and may_retry else verdict
 
 
 class _SupersededError(Exception):
-    """The server takes the request no more; nothing of it was sent."""
+    """The limits of the chosen server no longer allow the request.
+
+    This is found just before the first byte, so nothing was sent.
+    """
 
 
 class _SilentServerError(Exception):
-    """The silence timeout has passed and another server can take the request."""
+    """The server has been silent for too long, and another one can take the request."""
--- a/lacewingcross/gateway/backend_connection.py
+++ b/lacewingcross/gateway/backend_connection.py
@@ -15,12 +15,12 @@
 # Idle time assumed if a server sends no Keep-Alive timeout, in seconds. It is short,
 # since a request that is sent while the server closes the connection fails.
 DEFAULT_KEEP_ALIVE_S = 5.0
-# Share of the granted idle time in which the connection is used again, so that no
-# request is sent while the server closes the connection.
+# Share of the server's idle time (granted or assumed) in which the connection is used
+# again, so that no request is sent while the server closes the connection.
 KEEP_ALIVE_SHARE = 0.6
-# Reasons why no connection could be opened: nothing listens at the address, or nothing
-# there answers.
+# Reason why no connection could be opened: nothing listens at the address.
 REFUSED = "connect-refused"
+# Reason why no connection could be opened: a timeout, or any error but a refusal.
 UNREACHABLE = "connect-failed"
 # Responses read before an exchange fails because all of them were for other requests.
 MAX_STRAY_RESPONSES = 3
@@ -123,7 +123,10 @@
     def send_request(
         self, request: h11.Request, parts: Iterable[bytes], *, end: bool
     ) -> None:
-        """Write a request's head and body; `end` tells that the body is complete."""
+        """Write a request's head and the parts of its body that are at hand.
+
+        `end` says that these parts are the whole body; else `send_more` follows.
+        """
         if self.lost or self.transport.is_closing():
             raise HttpError("stale", sent=False)
         self._received_any = False
@@ -214,7 +217,7 @@
         self.keep_alive_s = float(digits) if digits.isdigit() else DEFAULT_KEEP_ALIVE_S
 
     def prepare_for_reuse(self) -> bool:
-        """Prepare for another exchange; return False when that is impossible."""
+        """Prepare for another exchange; return whether that is possible."""
         done = (h11.DONE, h11.DONE)
         if self.lost or (self._h11.our_state, self._h11.their_state) != done:
             return False
@@ -225,14 +228,15 @@
         return True
 
     def fresh(self, now: float, max_idle_s: float) -> bool:
-        """Return whether the connection may be used after its idle time.
+        """Return whether the connection is open and was not idle for too long.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         max_idle_s : float
-            Idle time that the request accepts, in seconds.
+            Limit on the idle time for the next request, in seconds. The server's own
+            idle time may set a lower limit, see `KEEP_ALIVE_SHARE`.
         """
         idle_s = now - self.used_at
         return not self.lost and idle_s < min(
--- a/lacewingcross/gateway/backends.py
+++ b/lacewingcross/gateway/backends.py
@@ -11,12 +11,14 @@
 # Opening a connection to a reachable server takes one network round trip, at most
 # 70 ms. A lost opening packet is sent again only after a second, which is too late.
 CONNECT_TIMEOUT_S = 0.6
-# Idle time after which a connection is only used for requests that may be repeated, and
-# idle time after which it is not used at all, in seconds.
+# Idle time after which a connection is only used for requests that may be repeated, in
+# seconds.
 UNREPEATABLE_IDLE_S = 2.0
+# Idle time after which a connection is not used at all, in seconds.
 REPEATABLE_IDLE_S = 60.0
 # Maximum connections of this host to one server, if no limit was set.
 DEFAULT_CONNECTION_LIMIT = 30
+# Reason why no connection could be opened: this host has as many as it may have.
 CONNECTION_LIMIT = "connection-limit"
 
 
@@ -28,7 +30,12 @@
     now : callable
         Monotonic clock in seconds.
     on_open : callable
-        Called for each new connection.
+        Called before each attempt to open a connection.
+
+    Attributes
+    ----------
+    connection_limit : callable
+        Returns how many connections this host may have to one server of a service.
     """
 
     __slots__ = ("_idle", "_now", "_on_open", "_open_counts", "connection_limit")
@@ -47,14 +54,15 @@
     ) -> BackendConnection:
         """Return an idle connection or open a new one.
 
-        Failure: a server closes an idle connection just as a request is written on it,
-        and it is unknown whether the request has run. Therefore only requests that may
-        be repeated use connections that have been idle for longer.
+        Guards against a server that closes an idle connection just as a request is
+        written on it, so that it is unknown whether the request has run. Only requests
+        that may be repeated use connections idle for `UNREPEATABLE_IDLE_S` or longer.
 
         Raises
         ------
         HttpError
-            With ``sent=False`` when the limit is reached or the server does not accept.
+            With ``sent=False`` when the limit on connections to the server is reached,
+            or when the server does not accept one.
         """
         idle = self._idle[server.incarnation]
         max_idle_s = REPEATABLE_IDLE_S if repeatable else UNREPEATABLE_IDLE_S
@@ -106,9 +114,10 @@
     def _drop_lost(self, server: ServerEntry) -> None:
         """Stop counting idle connections that the server has closed.
 
-        Failure: a server crashes while this host holds as many connections to it as the
-        limit allows. If closed connections still counted, the host could open no new
-        one to check whether the server is alive, and would see only its own limit.
+        Guards against a server that crashes while this host holds as many connections
+        to it as the limit allows. If closed connections still counted, the host could
+        open no new one to check whether the server is alive, and would see only its own
+        limit.
         """
         idle = self._idle[server.incarnation]
         for conn in [conn for conn in idle if conn.lost]:
@@ -124,7 +133,10 @@
             self.discard(server, conn)
 
     def release_unused(self, server: ServerEntry, conn: BackendConnection) -> None:
-        """Keep a connection on which nothing was sent; its idle time runs on."""
+        """Keep a connection on which nothing was sent, or close it if it is lost.
+
+        The idle time of a connection that was used before runs on.
+        """
         conn.used_at = conn.used_at or self._now()
         if conn.lost:
             self.discard(server, conn)
@@ -137,7 +149,7 @@
         self._open_counts[server.incarnation] -= 1
 
     def sweep(self) -> None:
-        """Close connections that have been idle for too long to be used again."""
+        """Close lost connections, and those idle for too long to be used again."""
         now = self._now()
         for incarnation, idle in list(self._idle.items()):
             for conn in list(idle):
--- a/lacewingcross/gateway/context.py
+++ b/lacewingcross/gateway/context.py
@@ -87,7 +87,8 @@
         self.quota_admission = QuotaAdmission(
             self.quotas, roster, self.metrics, self.times
         )
-        # Position among the hosts that may watch the store, see `fleet_shares.rank`.
+        # Rank among the hosts that may watch the store, 0 first. It is None while this
+        # host has none, see `review_rank`.
         self.rank: int | None = None
         self._clock = clock
         self._started_at = clock.monotonic()
@@ -103,7 +104,11 @@
         return ClockReading(self._clock.monotonic(), self._clock.boottime())
 
     def take(self, update: Update, *, fresh: bool = True) -> list[Document]:
-        """Apply an update from the store or another host, see `Steering.take`."""
+        """Apply an update from the store or another host; return the changed documents.
+
+        `fresh` says whether the update has just been read from the store, by this host
+        or by the host that sent it. Another host's copy of the store may be old.
+        """
         changed = self.steering.take(update, self.now(), fresh=fresh)
         table = self.steering.table
         if table is not None:
@@ -111,20 +116,27 @@
         return changed
 
     def review_rank(self, now: float) -> None:
-        """Update this host's position among those that may watch the store.
+        """Update this host's rank among the hosts that may watch the store.
+
+        The rank is None until the list of hosts has been read or the host has run for
+        `MAX_UNLISTED_S`, and on a standby host with a relay that is alive.
 
-        Failure: all hosts start together. Each knows only itself at first and would
-        read everything from the store. Once they have the list of hosts, only one does.
+        Guards against a start of all hosts together: each host knows only itself at
+        first, so each would rank first and read everything from the store. Once the
+        hosts have the list, only one of them ranks first.
         """
         awaits_list = now - self._started_at < MAX_UNLISTED_S and not self.roster.listed
         self.rank = None if awaits_list else rank(self.roster, now)
 
     def hosts_changed(self) -> None:
-        """Cause the links to other hosts to be reviewed at once."""
+        """Note a change of the known hosts, so that the links are reviewed at once."""
         self._hosts_changed.set()
 
     async def wait_for_hosts(self, timeout_s: float) -> None:
-        """Wait until `hosts_changed` is called, for at most `timeout_s` seconds."""
+        """Wait until `hosts_changed` is called, for at most `timeout_s` seconds.
+
+        Returns immediately if it was called since the previous wait.
+        """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self._hosts_changed.wait()
--- a/lacewingcross/gateway/crashes.py
+++ b/lacewingcross/gateway/crashes.py
@@ -14,22 +14,22 @@
 from .backend_connection import REFUSED
 from .backends import Backends
 
-# A process that ends closes its connections and its listener one after the other. A
+# A process that crashes closes its connections and its listener one after the other. A
 # connection that it still accepted in between is lost within this time, in seconds.
 CONNECTION_SETTLE_S = 0.02
-# How many connections a check opens at most. A connection that the server accepts and
-# closes again shows nothing, so the check opens another one.
+# Maximum number of connections that one check of a server opens. A connection that the
+# server accepts and closes again shows nothing, so the check opens another one.
 MAX_CHECKS = 3
 
 
 class CrashWatch:
     """Checks servers whose connections broke and records crashes in the ledger.
 
-    Guards against this failure: a request crashes each server that begins to run it,
-    and its caller sends it again to any host. A host only sees that a connection was
-    closed, which also happens when a server merely drops the connection. If the port of
-    the server then refuses connections, the server has crashed. Its entry in the store
-    shows that only seconds later.
+    Guards against a request that crashes each server that begins to run it, while its
+    caller sends it again to any host. A host only sees that a connection was closed,
+    which also happens when a server merely drops the connection. So the host checks the
+    server: if its port then refuses connections, the server has crashed. Its entry in
+    the store shows that only seconds later.
 
     Parameters
     ----------
@@ -45,7 +45,8 @@
     Attributes
     ----------
     gossip : CrashGossip
-        What is to be sent to other hosts.
+        The reports of crashes and of answered requests that are to be sent to other
+        hosts.
     on_gossip : callable
         Called when `gossip` has a new item.
     """
@@ -72,7 +73,8 @@
         self._backends = backends
         self._metrics = metrics
         self._now = now
-        # Requests whose connections broke, until the check of the server has ended.
+        # Fingerprints of the requests whose connection to a server broke, until the
+        # check of that server has ended.
         self._suspect_requests: dict[Incarnation, set[str]] = {}
         self._checks: dict[Incarnation, asyncio.Task[None]] = {}
         self.gossip = CrashGossip(steering.crashes)
@@ -98,8 +100,8 @@
         Returns
         -------
         check : asyncio.Task or None
-            Ends when it is known whether the server has crashed. None if the crash is
-            known already.
+            The check whether the server has crashed; one check serves all connections
+            to that server that break meanwhile. None if the crash is known already.
         """
         server = entry.incarnation
         if self.ledger.has_crashed(server):
@@ -113,12 +115,12 @@
         return self._checks[server]
 
     def connection_refused(self, entry: ServerEntry) -> None:
-        """Note that the address of a server refuses connections.
+        """Note that the address of a server refuses connections: it has crashed.
 
-        The requests whose connections broke here count even if the crash is known.
-        Guards against this failure: another host reports the crash before the check of
-        this host has ended. The requests here, often including the one that caused the
-        crash, would not be counted.
+        Guards against another host that reports the crash before the check of this host
+        has ended. The requests that this host had at the server, often including the
+        one that caused the crash, would not be counted. So the crash counts against the
+        requests whose connections broke here even if it is known already.
         """
         server = entry.incarnation
         requests = frozenset(self._suspect_requests.pop(server, ()))
@@ -139,8 +141,9 @@
     async def _check(self, entry: ServerEntry) -> None:
         """Check whether a server still accepts connections.
 
-        A connection that the server accepts is kept for use: it replaces the one that
-        broke.
+        The server counts as crashed only if its address refuses connections, or if
+        another host has reported the crash meanwhile. A connection that the server
+        accepts and keeps open is pooled: it replaces the one that broke.
         """
         reason = "silent"
         for _ in range(MAX_CHECKS):
@@ -203,9 +206,10 @@
     def _skip_server(self, server: Incarnation, now: float) -> None:
         """Skip a server for a while after any host has seen it crash.
 
-        Guards against this failure: a server crashes, and each host only finds out when
-        a request of its own cannot connect. Callers are refused when both servers that
-        were tried have crashed, above all when servers go down and up in rotation.
+        Guards against a crashed server that each host discovers only when a request of
+        its own cannot connect. Callers would be refused when both servers that were
+        tried have crashed, above all when servers go down and up in rotation. The
+        report of one host is enough for all hosts to skip the server.
         """
         known = self._steering.placement.known.servers.get(server[0])
         if known is not None and known.entry.incarnation == server:
--- a/lacewingcross/gateway/credentials.py
+++ b/lacewingcross/gateway/credentials.py
@@ -5,7 +5,8 @@
 from .. import headers as hd
 
 SCHEME = "bearer"
-# Longer keys are refused without a look-up; operators' keys have about 20 characters.
+# Longer keys are refused without a search for their account; the keys that operators
+# configure have about 20 characters.
 MAX_KEY_CHARS = 512
 # The syntax of a bearer token (RFC 6750).
 _TOKEN = re.compile(r"[A-Za-z0-9\-._~+/]+=*")
--- a/lacewingcross/gateway/forwarding.py
+++ b/lacewingcross/gateway/forwarding.py
@@ -66,7 +66,8 @@
     head : RequestHead
         The head that the caller sent.
     body : CallerBody
-        What was read of the body; it decides how the body is framed.
+        What was read of the caller's body. Whether that is all of it decides how the
+        body is framed.
     server_id : str
         The incarnation that may run the request; any other refuses it.
     time_left_s : float
@@ -91,7 +92,11 @@
 def identity_of(
     frame: Frame, head: RequestHead, body: CallerBody, caller_account: CallerAccount
 ) -> RequestIdentity:
-    """Return what a request and its copies have in common, apart from the body."""
+    """Return what a request and its copies have in common, apart from the body.
+
+    The length of the body belongs to it: the declared one while the body is incomplete,
+    0 if it is unknown.
+    """
     declared = hd.find(head.headers, hd.CONTENT_LENGTH)
     length = body.size if body.complete else int(declared or 0)
     credentials = caller_account.credentials(head)
--- a/lacewingcross/gateway/gauges.py
+++ b/lacewingcross/gateway/gauges.py
@@ -4,7 +4,10 @@
 
 
 def measure_host(gateway: Gateway, now: float) -> None:
-    """Set the gauges of the hosts, servers and requests of a host and of its store."""
+    """Set the gauges of what a host knows: hosts, servers, requests and the store.
+
+    ``hosts.known`` and ``hosts.live`` include the host itself.
+    """
     placement = gateway.steering.placement
     metrics = gateway.metrics
     metrics.set_gauge("hosts.known", 1 + len(gateway.roster.entries))
@@ -19,7 +22,11 @@
 
 
 def _measure_signals(gateway: Gateway, now: float) -> None:
-    """Set the gauges of the limits, departures and back-offs of servers."""
+    """Set the gauges of the limits, departures and back-offs of servers.
+
+    ``servers.limit.`` is the rate that a server accepts from all hosts together, and
+    ``servers.limit-here.`` the rate that this host may send, in requests per second.
+    """
     gate = gateway.steering.placement.gate
     metrics = gateway.metrics
     metrics.set_gauge("servers.passed-over.limit", gate.rates.skipped)
--- a/lacewingcross/gateway/gossip_receiver.py
+++ b/lacewingcross/gateway/gossip_receiver.py
@@ -18,8 +18,8 @@
 from .store_follower import log_changes
 from .store_messages import changes_message, update_in
 
-# Time without a message after which a stream is closed, in seconds. The sender opens a
-# new one.
+# Time without a message after which a stream from another host is closed, in seconds.
+# That host then opens a new stream.
 SILENCE_TIMEOUT_S = 3 * ALIVE_INTERVAL_S
 
 # Prefix of the counters of messages from other hosts; the name of the message follows.
@@ -39,7 +39,7 @@
     send_to : callable
         Sends a message to a host.
     forward : callable
-        Forwards changes of the store that a host has sent to further hosts.
+        Forwards changes of the store, which one host has sent, to other hosts.
     """
 
     __slots__ = ("_accepted", "_catch_up", "_gateway", "_forward", "_send_to")
@@ -70,7 +70,8 @@
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             self._gateway.metrics.count("peers.stream-ended")
         except Exception as exc:
-            # A bug that one message triggers ends only this stream, not the listener.
+            # An error in this program that one message triggers ends only this stream,
+            # not the listener.
             logs.event("peer-failed", "ERROR", error=repr(exc))
         finally:
             self._accepted.discard(writer)
--- a/lacewingcross/gateway/gossip_sender.py
+++ b/lacewingcross/gateway/gossip_sender.py
@@ -22,8 +22,9 @@
 
 T = TypeVar("T")
 
-# Interval after which a host gets all counts again instead of changes only, in seconds:
-# the host may learn of a server only after the count of that server was sent.
+# Interval after which an active host gets all counts of requests in flight again, and
+# not only changes, in seconds: the receiver may learn of a server only after the count
+# of that server was sent.
 FULL_COUNTS_INTERVAL_S = 2.0
 
 
@@ -50,6 +51,8 @@
     def greeting(self, link: Link | None) -> list[msg.Message]:
         """Return the first messages of a new stream.
 
+        The link records which `KnownHosts` message is among them.
+
         Parameters
         ----------
         link : Link or None
@@ -82,9 +85,11 @@
     def send_alive(self) -> None:
         """Send each active host the counts of requests in flight that have changed.
 
-        Standby hosts only get a sign of life, since they place hardly any requests. On
-        a busy host few counts change between two calls. Sending all of them every time
-        would make up much of the traffic between regions.
+        A host for which nothing has changed gets a sign of life once `ALIVE_INTERVAL_S`
+        has passed since the last message. Standby hosts only get signs of life, since
+        they place hardly any requests. On a busy host few counts change between two
+        calls. Sending all of them every time would make up much of the traffic between
+        regions.
         """
         gateway = self._gateway
         now = gateway.now()
@@ -92,7 +97,9 @@
         counts = known.in_flight()
         handled = known.take_newly_handled()
         subscribes = subscriptions(gateway.roster, now)
-        # Most links got the same counts last time, so they share one encoded frame.
+        # Most links got the same counts last time, which is one and the same dict, so
+        # they share one encoded frame. Its key is whether this host wants updates from
+        # the receiver, whether the receiver is active, and the identity of that dict.
         frames: dict[tuple[bool, bool, int], bytes] = {}
         for host_id, link in self._links.items():
             active = host_id in gateway.roster.active
@@ -160,7 +167,8 @@
         receiver : str
             Id of the host that gets the message.
         full_view : frozenset of str
-            Active hosts that get all hosts from which this one receives messages.
+            Ids of the active hosts to which this host sends its full view: all hosts
+            from which it receives messages.
         """
         roster = self._gateway.roster
         entries = roster.entries
@@ -177,7 +185,7 @@
         return msg.KnownHosts(is_standby, fields, starting)
 
     def send_known_hosts(self) -> None:
-        """Send the hosts that are alive to each host whose message has changed."""
+        """Send the hosts that are alive to each host whose last message is outdated."""
         active = self._gateway.roster.active
         full_view = full_view_peers(self._gateway.roster)
         messages: dict[tuple[bool, bool], msg.KnownHosts] = {}
@@ -205,8 +213,9 @@
         for host_id, link in self._links.items():
             active = host_id in self._gateway.roster.active
             if link.gossip_as_active != active:
-                # Hosts that have sent items to this host so far may just have stopped,
-                # so it gets all items from the beginning.
+                # The receiver has become active or a standby host. The hosts that sent
+                # it reports so far may just have stopped, so the receiver gets all
+                # reports from the beginning.
                 link.gossip_as_active = active
                 link.last_gossip = None
             if link.last_gossip != gossip.newest:
@@ -237,7 +246,7 @@
                 link.send_frame(frame, kind)
 
     def _signal_messages(self, gate: SendGate) -> Iterator[msg.Message]:
-        """Yield the messages with what known servers have announced to this host."""
+        """Yield the messages with what servers have announced to this host itself."""
         known = self._gateway.steering.placement.known.servers
         yield from signal_messages(gate, known.keys(), self._gateway.now())
 
--- a/lacewingcross/gateway/link.py
+++ b/lacewingcross/gateway/link.py
@@ -12,14 +12,15 @@
 from ..wire import encode
 from .context import Gateway
 
-# A reachable host accepts a connection within one network round trip, at most 70 ms. A
-# longer silence means a lost packet or a dead host. In seconds.
+# Timeout of opening a stream, in seconds. A reachable host accepts a connection within
+# one network round trip, at most 70 ms. A longer silence means a lost packet or a dead
+# host.
 CONNECT_TIMEOUT_S = 0.5
 # Pause before a broken stream is opened again, in seconds.
 REDIAL_DELAY_S = 0.15
-# Messages that are queued for a host that does not read. The oldest are dropped. The
-# host sees from the revisions in later messages that it has missed changes of the store
-# and requests them.
+# Maximum number of messages that are queued for a host that does not read. Beyond it
+# the oldest messages are dropped. The host sees from the revisions in later messages
+# that it has missed changes of the store and requests them.
 MAX_QUEUED_FRAMES = 2000
 
 # Prefixes of the counters of messages to other hosts; the name of the message follows.
@@ -52,7 +53,8 @@
     last_known_hosts : KnownHosts or None
         The last message that named the hosts that are alive.
     last_gossip : int or None
-        Number of the newest item of crash gossip that was sent; None on a new stream.
+        Sequence number of the newest report of crash gossip that was sent. None if all
+        reports are to be sent, as on a new stream.
     gossip_as_active : bool
         Whether the host was active when crash gossip was last sent.
     last_signals_version : int or None
@@ -124,9 +126,10 @@
                     why=repr(exc),
                 )
             except Exception as exc:
-                # Failure: a bug that one message triggers ends the only task that sends
-                # to a host. That host would consider this one dead. If the same happens
-                # on all links, each host would name only itself to callers.
+                # Guards against an error in this program that ends the only task that
+                # sends to a host. That host would consider this one dead. If the same
+                # happened on all links, each host would name only itself to callers. So
+                # the error is logged, and the stream is opened again.
                 logs.event(
                     "peer-failed", "ERROR", host_id=self.info.host_id, error=repr(exc)
                 )
@@ -135,7 +138,7 @@
     def _note_refused(self) -> None:
         """Note that the host's process has ended: its address refuses connections.
 
-        Has no effect on the roster if the host has another address by now.
+        The roster does not change if the host has another address by now.
         """
         entry = self._gateway.roster.entries.get(self.info.host_id)
         if entry is not None and entry.info == self.info:
--- a/lacewingcross/gateway/pages.py
+++ b/lacewingcross/gateway/pages.py
@@ -16,8 +16,9 @@
 )
 from .context import Gateway
 
-# How long callers may keep the answer to a look-up, in seconds. Some keep it three
-# times as long, so a leaving host goes on serving: see `app.ACCEPT_WHILE_LEAVING_S`.
+# How long callers may keep the answer to a look-up, in seconds. Some callers keep it up
+# to three times as long. So a leaving host goes on serving, though not long enough for
+# all of these callers: see `app.ACCEPT_WHILE_LEAVING_S`.
 LOOKUP_TTL_S = 1.5
 TEXT_TYPE = (b"content-type", b"text/plain")
 UNKNOWN_PATH = b'{"error":"unknown-path"}'
@@ -85,7 +86,7 @@
 
 
 async def answer_readiness(gateway: Gateway, exchange: Exchange) -> None:
-    """Answer the platform's check whether this host accepts requests."""
+    """Answer the platform's check whether this host is ready to serve callers."""
     if exchange.head.target.partition("?")[0] != READINESS_PATH:
         await exchange.respond(404, JSON_TYPE, UNKNOWN_PATH)
         return
@@ -95,6 +96,6 @@
 
 
 async def answer_metrics(gateway: Gateway, exchange: Exchange) -> None:
-    """Answer with the counters and histograms as text."""
+    """Answer with this host's metrics as text."""
     text = gateway.metrics.render()
     await exchange.respond(200, [TEXT_TYPE], text.encode())
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -29,18 +29,18 @@
 # How often the links are reviewed when no message has changed the known hosts, in
 # seconds.
 REVIEW_INTERVAL_S = 0.1
-# Least time between two reviews while hosts come and go, in seconds; too short for
+# Minimum time between two reviews while hosts come and go, in seconds; too short for
 # people to notice. With more links than `REVIEW_LINKS` a review takes longer, so this
-# time grows in proportion to the number of links.
+# minimum grows in proportion to the number of links.
 MIN_REVIEW_INTERVAL_S = 0.01
 REVIEW_LINKS = 20
 # How long a link is kept after it was last needed, in seconds: while hosts start, the
 # reasons for a link come and go.
 UNUSED_LINK_KEPT_S = 2.0
 # How many times a change of the store may be forwarded: the host that watches the store
-# sends it to active hosts, these forward it to the hosts beside them on the ring, and
-# all of them forward it to standby hosts. One more hop covers hosts that do not agree
-# yet on which hosts are active.
+# sends it to active hosts, these forward it to the active hosts in their group on the
+# ring, and all of them forward it to standby hosts. The third hop covers hosts that do
+# not agree yet on which hosts are active.
 MAX_HOPS = 3
 
 
@@ -62,7 +62,11 @@
         self._gossip_sender = GossipSender(gateway, self._links)
 
     def publish(self, update: Update) -> None:
-        """Send an update that this host has read from the store to other hosts."""
+        """Send an update that this host has read from the store to other hosts.
+
+        They are the active hosts that `first_hops` returns, and all linked standby
+        hosts.
+        """
         frame = encode(changes_message(update, fresh=True))
         roster = self.gateway.roster
         receivers = first_hops(roster, self.gateway.now())
@@ -83,7 +87,8 @@
         if message.hops >= MAX_HOPS:
             return
         roster = self.gateway.roster
-        # 0 hops: the message comes directly from the host that watches the store.
+        # With 0 hops the message comes directly from the host that watches the store,
+        # and other active hosts in this host's group may not have it yet.
         ring_group = next_hops(roster) if message.hops == 0 else frozenset()
         frame = b""
         for host_id, link in self._links.items():
@@ -94,13 +99,13 @@
             link.send_frame(frame, msg.StoreChanges)
 
     def announce(self) -> None:
-        """Send all hosts at once whether callers should use this one."""
+        """Send all linked hosts at once whether callers should use this host."""
         for link in self._links.values():
             link.last_alive_at = float("-inf")
         self._gossip_sender.send_alive()
 
     async def send_updates(self) -> None:
-        """Send counts, signs of life and server updates until cancelled."""
+        """Send requests in flight, signs of life and server updates until cancelled."""
         while True:
             self._gossip_sender.send_alive()
             self.send_gossip()
@@ -131,11 +136,12 @@
             self._links.clear()
 
     def _min_review_interval_s(self) -> float:
-        """Return the least time between two reviews, in seconds.
+        """Return the minimum time between two reviews of the links, in seconds.
 
-        Guards against this failure: a fleet of 100 hosts starts. Each message from one
-        host makes this host review all others at once and send them its known hosts
-        again, hundreds of times a second.
+        Guards against reviews in quick succession while a fleet of 100 hosts starts.
+        Each message from one host would make this host review all others at once and
+        send them its known hosts again, hundreds of times a second. With this minimum,
+        one review covers all messages since the last one.
         """
         return MIN_REVIEW_INTERVAL_S * max(1.0, len(self._links) / REVIEW_LINKS)
 
@@ -188,9 +194,9 @@
     async def greet_seeds(self) -> None:
         """Send `Hello` to the seeds while no other host is known.
 
-        Guards against this failure: a host starts while the store is unavailable and
-        cannot read the list of hosts. The seeds learn its address from the message and
-        send it the other hosts.
+        Guards against a host that starts while the store is unavailable and cannot read
+        the list of hosts. It would know no other host. The seeds learn its address from
+        the message and send it the other hosts.
         """
         while True:
             if not self.gateway.roster.entries:
--- a/lacewingcross/gateway/quarantine_store.py
+++ b/lacewingcross/gateway/quarantine_store.py
@@ -12,17 +12,20 @@
 
 # How often quarantines are compared with the store, in seconds.
 REVIEW_INTERVAL_S = 0.1
-# The host that saw the crash that led to a quarantine stores it. If that host dies
-# first, the others step in by rank, each this much later than the one before it, in
-# seconds.
+# A host that itself saw one of the crashes behind a quarantine stores it first. If it
+# dies first, other hosts step in by rank: the host of rank 0 this long after the
+# quarantine began, and each further rank this much later again, in seconds.
 STEP_IN_DELAY_S = 0.5
 
 
 class QuarantineStore:
     """Stores quarantined requests and deletes those that are no longer quarantined.
 
-    Guards against this failure: all hosts lose power while a request is refused. No
-    host remembers it, and it crashes three servers again before it is refused again.
+    Only the host of rank 0 among those that may watch the store deletes them.
+
+    Guards against a loss of power on all hosts while a request is quarantined. No host
+    would remember it, and it would crash three servers again before it is refused
+    again. Hosts that start read the quarantine from the store.
 
     Parameters
     ----------
@@ -75,7 +78,10 @@
         ]
 
     def _should_store(self, entry: Quarantine) -> bool:
-        """Return whether this host has to store a quarantine now."""
+        """Return whether this host has to store a quarantine now.
+
+        See `STEP_IN_DELAY_S`. A host without a rank stores only what it saw itself.
+        """
         if entry.own:
             return True
         rank = self._gateway.rank
--- a/lacewingcross/gateway/quota_admission.py
+++ b/lacewingcross/gateway/quota_admission.py
@@ -21,10 +21,12 @@
 
 # How often charges and leases that are due are sent, in seconds.
 SEND_INTERVAL_S = 0.04
-# The same at a host that holds no share and has no charges that are to be sent or paid,
-# in seconds: 25 idle checks a second would be most of the work of a standby host.
+# How often a host checks for due messages if it holds no share and has no charges that
+# are to be sent or paid, in seconds. A request ends the pause early. Checks at
+# `SEND_INTERVAL_S`, 25 a second, would be most of the work of a standby host.
 IDLE_INTERVAL_S = 0.25
-# Number of accounts with counters of their own; all others share the name ``others``.
+# Maximum number of accounts with counters of their own. All other accounts are counted
+# together under the name ``others``.
 MAX_COUNTED_ACCOUNTS = 100
 
 SendTo = Callable[[HostInfo, msg.Message], None]
@@ -72,9 +74,10 @@
         self._request_arrived = asyncio.Event()
 
     async def admit(self, account: str) -> Admission:
-        """Return whether a request of an account may run.
+        """Decide whether a request of an account may run, and charge it if it may.
 
         A request that needs credit of the keeper waits for it, at most `MAX_WAIT_S`.
+        If no credit has come by then, the request is refused.
         """
         admission = self._quotas.ask(account, self._times())
         self._request_arrived.set()
@@ -94,7 +97,8 @@
         except TimeoutError:
             outcome = _late_outcome(fut)
         except asyncio.CancelledError:
-            # The caller has left just when its request was admitted.
+            # If the request was admitted just when its caller left, its charge is taken
+            # back: it never runs.
             if _late_outcome(fut) is Outcome.ADMITTED:
                 self._quotas.ledger.cancel(account)
             raise
@@ -112,7 +116,11 @@
         self._wake_decided(account)
 
     def _wake_decided(self, account: str) -> None:
-        """Wake the waiting requests of an account on which there is a decision now."""
+        """Wake the waiting requests of an account that can be decided now.
+
+        The oldest ones are admitted, as far as the credit allows. The newest ones are
+        refused, as far as they cannot get credit in time.
+        """
         waiters = self._waiters.get(account)
         if not waiters:
             return
@@ -134,7 +142,11 @@
         self._metrics.count(f"accounts.{outcome.value}.{account}")
 
     def measure(self) -> None:
-        """Set the gauges of the accounts that have counters of their own."""
+        """Set the gauges of the accounts that have counters of their own.
+
+        They are the debt of an account and the share of its quota that is lent to this
+        host.
+        """
         ledger = self._quotas.ledger
         for account in self._counted_accounts:
             self._metrics.set_gauge(f"accounts.unpaid.{account}", ledger.debt(account))
--- a/lacewingcross/gateway/repeats.py
+++ b/lacewingcross/gateway/repeats.py
@@ -73,9 +73,10 @@
         return self._fingerprint
 
     def check_quarantine(self) -> float:
-        """Return for how many seconds the request is refused, 0 if it is not.
+        """Return for how many seconds the request is refused, 0 if it may run.
 
-        A quarantined request whose trial is due is let through once, on one host.
+        A quarantined request is refused, unless its trial is due and this is the host
+        that runs the trial. Then the trial begins with this call.
         """
         quarantine = self._gateway.crashes.ledger.quarantine
         held = quarantine.get(self.fingerprint) if quarantine else None
@@ -94,15 +95,20 @@
     def _runs_trial_here(self) -> bool:
         """Return whether this is the one host that runs the request's trial.
 
-        Failure: a trial becomes due at all hosts at once. A bad request that is
-        repeated several times a second would crash a server at each host before the
-        hosts receive each other's crash reports.
+        Guards against a trial that becomes due at all hosts at once. A bad request that
+        is repeated several times a second would crash a server at each host before the
+        hosts receive each other's crash reports. Rendezvous hashing names one active
+        host for the request.
         """
         roster = self._gateway.roster
         return owner(self.fingerprint, roster.active) == roster.own.host_id
 
     def record_not_run(self) -> None:
-        """Record that the server of the last attempt did not run the request."""
+        """Record that the latest attempt did not run the request.
+
+        If the attempt was the trial of a quarantined request, the trial is repeated
+        soon. Otherwise there is nothing to record.
+        """
         if self._on_trial:
             self._on_trial = False
             quarantine = self._gateway.crashes.ledger.quarantine
@@ -117,10 +123,11 @@
     async def wait_for_crash_check(self) -> None:
         """Wait until it is known whether the server crashed, if that may matter.
 
-        Failure: a request that has crashed servers before crashes two more each time
-        that its caller sends it, the second one while the host still checks whether
-        the first one crashed. A request without earlier crashes does not wait and is
-        sent to another server at once, since most such requests are harmless.
+        Guards against a request that has crashed servers before and crashes two more
+        each time that its caller sends it, the second one while the host still checks
+        whether the first one crashed. So such a request waits for the check. A request
+        without earlier crashes does not wait and is sent to another server at once,
+        since most such requests are harmless.
         """
         crash_check = self._crash_check
         self._crash_check = None
@@ -130,7 +137,7 @@
             await asyncio.wait((crash_check,))
 
     def record_answer(self) -> None:
-        """Record that a server has answered the request."""
+        """Record that a server has answered the request, which clears it of crashes."""
         crashes = self._gateway.crashes
         if crashes.ledger.has_suspects:
             crashes.answered(self.fingerprint)
--- a/lacewingcross/gateway/reply.py
+++ b/lacewingcross/gateway/reply.py
@@ -98,7 +98,10 @@
         self.log_end("answered", answer.head.status)
 
     async def finish(self, host_answer: HostAnswer) -> None:
-        """Send an answer of this host's own; abort if a response was already begun."""
+        """Send an answer of this host's own.
+
+        If a response was already begun, the caller's connection is aborted instead.
+        """
         if self._exchange.started:
             self._exchange.abort()
             return
@@ -143,7 +146,7 @@
         retry_after_s : float, default=0.0
             The Retry-After that was sent, in seconds; 0 when none was sent.
         detail : str, default=""
-            More for the log.
+            Text for the log that explains the outcome.
         """
         duration_s = self._gateway.now() - self._started_at
         metrics = self._gateway.metrics
--- a/lacewingcross/gateway/request.py
+++ b/lacewingcross/gateway/request.py
@@ -16,7 +16,7 @@
 from .routed_request import RoutedRequest
 
 # Callers stop waiting at their deadline. Answers are sent this much earlier to arrive
-# in time, in seconds. One way to callers takes a few milliseconds.
+# in time, in seconds. The one-way network delay to a caller is a few milliseconds.
 DEADLINE_MARGIN_S = 0.01
 
 
@@ -44,7 +44,7 @@
     def __init__(self, gateway: Gateway, exchange: Exchange) -> None:
         self._gateway = gateway
         self._exchange = exchange
-        # Whether the request was counted for its account.
+        # Whether the request was counted against the quota of its client account.
         self._quota_counted = False
         self._started_at = gateway.now()
         self._series: AttemptSeries | None = None
@@ -92,10 +92,11 @@
             self._refund_quota(admitted.terms)
 
     async def _admitted_by_quota(self, terms: Terms) -> bool:
-        """Count the request for its client account; refuse it if the quota is used up.
+        """Count the request against its account's quota; return whether it is admitted.
 
-        This happens before the request is placed or queued. A refused request has
-        therefore not run and holds no slot or connection.
+        If the quota is used up, the refusal is sent. All of this happens before the
+        request is placed or queued. A refused request has therefore not run and holds
+        no slot or connection.
         """
         if terms.account is None or terms.account.quota is None:
             return True
@@ -127,8 +128,8 @@
         """Cancel the request of a caller that has closed its connection.
 
         A request that must not run twice, such as a booking, is not cancelled once a
-        server may have begun it. Cancelling it could leave it half done, and nobody
-        would learn of it.
+        server may have begun it. Cancelling it could leave it half done without anyone
+        learning of it.
         """
         self._series.caller_gone = True
         if self._series.may_be_cancelled():
@@ -159,7 +160,10 @@
 
 
 def _time_allowed_s(route: Route, frame: Frame) -> float:
-    """Return how many seconds a request may take on this host."""
+    """Return how many seconds a request may take on this host.
+
+    That is the timeout of its route, or less if the caller's deadline is earlier.
+    """
     if not frame.remaining_s:
         return route.timeout_s
     return min(route.timeout_s, frame.remaining_s - DEADLINE_MARGIN_S)
--- a/lacewingcross/gateway/settings.py
+++ b/lacewingcross/gateway/settings.py
@@ -10,7 +10,23 @@
 class Bounds:
     """Guarantees to the users, from the settings; all decisions must keep them.
 
-    Durations are in seconds. The defaults are those of the smallest deployment.
+    The defaults are those of the smallest deployment. The host itself reads only the
+    fields that are listed here; the others are loaded and do not change what it does.
+    Durations are in seconds.
+
+    Attributes
+    ----------
+    grace_s : float
+        Time from the request to shut down until the platform kills the process.
+    retry_ratio, retry_extra : float
+        Allowance for each service on all hosts together: retries as a fraction of
+        requests, and a number of extra retries.
+    cold_over, cold_slack : float
+        All hosts of a cold server's region together may send it ``cold_per_s *
+        cold_over + cold_slack`` requests in any second. `cold_per_s` is the rate that a
+        cold server of its service tolerates, from the configuration.
+    quota_window_s, quota_excess, quota_slack : float
+        Bound on the requests of each client account, see `QuotaBound`.
     """
 
     drain_s: float = 2.5
@@ -31,7 +47,10 @@
 
     @property
     def quota_bound(self) -> QuotaBound:
-        """Return the bound that all hosts together keep for each client account."""
+        """Return the bound on the requests of each client account, see `QuotaBound`.
+
+        It holds for the requests that all hosts together run in a window.
+        """
         return QuotaBound(self.quota_window_s, self.quota_excess, self.quota_slack)
 
 
@@ -39,10 +58,13 @@
 class GatewaySettings:
     """Settings of one entry host; everything else comes from the platform.
 
-    `peer` is the address that other hosts are given. `peer_listen` is the address where
-    the host listens for them if it differs, for example behind address translation.
-    `cores` is the processor time that the host gets, in seconds of an ordinary core a
-    second. `policy` names mechanisms that an experiment has switched off.
+    `region_of` maps each failure domain to its region. `peer` is the address that other
+    hosts are given. `peer_listen` is the address where the host listens for them if it
+    differs, for example behind address translation. `first_start` says that the whole
+    system starts for the first time. `cores` is the processor time that the host gets,
+    in seconds of an ordinary core a second. `policy` names mechanisms that an
+    experiment has switched off. `memory_mb` and `heartbeat_s` (seconds) are loaded and
+    do not change what the host does.
     """
 
     host_id: str
--- a/lacewingcross/gateway/signals.py
+++ b/lacewingcross/gateway/signals.py
@@ -9,7 +9,7 @@
 from .attempt import MISDIRECTED
 from .context import Gateway
 
-# Source in log events for what a server has announced to this host itself.
+# Value of `source` in log events for what a server has announced to this host itself.
 OWN = "own"
 
 
@@ -30,7 +30,7 @@
     head : ResponseHead
         Status and headers of the response.
     sent_at : float
-        When the request was sent, a monotonic time in seconds.
+        Monotonic time just before the request was sent, in seconds.
     """
     if head.status == MISDIRECTED:
         return
@@ -92,6 +92,7 @@
     rates = gateway.steering.placement.gate.rates
     now = gateway.now()
     for server_id, born_ms, rate, age_s in message.items:
+        # A negative rate in the message stands for no limit.
         limit = rate if rate >= 0.0 else None
         if rates.learn_from_peer(
             (server_id, born_ms), limit, now - max(0.0, age_s), now
@@ -110,7 +111,7 @@
     source: str,
     age_s: float = 0.0,
 ) -> None:
-    """Recompute this host's share of a changed limit and log both.
+    """Recompute the rate that this host may send after a changed limit; log both.
 
     Parameters
     ----------
--- a/lacewingcross/gateway/store_follower.py
+++ b/lacewingcross/gateway/store_follower.py
@@ -15,16 +15,19 @@
 from ..platform.store import ObjectStore
 from .context import Gateway
 
-# How often a host that is not elected checks whether it has to watch, in seconds.
+# How often a host that is not elected checks whether it has to watch a kind of objects,
+# in seconds.
 REVIEW_INTERVAL_S = 0.1
-# The same for a host that has no data yet and cannot serve, in seconds.
+# The same interval while the host has no objects of that kind yet and cannot serve, in
+# seconds.
 EMPTY_REVIEW_INTERVAL_S = 0.02
-# Interval at which active hosts read the list of hosts again, in seconds, to find those
-# whose `Hello` was missed. They send what they find to the standby hosts.
+# Interval at which active hosts read the list of hosts again, in seconds, to find hosts
+# whose `Hello` was missed. The active hosts send what they find to the standby hosts.
 HOST_LIST_INTERVAL_S = 10.0
-# A host that receives messages from no other host reads the list at this shorter
-# interval, in seconds, but only a limited number of times: it may be the only host.
+# Interval at which a host that receives messages from no other host reads the list
+# again, in seconds.
 ALONE_INTERVAL_S = 1.0
+# Maximum number of these shorter intervals, since the host may be the only one.
 MAX_ALONE_READS = 5
 
 Publish = Callable[[Update], None]
@@ -74,7 +77,8 @@
         """Read a kind and watch it whenever this host is elected to.
 
         A host that has got the objects from its peers watches without reading them
-        first. So when 195 hosts start together, only one of them reads the store.
+        first, unless the store no longer has the changes since then. So when 195 hosts
+        start together, only one of them reads the store.
         """
         backoff = Backoff(self._gateway.steering.rng)
         compacted = False
@@ -115,7 +119,7 @@
     def _apply(self, update: Update, source: str) -> None:
         """Apply an update of the store and send all of it to the other hosts.
 
-        The update is sent whole and not only what is new on this host: a host that
+        The whole update is sent and not only what is new on this host: a host that
         lacks more must not consider itself up to date.
         """
         gateway = self._gateway
@@ -205,7 +209,11 @@
         self._store = store
 
     async def run(self) -> None:
-        """Register this host, then read the list of hosts at intervals."""
+        """Register this host, then read the list of hosts at intervals.
+
+        A standby host with a relay that is alive does not read it: the relay sends it
+        the other hosts.
+        """
         registered = False
         backoff = Backoff(self._gateway.steering.rng)
         while True:
@@ -223,19 +231,22 @@
 
     async def _refresh_list(self) -> None:
         if not await self._read_list(stale=self._has_live_peers()):
-            # This host is missing from the list. An earlier run of it requested the
-            # deletion of its entry, and the store may carry that out seconds late.
+            # This host is missing from the list, or is listed with other fields. An
+            # earlier run of it requested the deletion of its entry, and the store may
+            # carry that out seconds late.
             await self._store.put_host(self._gateway.roster.own)
 
     def _has_live_peers(self) -> bool:
         return len(self._gateway.roster.live(self._gateway.now())) > 1
 
     def _choose_pause_s(self) -> float:
-        """Return the time until the list is read again, in seconds.
+        """Choose the time until the list is read again, in seconds.
+
+        The shorter interval is counted, see `MAX_ALONE_READS`.
 
-        Guards against this failure: of hosts that start together, the first ones read a
-        list that does not contain an active host yet. They would become standby hosts
-        without any host that sends them updates.
+        Guards against hosts that start together, of which the first ones read a list
+        that does not contain an active host yet. They would become standby hosts
+        without any host that sends them updates. They soon read the list again.
         """
         if self._has_live_peers() or self._alone_reads >= MAX_ALONE_READS:
             return HOST_LIST_INTERVAL_S
@@ -243,7 +254,7 @@
         return ALONE_INTERVAL_S
 
     async def _register(self) -> None:
-        """Register this host unless it is registered already, and find the others.
+        """Register this host unless it is registered already, and find other hosts.
 
         The list is read after this host was added to it: of two hosts that start
         together, at least one finds the other and sends it a `Hello`. A host that was
@@ -278,7 +289,7 @@
         return roster.own in infos
 
     async def leave(self) -> None:
-        """Remove this host from the list."""
+        """Remove this host from the list; log if that fails."""
         try:
             await self._store.delete_host(self._gateway.roster.own.host_id)
         except PlatformError as exc:
--- a/lacewingcross/platform/answer_signals.py
+++ b/lacewingcross/platform/answer_signals.py
@@ -7,9 +7,10 @@
 from ..core.server_signals import NO_SIGNALS, ServerSignals
 from . import headers as ph
 
-# Most digits that are accepted before and after the decimal point. Longer numbers are
-# errors of the server.
+# Maximum number of digits before the decimal point of an accepted number. A longer
+# number is an error of the server.
 MAX_INTEGER_DIGITS = 9
+# Maximum number of digits after the decimal point.
 MAX_FRACTION_DIGITS = 20
 _DECIMAL = re.compile(
     rf"[0-9]{{1,{MAX_INTEGER_DIGITS}}}(\.[0-9]{{0,{MAX_FRACTION_DIGITS}}})?"
--- a/lacewingcross/platform/object_api.py
+++ b/lacewingcross/platform/object_api.py
@@ -1,7 +1,7 @@
 """Client of the platform's object API: one method for each call, errors with codes.
 
-A write without an answer may have been carried out, or may be carried out seconds later
-if its condition still holds. The error then has the code ``unknown-outcome``.
+A write whose response is lost may have been carried out, or may be carried out seconds
+later if its condition still holds. The error then has the code ``unknown-outcome``.
 """
 
 import json
@@ -40,7 +40,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ApiObjects:
-    """All objects of one kind, or their changes, complete up to revision `as_of`."""
+    """All objects of one kind, or their changes, complete up to revision `as_of`.
+
+    Objects whose metadata cannot be read are left out.
+    """
 
     as_of: int
     items: list[ApiObject]
@@ -96,7 +99,8 @@
             items = [_decode_or_none(kind, item) for item in data["items"]]
             readable = [item for item in items if item is not None]
             objects += readable
-            # The next page starts after the last name. Without one the listing ends.
+            # The next page starts after the last readable name. If a page has none, the
+            # listing ends there, also if the platform has more pages.
             if not data.get("has_more") or not readable:
                 return ApiObjects(int(data["as_of"]), objects)
 
@@ -185,7 +189,9 @@
         ------
         PlatformError
             With a code of `_ERROR_CODES`, or ``unknown-outcome`` for a write whose
-            answer was lost.
+            response was lost. The code is ``unavailable`` for any other failure: no
+            connection, a lost response to a read, an unlisted status, or a response
+            that is not JSON.
         """
         self.calls += 1
         data = b"" if body is None else encode(body)
@@ -239,9 +245,9 @@
 ) -> ApiObject | None:
     """Return a stored object, or None if its metadata cannot be read.
 
-    Any writer may have stored the object. Guards against this failure: one object of
-    five hundred lacks its metadata. Each listing would fail as a whole, and the host
-    would not learn of any server.
+    Guards against one object of five hundred that lacks its metadata, since any writer
+    may have stored it. Each listing would fail as a whole, and the host would not learn
+    of any server. Only the object itself is left out and logged.
     """
     try:
         return _decode_object(item, deleted=deleted)
--- a/lacewingcross/platform/objects.py
+++ b/lacewingcross/platform/objects.py
@@ -29,7 +29,7 @@
     Raises
     ------
     PlatformError
-        With code ``bad-object`` when a field is missing or of the wrong type.
+        With code ``bad-object`` when a field is missing or cannot be read.
     AccountError
         When two accounts have the same API key.
     """
--- a/lacewingcross/platform/settings.py
+++ b/lacewingcross/platform/settings.py
@@ -79,7 +79,10 @@
 
 
 def _read_cores(reader: Reader) -> float:
-    """Return the share of a core that a host gets, times the speed of that core."""
+    """Return the processor time of a host, in seconds of an ordinary core a second.
+
+    It is the share of a core that the host gets, times the speed of that core.
+    """
     share = reader.number("processor_share", 1.0, low=0.01)
     return share * reader.number("processor_speed", 1.0, low=0.01)
 
--- a/lacewingcross/platform/store.py
+++ b/lacewingcross/platform/store.py
@@ -23,7 +23,7 @@
 
     @property
     def calls(self) -> int:
-        """Return the number of calls made."""
+        """Return the number of calls of the store made so far."""
         return self._api.calls
 
     async def read_all(self, kind: Kind) -> Update:
@@ -38,7 +38,7 @@
         Parameters
         ----------
         kind : Kind
-            Which kind.
+            Kind of objects to watch.
         revision : int
             Changes after this revision are returned.
         wait_s : float
@@ -84,7 +84,7 @@
         await self._delete(HOSTS_PATH, host_id)
 
     async def put_quarantine(self, request: str, servers: tuple[str, ...]) -> None:
-        """Store the quarantine of a request.
+        """Store the quarantine of a request; do nothing if it is stored already.
 
         Parameters
         ----------
@@ -118,7 +118,10 @@
 
 
 def _documents(kind: Kind, items: list[ApiObject]) -> list[Document]:
-    """Return the documents of a kind; of configurations only the main one is used."""
+    """Return the documents of a kind.
+
+    Of the configurations only the one named `CONFIG_NAME` is used.
+    """
     return [
         Document(kind, item.name, item.revision, item.spec)
         for item in items
