--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -211,7 +211,7 @@
         """Update this host's shares of common limits, and the cores that are needed.
 
         The needed cores decide how many hosts are active. Old limits and back-offs of
-        servers are forgotten as well.
+        servers are forgotten, and reservations of servers are reviewed.
         """
         gateway = self.gateway
         steering = gateway.steering
--- a/lacewingcross/gateway/attempt.py
+++ b/lacewingcross/gateway/attempt.py
@@ -110,7 +110,7 @@
         Raises
         ------
         HttpError
-            With ``sent=False`` when there is no connection.
+            With ``sent=False`` when there is no idle connection and none can be opened.
         """
         self._conn = await self._backends.acquire(
             self.server.entry, repeatable=self._repeatable
--- a/lacewingcross/gateway/callers.py
+++ b/lacewingcross/gateway/callers.py
@@ -24,6 +24,13 @@
     ----------
     gateway : Gateway
         State and services that the parts of this host share.
+
+    Attributes
+    ----------
+    running : int
+        Number of requests that are running.
+    server : HttpServer
+        The listener and the connections of callers.
     """
 
     __slots__ = ("_gateway", "running", "server")
--- a/lacewingcross/gateway/settings.py
+++ b/lacewingcross/gateway/settings.py
@@ -10,9 +10,10 @@
 class Bounds:
     """Guarantees to the users, from the settings; all decisions must keep them.
 
-    The defaults are those of the smallest deployment. The host itself reads only the
-    fields that are listed here; the others are loaded and do not change what it does.
-    Durations are in seconds.
+    Durations are in seconds. The defaults are those of the smallest deployment. The
+    fields `drain_s`, `config_apply_s`, `evacuation_s`, `lookup_ttl_max_s`,
+    `stable_window_s`, `retry_window_s` and `max_shift` are loaded from the settings and
+    then not read by the host.
 
     Attributes
     ----------
@@ -64,7 +65,7 @@
     system starts for the first time. `cores` is the processor time that the host gets,
     in seconds of an ordinary core a second. `policy` names mechanisms that an
     experiment has switched off. `memory_mb` and `heartbeat_s` (seconds) are loaded and
-    do not change what the host does.
+    then not read by the host.
     """
 
     host_id: str
--- a/lacewingcross/gateway/store_follower.py
+++ b/lacewingcross/gateway/store_follower.py
@@ -151,7 +151,9 @@
 def log_changes(
     gateway: Gateway, update: Update, changed: list[Document], source: str
 ) -> None:
-    """Log each change that this host has applied and each object it cannot read.
+    """Log each change that this host has applied, and each object it has rejected.
+
+    Rejected objects are counted, and the list of them is emptied.
 
     Parameters
     ----------
--- a/lacewingcross/platform/headers.py
+++ b/lacewingcross/platform/headers.py
@@ -11,6 +11,7 @@
 NOT_RUN = b"x-lacewingcross-not-executed"
 # Name of the client account; sent to backend servers only.
 ACCOUNT = b"x-lacewingcross-tenant-id"
+# Signature of the backend server; a successful response without it is invalid.
 SIGNATURE = b"x-lacewingcross-response-signature"
 # Load of a backend server, as "running,waiting,slots".
 LOAD = b"x-lacewingcross-server-load"
--- a/tests/crashing_servers.py
+++ b/tests/crashing_servers.py
@@ -19,8 +19,8 @@
 class CrashingServers:
     """Servers of one service that crash on bad requests.
 
-    A request is bad if it has `bad_word` in its target or body. `arrivals` and
-    `ends` hold the monotonic times of bad requests and of the crashes.
+    A request is bad if it has `bad_word` in its target or body. `arrivals` holds the
+    monotonic times at which bad requests arrived, and `ends` those of the crashes.
     """
 
     env: Fleet
@@ -75,7 +75,7 @@
         self.env.store.delete("servers", server_id)
 
     def late_arrivals(self, window_s):
-        """Return the times of bad requests after the third crash and `window_s`."""
+        """Return when bad requests arrived after `window_s` from the third crash on."""
         if len(self.ends) < 3:
             return []
         after = self.ends[2] + window_s
--- a/tests/test_backend_connection.py
+++ b/tests/test_backend_connection.py
@@ -126,7 +126,7 @@
 def test_a_late_second_response_is_not_used_for_the_next_request():
     # A server sends a response twice. The second copy arrives after the next request
     # was sent on the same connection; its request id shows that it is for an earlier
-    # one.
+    # request.
     async def behave(received, writer):
         if received.request_id == "r2":
             writer.write(answer("r1", b"late copy"))
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -11,8 +11,9 @@
 from .test_gateway import header, in_loop
 
 # The users' bound: hosts that are connected may go on sending such a request for this
-# long after it has crashed its third server, in seconds, and three times afterwards.
+# long after it has crashed its third server, in seconds.
 WINDOW_S = 3.0
+# How many times they may send it to servers after this window.
 MAX_LATE_ARRIVALS = 3
 REPEAT_S = 0.05
 BAD = "/safe/bad"
@@ -58,10 +59,10 @@
 async def test_a_request_that_ends_its_servers_reaches_few_of_them():
     # Servers of one service crash one after the other while a caller repeats one
     # request, and other callers lose their answers with each server. The request has a
-    # new id and goes to another host each time, so a host that forgets it after each
-    # attempt cannot recognise it. In one case 24 servers crashed in nine seconds, and
-    # each had lost a connection just before, during a request with the same method,
-    # path and body.
+    # new id and goes to another host each time, so a host that forgets the request
+    # after each attempt cannot recognise it. In one case 24 servers crashed in nine
+    # seconds, and each had lost a connection just before, during a request with the
+    # same method, path and body.
     async with fleet() as env:
         env.configure(max_attempts=3)
         async with crashing_servers(env, 12) as servers:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -187,7 +187,7 @@
 @in_loop
 async def test_a_read_is_stopped_when_its_caller_leaves():
     # Callers give up and send the request again. If servers went on with the requests
-    # of callers that have gone, they would have no slots for the others.
+    # of callers that have gone, they would have no slots for the remaining callers.
     async def hangs(received, writer):
         await asyncio.sleep(20)
 
@@ -369,7 +369,7 @@
 @in_loop
 async def test_an_error_in_one_greeting_does_not_stop_a_hosts_gossip(monkeypatch):
     # A programming error makes one greeting to another host fail. If the stream to that
-    # host were never opened again, it would consider this host dead.
+    # host were never opened again, that host would consider this one dead.
     async with fleet() as env:
         env.configure()
         await env.add_server(answers_at_once)
--- a/tests/test_quotas_gateway.py
+++ b/tests/test_quotas_gateway.py
@@ -13,7 +13,7 @@
 
 
 async def start_hosts_with_shares(env, count):
-    """Start hosts and wait until the shares that they keep add up to the whole."""
+    """Start hosts and wait until the shares of the quota lent to them add up to 1."""
     apps = [
         await env.add_host(domain=("a1", "a2", "b1")[index % 3])
         for index in range(count)
--- a/tests/test_rate_limits_gateway.py
+++ b/tests/test_rate_limits_gateway.py
@@ -16,13 +16,14 @@
 )
 from tests.test_gateway import header, in_loop
 
+# Length of the windows in which arrivals at a server are counted, in seconds.
 WINDOW_S = 4.0
 # Time after which all hosts know of a limit that a server has announced, in seconds.
 LIMIT_KNOWN_S = 1.0
 
 
 def max_in_window(times, window_s=WINDOW_S):
-    """Return the maximum number of arrivals in any window."""
+    """Return the maximum number of arrivals in any window of `window_s` seconds."""
     return max((sum(t <= x < t + window_s for x in times) for t in times), default=0)
 
 
