--- a/lacewingcross/gateway/store_follower.py
+++ b/lacewingcross/gateway/store_follower.py
@@ -84,16 +84,16 @@
         compacted = False
         wait_s = FIRST_WAIT_S
         while True:
-            known = self._has_data(kind)
+            has_data = self._has_data(kind)
             if not self._should_watch(kind):
                 wait_s = FIRST_WAIT_S
                 compacted = False
                 await asyncio.sleep(
-                    REVIEW_INTERVAL_S if known else EMPTY_REVIEW_INTERVAL_S
+                    REVIEW_INTERVAL_S if has_data else EMPTY_REVIEW_INTERVAL_S
                 )
                 continue
             try:
-                if known and not compacted:
+                if has_data and not compacted:
                     await self._watch(kind, wait_s)
                     wait_s = watch_wait_s(kind)
                 else:
