--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -45,7 +45,7 @@
 # How long a leaving host still accepts new connections, in seconds, but at most half of
 # `Bounds.grace_s`. Callers keep the answer to a look-up for up to three times its
 # lifetime, 3 * 1.5 s. This time covers two lifetimes. A caller that keeps an answer for
-# longer may still connect to the host after its listener has closed.
+# longer may still use this host after its listener has closed, and is refused.
 ACCEPT_WHILE_LEAVING_S = 3.2
 # How long before the platform kills the process the host stops waiting for requests, in
 # seconds. The platform kills it `Bounds.grace_s` after the shutdown began.
@@ -285,8 +285,8 @@
         Guards against a shutdown that callers notice. A host that closes its listener
         first refuses callers that a look-up has just sent to it. A host that stops at
         once cuts off bookings and uploads. So this host first announces that it is
-        shutting down, goes on accepting connections for `ACCEPT_WHILE_LEAVING_S`, and
-        then waits for the requests that are running.
+        shutting down, goes on accepting connections for a while, see
+        `ACCEPT_WHILE_LEAVING_S`, and then waits for the requests that are running.
         """
         gateway = self.gateway
         gateway.roster.leaving = True
--- a/lacewingcross/gateway/attempt_log.py
+++ b/lacewingcross/gateway/attempt_log.py
@@ -71,9 +71,10 @@
         )
 
     def superseded(self, attempt: Attempt, time_left_s: float) -> None:
-        """Log that the server's limits no longer allow the request.
+        """Log that the server no longer allowed the attempt just before its first byte.
 
-        This is found just before the first byte; nothing was sent.
+        Its rate limit was used up, or it has requested a back-off or announced its
+        shutdown. Nothing was sent.
         """
         logs.event(
             "attempt-overtaken",
--- a/lacewingcross/gateway/attempt_series.py
+++ b/lacewingcross/gateway/attempt_series.py
@@ -85,8 +85,8 @@
         self._shed_with_room = False
         # Stable code of why the latest failed attempt has failed; empty if none has.
         self._failure_reason = ""
-        # Whether the limits of the chosen server no longer allowed the latest attempt
-        # just before its first byte, so that nothing of the request was sent there.
+        # Whether the chosen server no longer allowed the latest attempt just before its
+        # first byte, so that nothing of the request was sent there.
         self._superseded = False
         self.attempts = 0
         self.may_have_run = False
@@ -396,9 +396,10 @@
 
 
 class _SupersededError(Exception):
-    """The limits of the chosen server no longer allow the request.
+    """The chosen server no longer allows the request just before its first byte.
 
-    This is found just before the first byte, so nothing was sent.
+    Since the server was chosen, its rate limit was used up, or it has requested a
+    back-off or announced its shutdown. Nothing was sent.
     """
 
 
--- a/lacewingcross/gateway/backends.py
+++ b/lacewingcross/gateway/backends.py
@@ -125,7 +125,7 @@
             self.discard(server, conn)
 
     def release(self, server: ServerEntry, conn: BackendConnection) -> None:
-        """Keep a connection whose exchange is complete; close any other."""
+        """Keep a connection whose exchange is complete, and close it otherwise."""
         if conn.prepare_for_reuse():
             conn.used_at = self._now()
             self._idle[server.incarnation].append(conn)
--- a/lacewingcross/gateway/callers.py
+++ b/lacewingcross/gateway/callers.py
@@ -10,7 +10,7 @@
 
 # File descriptors that callers' connections may not use. They are for connections to
 # backend servers, other hosts and the platform. At least 64 descriptors are left to
-# callers, also if fewer than these remain for the others.
+# callers, also if fewer descriptors than this then remain for those connections.
 RESERVED_DESCRIPTORS = 900
 # How often unusable connections to backend servers are closed and the configured limits
 # on callers are applied, in seconds.
--- a/lacewingcross/gateway/forwarding.py
+++ b/lacewingcross/gateway/forwarding.py
@@ -34,7 +34,7 @@
     and hosts. Backend servers then get no key but the name of the account, which only
     hosts may set. Without accounts, credentials are forwarded like any other header.
 
-    `has_accounts` tells whether the configuration has accounts. `name` is the account's
+    `has_accounts` says whether the configuration has accounts. `name` is the account's
     name, empty if the request has none.
     """
 
--- a/lacewingcross/gateway/gossip_sender.py
+++ b/lacewingcross/gateway/gossip_sender.py
@@ -86,7 +86,7 @@
         """Send each active host the counts of requests in flight that have changed.
 
         A host for which nothing has changed gets a sign of life once `ALIVE_INTERVAL_S`
-        has passed since the last message. Standby hosts only get signs of life, since
+        has passed since the last one. Standby hosts only get signs of life, since
         they place hardly any requests. On a busy host few counts change between two
         calls. Sending all of them every time would make up much of the traffic between
         regions.
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -139,9 +139,9 @@
         """Return the minimum time between two reviews of the links, in seconds.
 
         Guards against reviews in quick succession while a fleet of 100 hosts starts.
-        Each message from one host would make this host review all others at once and
-        send them its known hosts again, hundreds of times a second. With this minimum,
-        one review covers all messages since the last one.
+        Each message from one host would make this host review all other hosts at once
+        and send its known hosts to them again, hundreds of times a second. With this
+        minimum, one review covers all messages since the review before it.
         """
         return MIN_REVIEW_INTERVAL_S * max(1.0, len(self._links) / REVIEW_LINKS)
 
--- a/lacewingcross/gateway/quarantine_store.py
+++ b/lacewingcross/gateway/quarantine_store.py
@@ -21,7 +21,7 @@
 class QuarantineStore:
     """Stores quarantined requests and deletes those that are no longer quarantined.
 
-    Only the host of rank 0 among those that may watch the store deletes them.
+    Only one host deletes them: that of rank 0 among the hosts that may watch the store.
 
     Guards against a loss of power on all hosts while a request is quarantined. No host
     would remember it, and it would crash three servers again before it is refused
