--- a/tests/test_quotas_gateway.py
+++ b/tests/test_quotas_gateway.py
@@ -13,7 +13,7 @@
 
 
 async def start_hosts_with_shares(env, count):
-    """Start hosts and wait until the shares that they keep add up to the whole."""
+    """Start hosts and wait until the shares of the quota lent to them add up to 1."""
     apps = [
         await env.add_host(domain=("a1", "a2", "b1")[index % 3])
         for index in range(count)
@@ -50,7 +50,7 @@
         assert refused
         assert all(float(header(r, "retry-after")) > 0 for r in refused)
         assert len(server.requests) == sum(r.status == 200 for r in responses)
-        assert len(server.requests) <= Bounds().quotas.max_per_window(
+        assert len(server.requests) <= Bounds().quota_bound.max_per_window(
             env.apps[0].gateway.steering.table.config.accounts.by_name["school"].quota
         )
 
