--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -71,6 +71,19 @@
     assert flooded(6.0, gated=False).excess() > 0
 
 
+def test_hosts_that_join_together_keep_the_bound():
+    # Guards against too many requests at a server in need. Four hosts join a fleet of
+    # five together, the server states a higher rate, and its responses are delayed.
+    fleet = LimitFleet(5, 0.0)
+    fleet.play(1.0)
+    for _ in range(4):
+        fleet.join()
+    fleet.play(5.5)
+    fleet.set_rate(6.0)
+    fleet.play(2.5, late_s=LATE_S)
+    assert fleet.excess() <= 0
+
+
 @pytest.mark.parametrize("rate", [6.0, 7.6, 30.0])
 def test_most_of_a_rate_is_used_under_load(rate):
     fleet = flooded(rate)
