--- a/lacewingcross/host/app.py
+++ b/lacewingcross/host/app.py
@@ -28,8 +28,8 @@
 INCARNATION_BITS = 24
 BUSY_TICK_S = 0.02
 IDLE_TICK_S = 0.2
-LEAVE_NOTICE_S = 2.0
-FINISH_POLL_S = 0.05
+SHUTDOWN_NOTICE_S = 2.0
+SHUTDOWN_POLL_S = 0.05
 
 
 class HostApp:
@@ -66,9 +66,11 @@
         policy: KeeperPolicy | None = None,
     ) -> None:
         self.cfg = cfg
-        own = HostInfo(cfg.host_id, cfg.region, cfg.failure_domain, cfg.entry, cfg.peer)
+        own_info = HostInfo(
+            cfg.host_id, cfg.region, cfg.failure_domain, cfg.entry, cfg.peer
+        )
         rng = rng or random.Random(secrets.randbits(64))
-        core = HostCore(own, rng.getrandbits(INCARNATION_BITS), rng, policy)
+        core = HostCore(own_info, rng.getrandbits(INCARNATION_BITS), rng, policy)
         self.runtime = Runtime(core, clock or SystemClock(), Metrics())
         self._tls = TlsFiles(cfg.tls) if cfg.tls.enabled else None
         client_ssl = self._tls.client if self._tls else None
@@ -97,18 +99,18 @@
             ],
         )
         operators = OperatorsListener(runtime, self.cfg.operators)
-        reload = [Child("tls", self._tls.run)] if self._tls else []
+        tls_children = [Child("tls", self._tls.run)] if self._tls else []
         return [
-            *reload,
+            *tls_children,
             Child("platform", platform.run),
             Child("mesh", self._mesh.run),
             Child("backends", Prober(runtime).run),
             Child("entry", self.entry.run),
             Child("operators", operators.run),
-            Child("ticker", self._tick),
+            Child("ticker", self._run_ticker),
         ]
 
-    async def _tick(self) -> None:
+    async def _run_ticker(self) -> None:
         core = self.runtime.core
         while True:
             self.runtime.dispatch(Tick())
@@ -117,13 +119,13 @@
 
     async def run(self, stop: asyncio.Event) -> None:
         """Run until `stop` is set and every request has had its answer."""
-        await run_until_stopped(self.root, stop, self._leave, self._close)
+        await run_until_stopped(self.root, stop, self._finish_requests, self._close)
 
     def _close(self) -> None:
         self._writer.close()
         self._platform.close()
 
-    async def _leave(self) -> None:
+    async def _finish_requests(self) -> None:
         """Leave look-ups first, then finish every request, however long it takes.
 
         Failure: a host that closes its listener first refuses callers that were
@@ -131,10 +133,10 @@
         being served while the others learn that this host leaves.
         """
         self.runtime.dispatch(ShutdownAsked())
-        await asyncio.sleep(LEAVE_NOTICE_S)
+        await asyncio.sleep(SHUTDOWN_NOTICE_S)
         await self.entry.server.stop_listening()
         while not self.runtime.core.idle() or self.entry.busy:
-            await asyncio.sleep(FINISH_POLL_S)
+            await asyncio.sleep(SHUTDOWN_POLL_S)
         logs.event("host-stopped")
 
 
--- a/lacewingcross/host/backends/pool.py
+++ b/lacewingcross/host/backends/pool.py
@@ -6,9 +6,9 @@
 
 from ...http1_client import ClientConnection, HttpError
 
-IDLE_S = 30.0
-FRESH_IDLE_S = 2.0
-DEFAULT_LIMIT = 30
+MAX_IDLE_S = 30.0
+MAX_IDLE_UNREPEATABLE_S = 2.0
+DEFAULT_MAX_CONNECTIONS = 30
 CONNECTION_LIMIT = "connection-limit"
 
 
@@ -47,13 +47,15 @@
             With ``sent=False``.
         """
         idle = self._idle[address]
-        oldest = self._now() - (IDLE_S if repeatable else FRESH_IDLE_S)
+        min_used_at = self._now() - (
+            MAX_IDLE_S if repeatable else MAX_IDLE_UNREPEATABLE_S
+        )
         while idle:
             conn = idle.pop()
-            if not conn.stale() and conn.used_at >= oldest:
+            if not conn.stale() and conn.used_at >= min_used_at:
                 return conn
             self.drop(address, conn)
-        if self._open[address] >= self.limits.get(address, DEFAULT_LIMIT):
+        if self._open[address] >= self.limits.get(address, DEFAULT_MAX_CONNECTIONS):
             raise HttpError(CONNECTION_LIMIT, sent=False)
         self._open[address] += 1
         try:
@@ -77,9 +79,9 @@
 
     def sweep(self) -> None:
         """Close connections that have been idle for long."""
-        oldest = self._now() - IDLE_S
+        min_used_at = self._now() - MAX_IDLE_S
         for address, idle in self._idle.items():
-            for conn in [conn for conn in idle if conn.used_at < oldest]:
+            for conn in [conn for conn in idle if conn.used_at < min_used_at]:
                 idle.remove(conn)
                 self.drop(address, conn)
 
--- a/lacewingcross/host/backends/prober.py
+++ b/lacewingcross/host/backends/prober.py
@@ -8,7 +8,7 @@
 from ...http1_client import HttpClient, HttpError
 from ..runtime import Runtime
 
-PROBE_S = 0.5
+PROBE_INTERVAL_S = 0.5
 PROBE_TIMEOUT_S = 1.0
 HEALTH_PATH = "/-/health"
 
@@ -35,7 +35,7 @@
             addresses = {server.address for _, server in targets}
             for address in [addr for addr in self._clients if addr not in addresses]:
                 self._clients.pop(address).close()
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
 
     def _targets(self) -> list[tuple[str, BackendServer]]:
         core = self._runtime.core
@@ -56,7 +56,7 @@
             response = await client.request(
                 "GET", HEALTH_PATH, timeout_s=PROBE_TIMEOUT_S
             )
-            draining = _says_draining(response.body)
+            draining = _reports_draining(response.body)
         except HttpError as exc:
             # A slow probe proves nothing; only a refused connection does.
             reachable = exc.sent
@@ -65,7 +65,7 @@
         )
 
 
-def _says_draining(body: bytes) -> bool:
+def _reports_draining(body: bytes) -> bool:
     try:
         data = json.loads(body)
     except ValueError:
--- a/lacewingcross/host/entry/attempt.py
+++ b/lacewingcross/host/entry/attempt.py
@@ -12,7 +12,7 @@
 from ..backends.pool import CONNECTION_LIMIT, BackendPool
 from ..runtime import Runtime
 
-REPLAY_MAX = 64 * 1024
+MAX_REPLAY_BYTES = 64 * 1024
 
 
 @dataclass(slots=True)
@@ -20,37 +20,37 @@
     """The caller's body: what was read is kept while it is small enough to replay."""
 
     exchange: Exchange
-    kept: list[bytes]
+    chunks: list[bytes]
     size: int = 0
     replayable: bool = True
 
-    async def gather(self) -> None:
+    async def read_if_small(self) -> None:
         """Read the whole body, when it is declared small, before a slot is asked for.
 
         Failure: a caller sends a few bytes and stalls; with its request already at a
         backend server it would hold a slot for as long as it likes.
         """
         length = hd.find(self.exchange.head.headers, hd.CONTENT_LENGTH)
-        if not length or int(length) > REPLAY_MAX:
+        if not length or int(length) > MAX_REPLAY_BYTES:
             return
         while data := await self.exchange.read():
-            self._keep(data)
+            self._buffer(data)
 
     async def send_to(self, conn: ClientConnection) -> None:
         """Send the kept part, then the rest as it arrives, and end the request."""
-        for data in self.kept:
+        for data in self.chunks:
             await conn.send_body(data)
         while data := await self.exchange.read():
-            self._keep(data)
+            self._buffer(data)
             await conn.send_body(data)
         await conn.finish()
 
-    def _keep(self, data: bytes) -> None:
+    def _buffer(self, data: bytes) -> None:
         self.size += len(data)
-        if self.size <= REPLAY_MAX:
-            self.kept.append(data)
+        if self.size <= MAX_REPLAY_BYTES:
+            self.chunks.append(data)
         else:
-            self.kept.clear()
+            self.chunks.clear()
             self.replayable = False
 
 
@@ -72,10 +72,10 @@
     """
 
     __slots__ = (
+        "_action",
         "_body",
         "_conn",
         "_headers",
-        "_order",
         "_pool",
         "_runtime",
         "_started",
@@ -86,13 +86,13 @@
         self,
         runtime: Runtime,
         pool: BackendPool,
-        order: StartAttempt,
+        action: StartAttempt,
         body: RequestBody,
         headers: hd.HeaderList,
     ) -> None:
         self._runtime = runtime
         self._pool = pool
-        self._order = order
+        self._action = action
         self._body = body
         self._headers = headers
         self._conn: ClientConnection | None = None
@@ -109,12 +109,12 @@
         except CallerGoneError:
             ending = Ending.CANCELLED
         except HttpError as exc:
-            ending = self._failed(exc)
-        self._let_go(ending)
+            ending = self._ending_of(exc)
+        self._release_connection(ending)
         self._runtime.dispatch(
             AttemptEnded(
-                self._order.request_id,
-                self._order.attempt,
+                self._action.request_id,
+                self._action.attempt,
                 ending,
                 self._runtime.now() - self._started,
                 status,
@@ -122,44 +122,44 @@
             )
         )
 
-    def _failed(self, exc: HttpError) -> Ending:
+    def _ending_of(self, exc: HttpError) -> Ending:
         if exc.reason == CONNECTION_LIMIT:
             return Ending.SERVER_NOT_RUN
         if self._body.exchange.started:
             return Ending.TRUNCATED
         return Ending.BROKEN if exc.sent else Ending.CONNECT_FAILED
 
-    def _let_go(self, ending: Ending) -> None:
+    def _release_connection(self, ending: Ending) -> None:
         """Reuse the connection only after an exchange that is whole on both sides."""
         conn = self._conn
         self._conn = None
         if conn is None:
             return
-        whole = (Ending.ANSWERED, Ending.SERVER_ERROR, Ending.SERVER_NOT_RUN)
-        if ending in whole:
-            self._pool.give_back(self._order.address, conn)
+        reusable_endings = (Ending.ANSWERED, Ending.SERVER_ERROR, Ending.SERVER_NOT_RUN)
+        if ending in reusable_endings:
+            self._pool.give_back(self._action.address, conn)
         else:
-            self._pool.drop(self._order.address, conn)
+            self._pool.drop(self._action.address, conn)
 
     async def _attempt(self) -> tuple[Ending, int]:
-        order = self._order
-        self._conn = await self._pool.take(order.address, repeatable=order.repeatable)
+        action = self._action
+        self._conn = await self._pool.take(action.address, repeatable=action.repeatable)
         waited = self._runtime.now() - self._started
-        if waited > order.start_within_s:
+        if waited > action.start_within_s:
             # Failure: this process was paused between the grant and here, and the
             # permit's lease may be over. Starting now would take a slot that the
             # keeper has given to somebody else.
             raise HttpError("lease-over", sent=False)
         conn = self._conn
-        self._runtime.dispatch(FirstByteWritten(order.request_id, order.attempt))
+        self._runtime.dispatch(FirstByteWritten(action.request_id, action.attempt))
         head = self._body.exchange.head
-        remaining = max(0.001, order.remaining_s - waited)
+        remaining = max(0.001, action.remaining_s - waited)
         deadline = (hd.DEADLINE_MS, str(max(1, int(remaining * 1000))).encode())
         await conn.send_head(head.method, head.target, [*self._headers, deadline])
         if self._body.exchange.body_ended:
             await self._body.send_to(conn)
             answer = await conn.read_head()
-            return await self._answer(conn, answer)
+            return await self._handle_answer(conn, answer)
         return await self._stream_both(conn)
 
     async def _stream_both(self, conn: ClientConnection) -> tuple[Ending, int]:
@@ -175,8 +175,8 @@
             await asyncio.wait((sender, reader), return_when=asyncio.FIRST_COMPLETED)
             if sender.done() and not reader.done():
                 self._raise_if_caller_left(sender)
-            answer = await self._head_or_send_error(reader, sender)
-            return await self._answer(conn, answer)
+            answer = await self._read_answer_head(reader, sender)
+            return await self._handle_answer(conn, answer)
         finally:
             for task in (sender, reader):
                 task.cancel()
@@ -187,7 +187,7 @@
         if exc is not None and not isinstance(exc, HttpError):
             raise exc
 
-    async def _head_or_send_error(
+    async def _read_answer_head(
         self, reader: asyncio.Task[ResponseHead], sender: asyncio.Task[None]
     ) -> ResponseHead:
         """Return the answer's head, also when the server stopped reading first."""
@@ -199,7 +199,7 @@
                 tasks.discard(sender)
         return reader.result()
 
-    async def _answer(
+    async def _handle_answer(
         self, conn: ClientConnection, head: ResponseHead
     ) -> tuple[Ending, int]:
         outcome = hd.find(head.headers, hd.OUTCOME)
@@ -207,21 +207,23 @@
             async for _ in conn.read_body():
                 pass
             return Ending.SERVER_NOT_RUN, head.status
-        await self._forward(conn, head)
+        await self._forward_answer(conn, head)
         ending = Ending.SERVER_ERROR if head.status >= 500 else Ending.ANSWERED
         return ending, head.status
 
-    async def _forward(self, conn: ClientConnection, head: ResponseHead) -> None:
-        order = self._order
+    async def _forward_answer(self, conn: ClientConnection, head: ResponseHead) -> None:
+        action = self._action
         exchange = self._body.exchange
-        self._runtime.dispatch(HeadForwarded(order.request_id, order.attempt))
-        own = (hd.OUTCOME, hd.REASON, hd.REQUEST_ID)
-        fields = [
-            item for item in hd.without_hop_by_hop(head.headers) if item[0] not in own
+        self._runtime.dispatch(HeadForwarded(action.request_id, action.attempt))
+        own_headers = (hd.OUTCOME, hd.REASON, hd.REQUEST_ID)
+        headers = [
+            item
+            for item in hd.without_hop_by_hop(head.headers)
+            if item[0] not in own_headers
         ]
-        fields.append((hd.OUTCOME, b"answered"))
-        fields.append((hd.REQUEST_ID, order.request_id.encode()))
-        await exchange.send_head(head.status, fields)
+        headers.append((hd.OUTCOME, b"answered"))
+        headers.append((hd.REQUEST_ID, action.request_id.encode()))
+        await exchange.send_head(head.status, headers)
         async for part in conn.read_body():
             await exchange.send_body(part)
         exchange.finish()
--- a/lacewingcross/host/entry/flight.py
+++ b/lacewingcross/host/entry/flight.py
@@ -14,16 +14,16 @@
 from ..runtime import Runtime
 from .attempt import AttemptRun, RequestBody
 
-MAX_ID = 128
-MAX_KEY = 256
+MAX_ID_CHARS = 128
+MAX_KEY_CHARS = 256
 MIN_REMAINING_S = 0.001
 
 
-class FrameError(Exception):
+class HeaderError(Exception):
     """A header of the request's frame is not usable."""
 
 
-def read_frame(
+def read_request(
     exchange: Exchange, request_id: str, *, trust_client_address: bool
 ) -> RequestArrived:
     """Return what the core needs to know of a request.
@@ -37,18 +37,20 @@
     headers = head.headers
     service = hd.find(headers, hd.SERVICE) or first_segment(head.target)
     if not is_name(service):
-        raise FrameError("expected a service name as first path segment")
+        raise HeaderError("expected a service name as first path segment")
     address = head.client
     if trust_client_address:
         address = hd.find(headers, hd.CLIENT_ADDRESS) or address
     caller = hd.find(headers, hd.CALLER_ID) or address
     key = hd.find(headers, hd.IDEMPOTENCY_KEY)
-    if len(caller) > MAX_ID or len(key) > MAX_KEY:
-        raise FrameError(f"x-caller-id up to {MAX_ID}, idempotency-key to {MAX_KEY}")
+    if len(caller) > MAX_ID_CHARS or len(key) > MAX_KEY_CHARS:
+        raise HeaderError(
+            f"x-caller-id up to {MAX_ID_CHARS}, idempotency-key to {MAX_KEY_CHARS}"
+        )
     try:
         remaining = hd.milliseconds(headers, hd.DEADLINE_MS)
     except ValueError as exc:
-        raise FrameError(str(exc)) from exc
+        raise HeaderError(str(exc)) from exc
     return RequestArrived(
         request_id,
         service,
@@ -68,15 +70,15 @@
 
 
 def _repeatable(headers: hd.HeaderList) -> bool | None:
-    said = hd.find(headers, hd.REPEATABLE).lower()
-    if said in ("yes", "no"):
-        return said == "yes"
-    if said:
-        raise FrameError("x-repeatable: expected yes or no")
+    value = hd.find(headers, hd.REPEATABLE).lower()
+    if value in ("yes", "no"):
+        return value == "yes"
+    if value:
+        raise HeaderError("x-repeatable: expected yes or no")
     return None
 
 
-class Flight:
+class InFlightRequest:
     """Waits for the core's decisions on one request and carries them out.
 
     Parameters
@@ -92,14 +94,14 @@
     """
 
     __slots__ = (
+        "_attempt_run",
+        "_attempt_task",
         "_body",
         "_decisions",
         "_exchange",
         "_pool",
         "_req",
-        "_run",
         "_runtime",
-        "_task",
     )
 
     def __init__(
@@ -115,18 +117,18 @@
         self._req = req
         self._body = RequestBody(exchange, [])
         self._decisions: asyncio.Queue[act.Action] = asyncio.Queue()
-        self._run: AttemptRun | None = None
-        self._task: asyncio.Task[None] | None = None
+        self._attempt_run: AttemptRun | None = None
+        self._attempt_task: asyncio.Task[None] | None = None
 
-    async def fly(self) -> None:
+    async def run(self) -> None:
         """Run the request to its end."""
         started = self._runtime.now()
         if self._req.service in self._runtime.core.view.config.policies:
-            await self._body.gather()
+            await self._body.read_if_small()
         waited = self._runtime.now() - started
         if self._req.remaining_s:
-            left = max(MIN_REMAINING_S, self._req.remaining_s - waited)
-            self._req = replace(self._req, remaining_s=left)
+            remaining_s = max(MIN_REMAINING_S, self._req.remaining_s - waited)
+            self._req = replace(self._req, remaining_s=remaining_s)
         self._exchange.on_gone = self._caller_gone
         self._runtime.dispatch(self._req)
         while self._req.request_id in self._runtime.core.requests.requests:
@@ -135,7 +137,7 @@
             await self._carry_out(self._decisions.get_nowait())
         self._runtime.metrics.observe("request", self._runtime.now() - started)
 
-    def decide(self, action: act.Action) -> None:
+    def on_decision(self, action: act.Action) -> None:
         """Take in a decision of the core."""
         if isinstance(action, act.CancelAttempt):
             self._cancel(action)
@@ -143,10 +145,10 @@
             self._decisions.put_nowait(action)
 
     def _cancel(self, action: act.CancelAttempt) -> None:
-        if self._task is None or self._task.done():
+        if self._attempt_task is None or self._attempt_task.done():
             return
-        self._run.cancel_ending = action.ending
-        self._task.cancel()
+        self._attempt_run.cancel_ending = action.ending
+        self._attempt_task.cancel()
 
     def _caller_gone(self) -> None:
         self._runtime.dispatch(RequestCancelled(self._req.request_id))
@@ -162,13 +164,17 @@
 
     async def _attempt(self, action: act.StartAttempt) -> None:
         headers = hd.without_hop_by_hop(self._exchange.head.headers)
-        dropped = (hd.DEADLINE_MS, hd.REQUEST_ID)
-        headers = [item for item in headers if item[0] not in dropped]
+        excluded = (hd.DEADLINE_MS, hd.REQUEST_ID)
+        headers = [item for item in headers if item[0] not in excluded]
         headers.append((hd.REQUEST_ID, self._req.request_id.encode()))
-        self._run = AttemptRun(self._runtime, self._pool, action, self._body, headers)
-        self._task = asyncio.get_running_loop().create_task(self._run.run())
-        await asyncio.wait([self._task])
-        self._task.result()
+        self._attempt_run = AttemptRun(
+            self._runtime, self._pool, action, self._body, headers
+        )
+        self._attempt_task = asyncio.get_running_loop().create_task(
+            self._attempt_run.run()
+        )
+        await asyncio.wait([self._attempt_task])
+        self._attempt_task.result()
 
     async def _finish(self, action: act.Finish) -> None:
         if self._exchange.started:
--- a/lacewingcross/host/entry/listener.py
+++ b/lacewingcross/host/entry/listener.py
@@ -13,10 +13,16 @@
 from ...settings import HostSettings
 from ..backends.pool import BackendPool
 from ..runtime import Runtime
-from .flight import MAX_ID, Flight, FrameError, answer_refusal, read_frame
-from .lookups import PATH, Lookups, answer_data
+from .flight import (
+    MAX_ID_CHARS,
+    HeaderError,
+    InFlightRequest,
+    answer_refusal,
+    read_request,
+)
+from .lookups import LOOKUP_PATH, Lookups, answer_data
 
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 
 
 class EntryListener:
@@ -36,8 +42,8 @@
 
     __slots__ = (
         "_cfg",
-        "_counter",
-        "_flights",
+        "_id_count",
+        "_in_flight",
         "_lookups",
         "_pool",
         "_runtime",
@@ -56,8 +62,8 @@
         self._cfg = cfg
         self._pool = pool
         self._ssl = ssl
-        self._counter = 0
-        self._flights: dict[str, Flight] = {}
+        self._id_count = 0
+        self._in_flight: dict[str, InFlightRequest] = {}
         self._lookups = Lookups(runtime)
         self.server = HttpServer(
             self._handle,
@@ -65,10 +71,10 @@
             max_connections=cfg.max_connections,
             max_connections_each=cfg.max_connections_each,
             fast_path=self._lookups,
-            on_bad_input=self._bad_input,
+            on_bad_input=self._count_bad_input,
         )
-        runtime.perform_with(
-            self._decide,
+        runtime.register_performer(
+            self._pass_decision,
             act.StartAttempt,
             act.Finish,
             act.AbortAnswer,
@@ -78,7 +84,7 @@
     @property
     def busy(self) -> bool:
         """Tell whether a request's answer is still on its way."""
-        return bool(self._flights)
+        return bool(self._in_flight)
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -86,7 +92,7 @@
         await self.server.start(host, port, self._ssl)
         try:
             while True:
-                await asyncio.sleep(SWEEP_S)
+                await asyncio.sleep(SWEEP_INTERVAL_S)
                 self._set_connection_limits()
                 self._pool.sweep()
         finally:
@@ -102,47 +108,47 @@
                 share = max(1, server.connections // hosts)
                 self._pool.limits[server.address] = share
 
-    def _bad_input(self, reason: str) -> None:
+    def _count_bad_input(self, reason: str) -> None:
         self._runtime.metrics.count(f"bad-input.{reason}")
 
-    def _decide(self, action: act.Action) -> None:
-        flight = self._flights.get(action.request_id)
-        if flight is not None:
-            flight.decide(action)
+    def _pass_decision(self, action: act.Action) -> None:
+        request = self._in_flight.get(action.request_id)
+        if request is not None:
+            request.on_decision(action)
 
     async def _handle(self, exchange: Exchange) -> None:
         path = exchange.head.target.partition("?")[0]
-        if path == PATH:
+        if path == LOOKUP_PATH:
             await self._lookup(exchange)
         elif path.startswith("/v1/") or path == "/v1":
-            await self._bad(exchange, 404, "unknown-path", "expected /v1/lookup")
+            await self._reject(exchange, 404, "unknown-path", "expected /v1/lookup")
         else:
             await self._request(exchange)
 
     async def _lookup(self, exchange: Exchange) -> None:
         if exchange.head.method != "GET":
-            await self._bad(exchange, 405, "bad-method", "expected GET")
+            await self._reject(exchange, 405, "bad-method", "expected GET")
             return
-        question = self._lookups.question(exchange.head.target)
-        if isinstance(question, str):
-            await self._bad(exchange, 400, "bad-lookup", question)
+        query = self._lookups.parse_target(exchange.head.target)
+        if isinstance(query, str):
+            await self._reject(exchange, 400, "bad-lookup", query)
             return
-        found = self._lookups.find(question)
-        if isinstance(found, LookupRefusal):
-            self._runtime.metrics.count(f"lookups.refused.{found.reason}")
+        answer = self._lookups.look_up(query)
+        if isinstance(answer, LookupRefusal):
+            self._runtime.metrics.count(f"lookups.refused.{answer.reason}")
             refusal = act.Finish(
-                "", found.status, act.NOT_RUN, found.reason, found.retry_after_s
+                "", answer.status, act.NOT_RUN, answer.reason, answer.retry_after_s
             )
             await answer_refusal(exchange, refusal)
             return
         self._runtime.metrics.count("lookups.answered")
-        body = json.dumps(answer_data(found), separators=(",", ":")).encode()
+        body = json.dumps(answer_data(answer), separators=(",", ":")).encode()
         await exchange.respond(200, [(b"content-type", b"application/json")], body)
 
-    async def _bad(
+    async def _reject(
         self, exchange: Exchange, status: int, reason: str, message: str
     ) -> None:
-        self._bad_input(reason)
+        self._count_bad_input(reason)
         body = json.dumps({"error": reason, "message": message}).encode() + b"\n"
         headers = [
             (b"content-type", b"application/json"),
@@ -153,34 +159,34 @@
 
     def _new_id(self) -> str:
         """Return a request id that no other host or incarnation makes."""
-        self._counter += 1
+        self._id_count += 1
         view = self._runtime.core.view
-        return f"{view.own.host_id}-{view.incarnation:x}-{self._counter}"
+        return f"{view.own.host_id}-{view.incarnation:x}-{self._id_count}"
 
     async def _request(self, exchange: Exchange) -> None:
-        given = hd.find(exchange.head.headers, hd.REQUEST_ID)
-        if len(given) > MAX_ID:
-            await self._bad(exchange, 400, "bad-frame", "x-request-id is too long")
+        given_id = hd.find(exchange.head.headers, hd.REQUEST_ID)
+        if len(given_id) > MAX_ID_CHARS:
+            await self._reject(exchange, 400, "bad-frame", "x-request-id is too long")
             return
         length = hd.find(exchange.head.headers, hd.CONTENT_LENGTH)
         if length and int(length) > self._cfg.max_body_bytes:
-            await self._bad(exchange, 413, "body-too-large", "see max_body_bytes")
+            await self._reject(exchange, 413, "body-too-large", "see max_body_bytes")
             return
         try:
-            req = read_frame(
+            req = read_request(
                 exchange,
-                given or self._new_id(),
+                given_id or self._new_id(),
                 trust_client_address=self._cfg.trust_client_address,
             )
-        except FrameError as exc:
-            await self._bad(exchange, 400, "bad-frame", str(exc))
+        except HeaderError as exc:
+            await self._reject(exchange, 400, "bad-frame", str(exc))
             return
-        if req.request_id in self._flights:
-            await self._bad(exchange, 409, "duplicate-request-id", "still running")
+        if req.request_id in self._in_flight:
+            await self._reject(exchange, 409, "duplicate-request-id", "still running")
             return
-        flight = Flight(self._runtime, self._pool, exchange, req)
-        self._flights[req.request_id] = flight
+        request = InFlightRequest(self._runtime, self._pool, exchange, req)
+        self._in_flight[req.request_id] = request
         try:
-            await flight.fly()
+            await request.run()
         finally:
-            del self._flights[req.request_id]
+            del self._in_flight[req.request_id]
--- a/lacewingcross/host/entry/lookups.py
+++ b/lacewingcross/host/entry/lookups.py
@@ -12,13 +12,13 @@
 from ...core.plan import bucket_of
 from ..runtime import Runtime
 
-PATH = "/v1/lookup"
-VARIANTS = 8
-MAX_HEADS = 50_000
-MAX_PREPARED = 100_000
+LOOKUP_PATH = "/v1/lookup"
+TTL_VARIANTS = 8
+MAX_QUERIES_KEPT = 50_000
+MAX_PREPARED_KEPT = 100_000
 
 
-class Question:
+class LookupQuery:
     """Service, group and bucket that a look-up comes down to."""
 
     __slots__ = ("address", "bucket", "caller", "service")
@@ -44,26 +44,32 @@
         Holds the core that decides.
     """
 
-    __slots__ = ("_epoch", "_heads", "_prepared", "_runtime", "_turn")
+    __slots__ = (
+        "_epoch",
+        "_prepared",
+        "_queries_by_bytes",
+        "_runtime",
+        "_variant_index",
+    )
 
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
-        self._heads: dict[bytes, Question] = {}
+        self._queries_by_bytes: dict[bytes, LookupQuery] = {}
         self._prepared: dict[tuple[str, str, int], list[bytes]] = {}
         self._epoch = -1
-        self._turn = 0
+        self._variant_index = 0
 
     def reply(self, data: bytes) -> bytes | None:
         """Return the response to bytes that were parsed before, or None."""
-        question = self._heads.get(data)
-        if question is None:
+        query = self._queries_by_bytes.get(data)
+        if query is None:
             if data.startswith(b"GET /v1/lookup?"):
-                question = self._parse(data)
-            if question is None:
+                query = self._parse(data)
+            if query is None:
                 return None
-        return self._respond(question)
+        return self._respond(query)
 
-    def _parse(self, data: bytes) -> Question | None:
+    def _parse(self, data: bytes) -> LookupQuery | None:
         """Parse a whole request with h11; None when it needs the ordinary way."""
         conn = h11.Connection(h11.SERVER)
         try:
@@ -79,58 +85,58 @@
         plain = not names & {hd.CONTENT_LENGTH, hd.TRANSFER_ENCODING, b"connection"}
         if conn.trailing_data[0] or not plain or req.http_version != b"1.1":
             return None
-        question = self.question(req.target.decode("ascii"))
-        if isinstance(question, Question):
-            if len(self._heads) >= MAX_HEADS:
-                self._heads.pop(next(iter(self._heads)))
-            self._heads[data] = question
-            return question
+        query = self.parse_target(req.target.decode("ascii"))
+        if isinstance(query, LookupQuery):
+            if len(self._queries_by_bytes) >= MAX_QUERIES_KEPT:
+                self._queries_by_bytes.pop(next(iter(self._queries_by_bytes)))
+            self._queries_by_bytes[data] = query
+            return query
         return None
 
-    def question(self, target: str) -> Question | str:
+    def parse_target(self, target: str) -> LookupQuery | str:
         """Return the question in a target, or what is wrong with it."""
-        query = parse_qs(target.partition("?")[2])
-        service = query.get("service", [""])[0]
+        params = parse_qs(target.partition("?")[2])
+        service = params.get("service", [""])[0]
         if not service:
             return "expected a parameter service"
-        text = query.get("address", [""])[0]
-        address = parse_address(text) if text else None
-        if text and address is None:
+        address_text = params.get("address", [""])[0]
+        address = parse_address(address_text) if address_text else None
+        if address_text and address is None:
             return "address: expected an IPv4 address"
-        caller = query.get("caller", [""])[0] or text
+        caller = params.get("caller", [""])[0] or address_text
         if not caller:
             return "expected a parameter address or caller"
-        return Question(service, address, caller)
+        return LookupQuery(service, address, caller)
 
-    def _respond(self, question: Question) -> bytes | None:
+    def _respond(self, query: LookupQuery) -> bytes | None:
         core = self._runtime.core
         if core.epoch != self._epoch:
             self._prepared.clear()
             self._epoch = core.epoch
-        group = core.view.config.group_of(question.service, question.address)
-        key = (question.service, group or "", question.bucket)
+        group = core.view.config.group_of(query.service, query.address)
+        key = (query.service, group or "", query.bucket)
         variants = self._prepared.get(key)
         if variants is None:
-            variants = self._prepare(question)
+            variants = self._prepare(query)
             if variants is None:
                 return None
-            if len(self._prepared) < MAX_PREPARED:
+            if len(self._prepared) < MAX_PREPARED_KEPT:
                 self._prepared[key] = variants
-        self._turn = (self._turn + 1) % VARIANTS
+        self._variant_index = (self._variant_index + 1) % TTL_VARIANTS
         self._runtime.metrics.counters["lookups.answered"] += 1
-        return variants[self._turn]
+        return variants[self._variant_index]
 
-    def _prepare(self, question: Question) -> list[bytes] | None:
-        found = self.find(question)
-        if isinstance(found, LookupRefusal):
+    def _prepare(self, query: LookupQuery) -> list[bytes] | None:
+        answer = self.look_up(query)
+        if isinstance(answer, LookupRefusal):
             return None
         view = self._runtime.core.view
-        policy = view.config.policies[question.service]
+        policy = view.config.policies[query.service]
         variants = []
-        for _ in range(VARIANTS):
+        for _ in range(TTL_VARIANTS):
             # The hosts are the same in all variants; ranking them is the costly part.
-            found = replace(found, ttl_s=lifetime(policy, view.rng))
-            body = json.dumps(answer_data(found), separators=(",", ":")).encode()
+            answer = replace(answer, ttl_s=lifetime(policy, view.rng))
+            body = json.dumps(answer_data(answer), separators=(",", ":")).encode()
             head = (
                 b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n"
                 b"content-length: %d\r\n\r\n" % len(body)
@@ -138,26 +144,26 @@
             variants.append(head + body)
         return variants
 
-    def find(self, question: Question) -> LookupAnswer | LookupRefusal:
+    def look_up(self, query: LookupQuery) -> LookupAnswer | LookupRefusal:
         """Ask the core."""
         core = self._runtime.core
         return core.lookup(
-            question.service,
-            question.address,
-            question.caller,
+            query.service,
+            query.address,
+            query.caller,
             self._runtime.now(),
         )
 
 
-def answer_data(found: LookupAnswer) -> dict[str, object]:
+def answer_data(answer: LookupAnswer) -> dict[str, object]:
     """Return a look-up's answer as JSON data."""
     return {
-        "service": found.service,
-        "region": found.region,
+        "service": answer.service,
+        "region": answer.region,
         "hosts": [
             {"id": info.host_id, "address": info.entry, "region": info.region}
-            for info in found.hosts
+            for info in answer.hosts
         ],
-        "ttl_s": round(found.ttl_s, 3),
-        "revision": found.revision,
+        "ttl_s": round(answer.ttl_s, 3),
+        "revision": answer.revision,
     }
--- a/lacewingcross/host/mesh/links.py
+++ b/lacewingcross/host/mesh/links.py
@@ -16,14 +16,14 @@
 from ...wire import PROTOCOL, encode, read_message
 from ..runtime import Runtime
 
-CONNECT_S = 1.0
-HELLO_S = 5.0
-REDIAL_MIN_S = 0.05
-REDIAL_MAX_S = 1.0
-QUEUE_MAX = 5000
-REVIEW_S = 0.2
-SEEK_S = 0.3
-GREET_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
+HELLO_TIMEOUT_S = 5.0
+MIN_RECONNECT_DELAY_S = 0.05
+MAX_RECONNECT_DELAY_S = 1.0
+MAX_QUEUED_MESSAGES = 5000
+LINK_REVIEW_INTERVAL_S = 0.2
+SEED_INTERVAL_S = 0.3
+SEED_HELLO_S = 1.0
 
 
 class Link:
@@ -33,7 +33,7 @@
 
     def __init__(self, mesh: "Mesh", host_id: str) -> None:
         self._mesh = mesh
-        self._queue = FrameQueue(QUEUE_MAX)
+        self._queue = FrameQueue(MAX_QUEUED_MESSAGES)
         self.host_id = host_id
         self.task = asyncio.get_running_loop().create_task(self._run())
 
@@ -43,20 +43,24 @@
             self._mesh.runtime.metrics.count("peers.dropped")
 
     async def _run(self) -> None:
-        pause = REDIAL_MIN_S
+        delay_s = MIN_RECONNECT_DELAY_S
         while True:
             opened = await self._session()
             self._queue.clear()
             self._mesh.runtime.dispatch(PeerBroken(self.host_id))
-            pause = REDIAL_MIN_S if opened else min(REDIAL_MAX_S, pause * 2)
-            await asyncio.sleep(pause)
+            delay_s = (
+                MIN_RECONNECT_DELAY_S
+                if opened
+                else min(MAX_RECONNECT_DELAY_S, delay_s * 2)
+            )
+            await asyncio.sleep(delay_s)
 
     async def _session(self) -> bool:
         """Connect, say hello and send until the stream breaks."""
         info = self._mesh.runtime.core.view.members.info(self.host_id)
         if info is None:
             return False
-        stream = await self._mesh.dial(info.peer)
+        stream = await self._mesh.connect(info.peer)
         if stream is None:
             return False
         reader, writer = stream
@@ -111,7 +115,7 @@
         self._seeds = seeds
         self._links: dict[str, Link] = {}
         self._accepted: set[asyncio.StreamWriter] = set()
-        runtime.perform_with(self._send, SendPeer)
+        runtime.register_performer(self._send, SendPeer)
 
     def hello(self) -> msg.Hello:
         """Return this host's first message."""
@@ -143,13 +147,13 @@
             self._accept, host, port, ssl=self.server_ssl
         )
         loop = asyncio.get_running_loop()
-        seeking = loop.create_task(self._seek())
+        seed_task = loop.create_task(self._greet_seeds())
         try:
             while True:
-                self._review()
-                await asyncio.sleep(REVIEW_S)
+                self._update_links()
+                await asyncio.sleep(LINK_REVIEW_INTERVAL_S)
         finally:
-            seeking.cancel()
+            seed_task.cancel()
             server.close()
             for writer in list(self._accepted):
                 writer.transport.abort()
@@ -157,7 +161,7 @@
                 link.task.cancel()
             self._links.clear()
 
-    async def _seek(self) -> None:
+    async def _greet_seeds(self) -> None:
         """Say hello to the seeds until some other host is known.
 
         A host that gets a hello learns where the sender listens and links back,
@@ -165,41 +169,41 @@
         """
         while True:
             if not any(self.runtime.core.view.members.others()):
-                await asyncio.gather(*(self._greet(seed) for seed in self._seeds))
-            await asyncio.sleep(SEEK_S)
+                await asyncio.gather(*(self._send_hello(seed) for seed in self._seeds))
+            await asyncio.sleep(SEED_INTERVAL_S)
 
-    async def dial(
+    async def connect(
         self, address: str
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter] | None:
         """Connect to a host's peer address; None when that fails."""
         host, port = split_address(address)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 return await asyncio.open_connection(host, port, ssl=self.client_ssl)
         except (OSError, TimeoutError, ssl_module.SSLError):
             return None
 
-    async def _greet(self, seed: str) -> None:
-        stream = await self.dial(seed)
+    async def _send_hello(self, seed: str) -> None:
+        stream = await self.connect(seed)
         if stream is None:
             return
         _, writer = stream
         try:
             writer.write(encode(self.hello()))
             await writer.drain()
-            await asyncio.sleep(GREET_S)
+            await asyncio.sleep(SEED_HELLO_S)
         except (OSError, ssl_module.SSLError):
             pass
         finally:
             writer.transport.abort()
 
-    def _review(self) -> None:
+    def _update_links(self) -> None:
         members = self.runtime.core.view.members
-        known = {st.info.host_id for st in members.others() if st.neighbour}
-        gone = [hid for hid in self._links if members.info(hid) is None]
-        for host_id in gone:
+        neighbours = {st.info.host_id for st in members.others() if st.neighbour}
+        forgotten = [hid for hid in self._links if members.info(hid) is None]
+        for host_id in forgotten:
             self._links.pop(host_id).task.cancel()
-        for host_id in known:
+        for host_id in neighbours:
             if host_id not in self._links:
                 self._links[host_id] = Link(self, host_id)
 
@@ -208,11 +212,11 @@
     ) -> None:
         self._accepted.add(writer)
         try:
-            async with asyncio.timeout(HELLO_S):
+            async with asyncio.timeout(HELLO_TIMEOUT_S):
                 hello = await read_message(reader)
             info = host_of(hello)
-            self._check_other(info)
-            self._check_name(hello, writer.get_extra_info("ssl_object"))
+            self._check_host_id(info)
+            self._check_certificate(hello, writer.get_extra_info("ssl_object"))
             self.runtime.dispatch(PeerConnected(info, hello.incarnation))
             while True:
                 message = await read_message(reader)
@@ -229,7 +233,7 @@
             self._accepted.discard(writer)
             writer.transport.abort()
 
-    def _check_name(
+    def _check_certificate(
         self, hello: msg.Hello, ssl_object: ssl_module.SSLObject | None
     ) -> None:
         """Refuse a host that speaks for another one.
@@ -243,6 +247,6 @@
         if name != hello.host_id:
             raise FrameError("bad-hello", f"certificate of {name!r}, not this host")
 
-    def _check_other(self, info: HostInfo) -> None:
+    def _check_host_id(self, info: HostInfo) -> None:
         if info.host_id == self.runtime.core.view.own.host_id:
             raise FrameError("bad-hello", "another process uses this host's id")
--- a/lacewingcross/host/operators/listener.py
+++ b/lacewingcross/host/operators/listener.py
@@ -112,13 +112,13 @@
     view = runtime.core.view
     now = runtime.now()
     service = params.get("service", "")
-    text = params.get("address", "")
-    caller = params.get("caller", "") or text
-    address = parse_address(text) if text else None
+    address_text = params.get("address", "")
+    caller = params.get("caller", "") or address_text
+    address = parse_address(address_text) if address_text else None
     region = view.region_of(service, address, caller)
     return {
         "service": service,
-        "address": text,
+        "address": address_text,
         "caller": caller,
         "group": view.config.group_of(service, address),
         "bucket": bucket_of(service, caller),
--- a/lacewingcross/host/platform/watch.py
+++ b/lacewingcross/host/platform/watch.py
@@ -11,21 +11,21 @@
 from ...platform_client import Listing, PlatformClient
 from ..runtime import Runtime
 
-FOLLOWER_REVIEW_S = 1.0
-HOST_LIST_S = 1.0
-EACH_HOST_S = 10.0 / 4_500
+ELECTION_CHECK_INTERVAL_S = 1.0
+MIN_LIST_INTERVAL_S = 1.0
+LIST_INTERVAL_PER_HOST_S = 10.0 / 4_500
 
 
 class ConfigWatcher:
     """Lists once, then watches; relists when the platform compacted its history."""
 
-    __slots__ = ("_after", "_listed", "_platform", "_runtime")
+    __slots__ = ("_listed", "_platform", "_revision", "_runtime")
 
     def __init__(self, runtime: Runtime, platform: PlatformClient) -> None:
         self._runtime = runtime
         self._platform = platform
         self._listed = False
-        self._after = 0
+        self._revision = 0
 
     async def run(self) -> None:
         """Follow the configuration until cancelled."""
@@ -33,10 +33,10 @@
         backoff = Backoff(view.rng)
         while True:
             if self._listed and not view.should_watch(self._runtime.now()):
-                await asyncio.sleep(FOLLOWER_REVIEW_S)
+                await asyncio.sleep(ELECTION_CHECK_INTERVAL_S)
                 continue
             try:
-                await self._step()
+                await self._list_or_watch()
                 backoff.reset()
             except PlatformError as exc:
                 if exc.code == "compacted":
@@ -44,17 +44,17 @@
                 self._runtime.metrics.count(f"platform.watch-{exc.code}")
                 await backoff.wait()
 
-    async def _step(self) -> None:
+    async def _list_or_watch(self) -> None:
         if not self._listed:
-            self._take_list(await self._platform.list(*CONFIG_KINDS))
+            self._apply_listing(await self._platform.list(*CONFIG_KINDS))
             self._listed = True
             return
-        changes = await self._platform.watch(CONFIG_KINDS, self._after)
-        self._after = changes.revision
+        changes = await self._platform.watch(CONFIG_KINDS, self._revision)
+        self._revision = changes.revision
         if changes.objects:
-            self._take(_entries(changes), changes.revision)
+            self._dispatch_entries(_entries(changes), changes.revision)
 
-    def _take_list(self, listing: Listing) -> None:
+    def _apply_listing(self, listing: Listing) -> None:
         entries = _entries(listing)
         listed = {entry.key for entry in entries}
         config = self._runtime.core.view.config
@@ -63,11 +63,11 @@
             if missing and entry.text and split_key(key)[0] in CONFIG_KINDS:
                 # Deleted while nobody watched: the list shows it by absence only.
                 entries.append(Entry(key, listing.revision, ""))
-        self._after = listing.revision
-        self._take(entries, listing.revision)
+        self._revision = listing.revision
+        self._dispatch_entries(entries, listing.revision)
         logs.event("config-listed", revision=listing.revision, entries=len(entries))
 
-    def _take(self, entries: list[Entry], revision: int) -> None:
+    def _dispatch_entries(self, entries: list[Entry], revision: int) -> None:
         self._runtime.dispatch(ConfigSeen(entries, revision))
 
 
@@ -97,7 +97,7 @@
         backoff = Backoff(view.rng)
         while True:
             if not view.should_watch(self._runtime.now()):
-                await asyncio.sleep(FOLLOWER_REVIEW_S)
+                await asyncio.sleep(ELECTION_CHECK_INTERVAL_S)
                 continue
             try:
                 listing = await self._platform.hosts()
@@ -108,5 +108,7 @@
             backoff.reset()
             event = HostsListed(listing.hosts, listing.leaving_servers)
             self._runtime.dispatch(event)
-            pause = max(HOST_LIST_S, EACH_HOST_S * len(listing.hosts))
-            await asyncio.sleep(pause * view.rng.uniform(0.9, 1.1))
+            interval_s = max(
+                MIN_LIST_INTERVAL_S, LIST_INTERVAL_PER_HOST_S * len(listing.hosts)
+            )
+            await asyncio.sleep(interval_s * view.rng.uniform(0.9, 1.1))
--- a/lacewingcross/host/platform/writes.py
+++ b/lacewingcross/host/platform/writes.py
@@ -27,9 +27,9 @@
         self._runtime = runtime
         self._platform = platform
         self._tasks: set[asyncio.Task[None]] = set()
-        runtime.perform_with(self._begin_write, CreateObject, UpdateObject)
-        runtime.perform_with(self._begin_delete, DeleteObject)
-        runtime.perform_with(self._begin_load, LoadObjects)
+        runtime.register_performer(self._begin_write, CreateObject, UpdateObject)
+        runtime.register_performer(self._begin_delete, DeleteObject)
+        runtime.register_performer(self._begin_load, LoadObjects)
 
     def _begin_write(self, action: CreateObject | UpdateObject) -> None:
         self._spawn(self._write(action))
@@ -40,8 +40,8 @@
     def _begin_load(self, action: LoadObjects) -> None:
         self._spawn(self._load(action))
 
-    def _spawn(self, work) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coro) -> None:
+        task = asyncio.get_running_loop().create_task(coro)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -56,10 +56,10 @@
             ended = WriteEnded(action.call_id, "ok", stored.version)
         except PlatformError as exc:
             self._runtime.metrics.count(f"platform.write-{exc.code}")
-            ended = await self._failed(action, exc)
+            ended = await self._ended_in_error(action, exc)
         self._runtime.dispatch(ended)
 
-    async def _failed(
+    async def _ended_in_error(
         self, action: CreateObject | UpdateObject, exc: PlatformError
     ) -> WriteEnded:
         if exc.code not in ("conflict", "not-found"):
--- a/lacewingcross/host/runtime.py
+++ b/lacewingcross/host/runtime.py
@@ -29,14 +29,14 @@
         Counters of this process.
     """
 
-    __slots__ = ("_busy", "_events", "_performers", "clock", "core", "metrics")
+    __slots__ = ("_dispatching", "_events", "_performers", "clock", "core", "metrics")
 
     def __init__(self, core: HostCore, clock: Clock, metrics: Metrics) -> None:
         self.core = core
         self.clock = clock
         self.metrics = metrics
         self._events: deque[Event] = deque()
-        self._busy = False
+        self._dispatching = False
         self._performers: dict[type, Performer] = {
             act.Count: self._count,
             act.Log: self._log,
@@ -46,7 +46,7 @@
         """Return the monotonic time in seconds."""
         return self.clock.monotonic()
 
-    def perform_with(self, performer: Performer, *kinds: type) -> None:
+    def register_performer(self, performer: Performer, *kinds: type) -> None:
         """Let `performer` carry out actions of these types."""
         for kind in kinds:
             self._performers[kind] = performer
@@ -54,15 +54,15 @@
     def dispatch(self, event: Event) -> None:
         """Handle an event, and those that its actions bring about, in order."""
         self._events.append(event)
-        if self._busy:
+        if self._dispatching:
             return
-        self._busy = True
+        self._dispatching = True
         try:
             while self._events:
                 for action in self.core.handle(self._events.popleft(), self.now()):
                     self._performers[type(action)](action)
         finally:
-            self._busy = False
+            self._dispatching = False
 
     def _count(self, action: act.Count) -> None:
         self.metrics.count(action.name)
--- a/lacewingcross/host/supervisor.py
+++ b/lacewingcross/host/supervisor.py
@@ -8,7 +8,7 @@
 
 RESTART_MIN_S = 0.1
 RESTART_MAX_S = 5.0
-STEADY_S = 30.0
+STABLE_RUN_S = 30.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,7 +60,7 @@
 
     async def _keep_running(self, child: Child) -> None:
         loop = asyncio.get_running_loop()
-        pause = RESTART_MIN_S
+        delay_s = RESTART_MIN_S
         while True:
             started = loop.time()
             try:
@@ -79,16 +79,16 @@
                     child=f"{self.name}/{child.name}",
                     error=repr(exc),
                 )
-            if loop.time() - started > STEADY_S:
-                pause = RESTART_MIN_S
-            await asyncio.sleep(pause)
-            pause = min(RESTART_MAX_S, pause * 2)
+            if loop.time() - started > STABLE_RUN_S:
+                delay_s = RESTART_MIN_S
+            await asyncio.sleep(delay_s)
+            delay_s = min(RESTART_MAX_S, delay_s * 2)
 
 
 async def run_until_stopped(
     root: Supervisor,
     stop: asyncio.Event,
-    leave: Callable[[], Awaitable[None]],
+    finish: Callable[[], Awaitable[None]],
     close: Callable[[], None],
 ) -> None:
     """Run a tree until `stop` is set, then leave gracefully and end it.
@@ -106,13 +106,13 @@
     """
     loop = asyncio.get_running_loop()
     tree = loop.create_task(root.run())
-    stopping = loop.create_task(stop.wait())
+    stop_waiter = loop.create_task(stop.wait())
     try:
-        await asyncio.wait((tree, stopping), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((tree, stop_waiter), return_when=asyncio.FIRST_COMPLETED)
         if not tree.done():
-            await leave()
+            await finish()
     finally:
-        stopping.cancel()
+        stop_waiter.cancel()
         tree.cancel()
         close()
         await asyncio.gather(tree, return_exceptions=True)
