--- a/lacewingcross/host/__init__.py
+++ b/lacewingcross/host/__init__.py
@@ -1,1 +1,1 @@
-"""The entry host's daemon: a supervisor tree of adapters around the core."""
+"""The entry host's process: a supervisor tree of adapters around the core."""
--- a/lacewingcross/host/app.py
+++ b/lacewingcross/host/app.py
@@ -1,4 +1,4 @@
-"""The host's root: builds the supervisor tree and runs it to a graceful stop."""
+"""Builds the supervisor tree of an entry host and runs it until a graceful stop."""
 
 import asyncio
 import random
@@ -33,29 +33,29 @@
 
 
 class HostApp:
-    """One entry host.
+    """One entry host: the core, its adapters and their supervisor tree.
 
-    The tree::
+    The supervisor tree::
 
         host
-        |-- tls          certificates, when there are any
-        |-- platform     configuration watch, host list
+        |-- tls          reload of the certificates, if TLS is enabled
+        |-- platform     configuration watch and polling of the host list
         |-- mesh         links to the other hosts
-        |-- backends     health probes
-        |-- entry        callers' listener
-        |-- operators    operators' listener
-        `-- ticker       the core's clock
+        |-- backends     health probes of backend servers
+        |-- entry        listener for callers
+        |-- operators    listener for operators
+        `-- ticker       periodic `Tick` events for the core
 
     Parameters
     ----------
     cfg : HostSettings
-        Settings.
+        Settings of this host.
     clock : Clock, optional
-        Source of time.
+        Source of time; by default the system clock.
     rng : random.Random, optional
-        Source of spreads and of the incarnation.
+        Source of jitter and of this process's incarnation number.
     policy : KeeperPolicy, optional
-        Admission settings.
+        Admission settings of the slot keepers.
     """
 
     def __init__(
@@ -118,7 +118,7 @@
             await asyncio.sleep(BUSY_TICK_S if busy else IDLE_TICK_S)
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Run until `stop` is set and every request has had its answer."""
+        """Run until `stop` is set and every request has been answered."""
         await run_until_stopped(self.root, stop, self._finish_requests, self._close)
 
     def _close(self) -> None:
@@ -126,11 +126,12 @@
         self._platform.close()
 
     async def _finish_requests(self) -> None:
-        """Leave look-ups first, then finish every request, however long it takes.
+        """Leave the look-up answers, then finish every request without a time limit.
 
-        Failure: a host that closes its listener first refuses callers that were
-        sent to it a moment ago, and one that exits cuts uploads. Callers keep
-        being served while the others learn that this host leaves.
+        Failure: a host that closes its listener first refuses callers that a look-up
+        sent to it a moment ago, and a host that exits at once cuts uploads. So this
+        host announces its shutdown and serves callers for `SHUTDOWN_NOTICE_S` more,
+        while the announcement reaches the other hosts.
         """
         self.runtime.dispatch(ShutdownAsked())
         await asyncio.sleep(SHUTDOWN_NOTICE_S)
--- a/lacewingcross/host/backends/__init__.py
+++ b/lacewingcross/host/backends/__init__.py
@@ -1,1 +1,1 @@
-"""The backend servers' side: connections and health probes."""
+"""Connections to backend servers, and health probes of them."""
--- a/lacewingcross/host/backends/pool.py
+++ b/lacewingcross/host/backends/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers, within each server's connection limit."""
+"""Connections to backend servers, within the connection limit of each server."""
 
 import ssl as ssl_module
 from collections import defaultdict
@@ -13,7 +13,7 @@
 
 
 class BackendPool:
-    """Idle and open connections for each backend server's address.
+    """Open connections, idle and in use, for each backend server's address.
 
     Parameters
     ----------
@@ -21,6 +21,12 @@
         Monotonic clock in seconds.
     ssl : ssl.SSLContext, optional
         For TLS to backend servers.
+
+    Attributes
+    ----------
+    limits : dict of str to int
+        Maximum number of open connections for each address; an address without an
+        entry has `DEFAULT_MAX_CONNECTIONS`.
     """
 
     __slots__ = ("_idle", "_now", "_open", "_ssl", "limits")
@@ -35,16 +41,25 @@
         self.limits: dict[str, int] = {}
 
     async def take(self, address: str, *, repeatable: bool) -> ClientConnection:
-        """Return an idle connection or open a new one.
+        """Return an idle connection, or open a new one.
+
+        Failure: a server closes an idle connection at the moment when this host writes
+        a request to it. A repeatable request can be tried again; the outcome of any
+        other request would be unknown. So a request that is not repeatable gets only
+        a connection that was used within `MAX_IDLE_UNREPEATABLE_S`, or a new one.
 
-        Failure: a server closes a kept connection in the moment we write on it. A
-        repeatable request can be tried again; any other would end as unknown. So
-        one that may not be repeated only gets a connection used moments ago.
+        Parameters
+        ----------
+        address : str
+            Address of the backend server.
+        repeatable : bool
+            Whether the request may run twice.
 
         Raises
         ------
         HttpError
-            With ``sent=False``.
+            With ``sent=False``; with reason `CONNECTION_LIMIT` if the server's
+            connections are all in use.
         """
         idle = self._idle[address]
         min_used_at = self._now() - (
@@ -65,7 +80,7 @@
             raise
 
     def give_back(self, address: str, conn: ClientConnection) -> None:
-        """Keep a connection whose exchange is whole; close any other."""
+        """Keep a connection whose exchange is complete, and close any other."""
         if conn.reusable():
             conn.used_at = self._now()
             self._idle[address].append(conn)
@@ -73,12 +88,12 @@
             self.drop(address, conn)
 
     def drop(self, address: str, conn: ClientConnection) -> None:
-        """Close a connection."""
+        """Close a connection and stop counting it against the limit."""
         conn.close()
         self._open[address] -= 1
 
     def sweep(self) -> None:
-        """Close connections that have been idle for long."""
+        """Close connections that have been idle for longer than `MAX_IDLE_S`."""
         min_used_at = self._now() - MAX_IDLE_S
         for address, idle in self._idle.items():
             for conn in [conn for conn in idle if conn.used_at < min_used_at]:
--- a/lacewingcross/host/backends/prober.py
+++ b/lacewingcross/host/backends/prober.py
@@ -1,4 +1,4 @@
-"""Asks backend servers for their health, for the keepers this host runs."""
+"""Probes the health of backend servers in the regions whose slots this host keeps."""
 
 import asyncio
 import json
@@ -14,11 +14,12 @@
 
 
 class Prober:
-    """Probes each backend server of the kept regions, one probe in a period.
+    """Sends one probe each `PROBE_INTERVAL_S` to every server of the kept regions.
 
-    A probe costs the server a few milliseconds, so only the keeper's host probes.
-    Its word takes a server out when it drains, or when it accepts no connection;
-    that a server calls itself healthy proves nothing and gives it no traffic.
+    A probe costs the server a few milliseconds, so only the host that runs the slot
+    keeper of a region probes its servers. A probe can only take a server out of
+    service: when the server reports that it is draining, or accepts no connection.
+    A report of good health proves nothing and brings the server no traffic.
     """
 
     __slots__ = ("_clients", "_runtime")
@@ -58,7 +59,8 @@
             )
             draining = _reports_draining(response.body)
         except HttpError as exc:
-            # A slow probe proves nothing; only a refused connection does.
+            # A timeout after the probe was sent proves nothing. Only a connection
+            # that could not be opened shows that the server is unreachable.
             reachable = exc.sent
         self._runtime.dispatch(
             ServerProbed(service, server.server_id, reachable, draining)
--- a/lacewingcross/host/entry/__init__.py
+++ b/lacewingcross/host/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side: listener, look-ups, requests and backend connections."""
+"""Serves callers: listener, look-ups, requests and their attempts."""
--- a/lacewingcross/host/entry/attempt.py
+++ b/lacewingcross/host/entry/attempt.py
@@ -1,4 +1,4 @@
-"""Carries out one attempt: sends the request on and the answer back."""
+"""One attempt: forwards a request to a backend server and its answer to the caller."""
 
 import asyncio
 from dataclasses import dataclass
@@ -17,7 +17,22 @@
 
 @dataclass(slots=True)
 class RequestBody:
-    """The caller's body: what was read is kept while it is small enough to replay."""
+    """The body of the caller's request.
+
+    The part that was read is kept for a further attempt, as long as it has at most
+    `MAX_REPLAY_BYTES`.
+
+    Attributes
+    ----------
+    exchange : Exchange
+        The caller's exchange.
+    chunks : list of bytes
+        The part that was read, in order; empty once the body is too large.
+    size : int
+        Bytes read so far.
+    replayable : bool
+        Whether a further attempt can send the body again.
+    """
 
     exchange: Exchange
     chunks: list[bytes]
@@ -25,10 +40,11 @@
     replayable: bool = True
 
     async def read_if_small(self) -> None:
-        """Read the whole body, when it is declared small, before a slot is asked for.
+        """Read the whole body if its declared length allows a replay.
 
-        Failure: a caller sends a few bytes and stalls; with its request already at a
-        backend server it would hold a slot for as long as it likes.
+        This happens before the host asks for a slot. Failure: a caller sends a few
+        bytes and stalls; if its request was at a backend server by then, it would
+        hold a slot for as long as it likes.
         """
         length = hd.find(self.exchange.head.headers, hd.CONTENT_LENGTH)
         if not length or int(length) > MAX_REPLAY_BYTES:
@@ -37,7 +53,7 @@
             self._buffer(data)
 
     async def send_to(self, conn: ClientConnection) -> None:
-        """Send the kept part, then the rest as it arrives, and end the request."""
+        """Send the part that was read and the rest as it arrives, and end the body."""
         for data in self.chunks:
             await conn.send_body(data)
         while data := await self.exchange.read():
@@ -63,12 +79,17 @@
         Where events go.
     pool : BackendPool
         Connections to backend servers.
-    order : StartAttempt
-        What the core asked for.
+    action : StartAttempt
+        The core's decision: which server, and within what time.
     body : RequestBody
-        The caller's body.
+        The body of the caller's request.
     headers : list of (bytes, bytes)
-        Headers to send on, without the deadline.
+        Headers to forward, without the deadline.
+
+    Attributes
+    ----------
+    cancel_ending : Ending
+        Ending that is reported when the attempt's task is cancelled.
     """
 
     __slots__ = (
@@ -130,7 +151,7 @@
         return Ending.BROKEN if exc.sent else Ending.CONNECT_FAILED
 
     def _release_connection(self, ending: Ending) -> None:
-        """Reuse the connection only after an exchange that is whole on both sides."""
+        """Reuse the connection only if request and answer were both complete."""
         conn = self._conn
         self._conn = None
         if conn is None:
@@ -146,9 +167,9 @@
         self._conn = await self._pool.take(action.address, repeatable=action.repeatable)
         waited = self._runtime.now() - self._started
         if waited > action.start_within_s:
-            # Failure: this process was paused between the grant and here, and the
-            # permit's lease may be over. Starting now would take a slot that the
-            # keeper has given to somebody else.
+            # Failure: this process was paused after the grant, and the permit's lease
+            # may be over. Starting now would use a slot that the keeper has meanwhile
+            # granted to another request.
             raise HttpError("lease-over", sent=False)
         conn = self._conn
         self._runtime.dispatch(FirstByteWritten(action.request_id, action.attempt))
@@ -163,10 +184,10 @@
         return await self._stream_both(conn)
 
     async def _stream_both(self, conn: ClientConnection) -> tuple[Ending, int]:
-        """Send the body while already waiting for the answer's head.
+        """Send the body and wait for the head of the answer at the same time.
 
-        A backend server may refuse an upload long before its end; reading only
-        after the last byte would push the whole body through for nothing.
+        A backend server may refuse an upload long before its end. If this host read
+        the answer only after the last byte, it would send the whole body for nothing.
         """
         loop = asyncio.get_running_loop()
         sender = loop.create_task(self._body.send_to(conn))
@@ -190,7 +211,7 @@
     async def _read_answer_head(
         self, reader: asyncio.Task[ResponseHead], sender: asyncio.Task[None]
     ) -> ResponseHead:
-        """Return the answer's head, also when the server stopped reading first."""
+        """Return the head of the answer, also if the server stops reading the body."""
         tasks = {reader, sender} if not sender.done() else {reader}
         while not reader.done():
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
--- a/lacewingcross/host/entry/flight.py
+++ b/lacewingcross/host/entry/flight.py
@@ -1,4 +1,4 @@
-"""One caller's request on this host, from its head to its final answer."""
+"""One request of a caller on this host, from its head to its final answer."""
 
 import asyncio
 import json
@@ -20,18 +20,27 @@
 
 
 class HeaderError(Exception):
-    """A header of the request's frame is not usable."""
+    """The request target or a header of the request is not valid."""
 
 
 def read_request(
     exchange: Exchange, request_id: str, *, trust_client_address: bool
 ) -> RequestArrived:
-    """Return what the core needs to know of a request.
+    """Return the event that describes a request to the core.
+
+    Parameters
+    ----------
+    exchange : Exchange
+        The caller's exchange, with its head read.
+    request_id : str
+        Id of the request, given by the caller or generated.
+    trust_client_address : bool
+        Whether the client address may come from a header instead of the connection.
 
     Raises
     ------
-    FrameError
-        Names the header and what was expected.
+    HeaderError
+        Says what was expected, and of which header.
     """
     head = exchange.head
     headers = head.headers
@@ -90,7 +99,7 @@
     exchange : Exchange
         The caller's exchange.
     req : RequestArrived
-        The request's frame.
+        Service, caller, deadline and other data of the request, for the core.
     """
 
     __slots__ = (
@@ -121,7 +130,7 @@
         self._attempt_task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Run the request to its end."""
+        """Run the request until it is answered, refused or cancelled."""
         started = self._runtime.now()
         if self._req.service in self._runtime.core.view.config.policies:
             await self._body.read_if_small()
@@ -138,7 +147,7 @@
         self._runtime.metrics.observe("request", self._runtime.now() - started)
 
     def on_decision(self, action: act.Action) -> None:
-        """Take in a decision of the core."""
+        """Cancel the running attempt at once, or queue any other decision."""
         if isinstance(action, act.CancelAttempt):
             self._cancel(action)
         else:
@@ -184,7 +193,7 @@
 
 
 async def answer_refusal(exchange: Exchange, action: act.Finish) -> None:
-    """Send a final answer that says what is known and when to come back."""
+    """Send a refusal: outcome, reason and the delay after which to retry."""
     body = {
         "outcome": action.outcome,
         "reason": action.reason,
--- a/lacewingcross/host/entry/listener.py
+++ b/lacewingcross/host/entry/listener.py
@@ -1,4 +1,4 @@
-"""The callers' listener: tells look-ups from requests and runs both."""
+"""The listener for callers, which serves look-ups and requests."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
 
 
 class EntryListener:
-    """Serves callers.
+    """Accepts callers' connections and runs their look-ups and requests.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
 
     @property
     def busy(self) -> bool:
-        """Tell whether a request's answer is still on its way."""
+        """Return whether any request is still being run or answered."""
         return bool(self._in_flight)
 
     async def run(self) -> None:
@@ -100,7 +100,7 @@
             self._pool.close()
 
     def _set_connection_limits(self) -> None:
-        """Split each backend server's connection limit over the live hosts."""
+        """Split each backend server's connection limit evenly over the live hosts."""
         view = self._runtime.core.view
         hosts = max(1, len(view.members.live(self._runtime.now())))
         for pool in view.config.pools.values():
@@ -158,7 +158,7 @@
         await exchange.respond(status, headers, body)
 
     def _new_id(self) -> str:
-        """Return a request id that no other host or incarnation makes."""
+        """Return a request id that no other host or incarnation generates."""
         self._id_count += 1
         view = self._runtime.core.view
         return f"{view.own.host_id}-{view.incarnation:x}-{self._id_count}"
--- a/lacewingcross/host/entry/lookups.py
+++ b/lacewingcross/host/entry/lookups.py
@@ -1,4 +1,4 @@
-"""Look-ups over HTTP, with answers prepared and heads remembered."""
+"""Look-ups over HTTP, with prepared answers and a cache of parsed requests."""
 
 import json
 from dataclasses import replace
@@ -19,7 +19,7 @@
 
 
 class LookupQuery:
-    """Service, group and bucket that a look-up comes down to."""
+    """What a look-up asks for: service, client address, caller and its bucket."""
 
     __slots__ = ("address", "bucket", "caller", "service")
 
@@ -33,10 +33,11 @@
 class Lookups:
     """Answers look-ups from prepared bytes.
 
-    Parsing a request with h11 costs far more than deciding on it. A caller asks the
-    same question with the same bytes each time, and h11 gives the same result for
-    the same bytes on an idle connection; so heads that were parsed once are
-    remembered whole, and an answer is prepared once for each bucket.
+    Parsing a request with h11 costs far more than deciding on it. A caller repeats
+    the same look-up with the same bytes, and h11 gives the same result for the same
+    bytes on an idle connection. So the query of each request that was parsed once is
+    cached by the bytes of the request, and the responses are prepared once for each
+    service, client group and bucket.
 
     Parameters
     ----------
@@ -60,7 +61,10 @@
         self._variant_index = 0
 
     def reply(self, data: bytes) -> bytes | None:
-        """Return the response to bytes that were parsed before, or None."""
+        """Return the response to a whole look-up request.
+
+        None means that these bytes have to be handled as an ordinary request.
+        """
         query = self._queries_by_bytes.get(data)
         if query is None:
             if data.startswith(b"GET /v1/lookup?"):
@@ -70,7 +74,7 @@
         return self._respond(query)
 
     def _parse(self, data: bytes) -> LookupQuery | None:
-        """Parse a whole request with h11; None when it needs the ordinary way."""
+        """Parse a whole request with h11; None when it needs ordinary handling."""
         conn = h11.Connection(h11.SERVER)
         try:
             conn.receive_data(data)
@@ -94,7 +98,7 @@
         return None
 
     def parse_target(self, target: str) -> LookupQuery | str:
-        """Return the question in a target, or what is wrong with it."""
+        """Return the query in a request target, or a text that says what is wrong."""
         params = parse_qs(target.partition("?")[2])
         service = params.get("service", [""])[0]
         if not service:
@@ -134,7 +138,8 @@
         policy = view.config.policies[query.service]
         variants = []
         for _ in range(TTL_VARIANTS):
-            # The hosts are the same in all variants; ranking them is the costly part.
+            # The variants differ only in their jittered lifetime. The hosts are the
+            # same in all of them, since ranking the hosts is the costly part.
             answer = replace(answer, ttl_s=lifetime(policy, view.rng))
             body = json.dumps(answer_data(answer), separators=(",", ":")).encode()
             head = (
@@ -145,7 +150,7 @@
         return variants
 
     def look_up(self, query: LookupQuery) -> LookupAnswer | LookupRefusal:
-        """Ask the core."""
+        """Return the core's answer to a query."""
         core = self._runtime.core
         return core.lookup(
             query.service,
--- a/lacewingcross/host/mesh/__init__.py
+++ b/lacewingcross/host/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""Links to the other entry hosts."""
+"""Streams between entry hosts."""
--- a/lacewingcross/host/mesh/links.py
+++ b/lacewingcross/host/mesh/links.py
@@ -1,4 +1,4 @@
-"""One outgoing stream to each other host, and the listener for theirs."""
+"""Outgoing streams to other hosts, and the listener for incoming streams."""
 
 import asyncio
 import ssl as ssl_module
@@ -27,7 +27,10 @@
 
 
 class Link:
-    """An outgoing stream to one host; only this side sends on it."""
+    """An outgoing stream to one host, opened again whenever it breaks.
+
+    Only this side sends on the stream; the other host sends on a stream of its own.
+    """
 
     __slots__ = ("_mesh", "_queue", "host_id", "task")
 
@@ -38,7 +41,7 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, message: msg.Message) -> None:
-        """Queue a message; the oldest are dropped when the host takes none."""
+        """Queue a message; if the queue is full, its oldest message is dropped."""
         if self._queue.put(encode(message)):
             self._mesh.runtime.metrics.count("peers.dropped")
 
@@ -56,7 +59,13 @@
             await asyncio.sleep(delay_s)
 
     async def _session(self) -> bool:
-        """Connect, say hello and send until the stream breaks."""
+        """Connect, send a hello and queued messages until the stream breaks.
+
+        Returns
+        -------
+        bool
+            Whether a connection was opened.
+        """
         info = self._mesh.runtime.core.view.members.info(self.host_id)
         if info is None:
             return False
@@ -75,19 +84,22 @@
 
 
 class Mesh:
-    """Links to all hosts that the core knows, and the listener for theirs.
+    """Links to other hosts, and the listener for the links that they open.
+
+    A link is kept to each neighbour. The first message to any other known host opens
+    a link to that host too. A link is closed when the core forgets the host.
 
     Parameters
     ----------
     runtime : Runtime
         Where events go.
     address : str
-        Where this host listens for others.
+        Where this host listens for other hosts.
     seeds : tuple of str
-        Peer addresses to say hello to while no other host is known, so that a host
+        Peer addresses to send a hello to while no other host is known, so that a host
         that starts in a platform outage still finds the fleet.
     server_ssl, client_ssl : ssl.SSLContext, optional
-        Mutual TLS, so that nobody else joins.
+        Mutual TLS, so that only hosts with a certificate join the fleet.
     """
 
     __slots__ = (
@@ -118,7 +130,7 @@
         runtime.register_performer(self._send, SendPeer)
 
     def hello(self) -> msg.Hello:
-        """Return this host's first message."""
+        """Return the hello, which is the first message on every stream."""
         view = self.runtime.core.view
         own = view.own
         return msg.Hello(
@@ -141,7 +153,7 @@
         link.send(action.message)
 
     async def run(self) -> None:
-        """Listen, and keep links to the known hosts, until cancelled."""
+        """Listen, and keep the links up to date, until cancelled."""
         host, port = split_address(self._address)
         server = await asyncio.start_server(
             self._accept, host, port, ssl=self.server_ssl
@@ -162,10 +174,10 @@
             self._links.clear()
 
     async def _greet_seeds(self) -> None:
-        """Say hello to the seeds until some other host is known.
+        """Send a hello to the seeds while no other host is known.
 
-        A host that gets a hello learns where the sender listens and links back,
-        with its members and configuration.
+        The receiver of a hello opens a link to the sender's peer address and sends
+        its members and configuration.
         """
         while True:
             if not any(self.runtime.core.view.members.others()):
@@ -175,7 +187,7 @@
     async def connect(
         self, address: str
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter] | None:
-        """Connect to a host's peer address; None when that fails."""
+        """Connect to a host's peer address; return None if that fails."""
         host, port = split_address(address)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -227,7 +239,8 @@
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             pass
         except Exception as exc:
-            # An error of ours over one message costs this stream, not the listener.
+            # A fault of this host in handling one message closes this stream only;
+            # the listener goes on.
             logs.event("peer-failed", "ERROR", error=repr(exc))
         finally:
             self._accepted.discard(writer)
@@ -236,10 +249,10 @@
     def _check_certificate(
         self, hello: msg.Hello, ssl_object: ssl_module.SSLObject | None
     ) -> None:
-        """Refuse a host that speaks for another one.
+        """Refuse a hello whose host id differs from the name in the certificate.
 
-        Failure: one stolen or mixed-up certificate speaks for any host, and its
-        messages are taken for those of the host that it names.
+        Failure: with one stolen or mixed-up certificate a process can name any host
+        in its hello, and its messages are taken for messages of that host.
         """
         if ssl_object is None:
             return
--- a/lacewingcross/host/operators/__init__.py
+++ b/lacewingcross/host/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' side: health, metrics and status over HTTP."""
+"""Health, metrics and status for operators over HTTP."""
--- a/lacewingcross/host/operators/listener.py
+++ b/lacewingcross/host/operators/listener.py
@@ -1,4 +1,4 @@
-"""Health, metrics, status and explanations for operators over HTTP."""
+"""Health, metrics, status and routing explanations for operators over HTTP."""
 
 import asyncio
 from collections import Counter
@@ -14,7 +14,7 @@
 
 
 class OperatorsListener:
-    """Serves operators and their tools on a port of its own."""
+    """Serves operators and their tools on a separate port."""
 
     __slots__ = ("_address", "_runtime", "server")
 
@@ -52,7 +52,7 @@
 
 
 def status_data(runtime: Runtime) -> dict[str, object]:
-    """Return what this host has in force, as JSON data."""
+    """Return the members, plans, keepers and planners of this host as JSON data."""
     core = runtime.core
     view = core.view
     now = runtime.now()
@@ -108,7 +108,7 @@
 
 
 def explain(runtime: Runtime, params: dict[str, str]) -> dict[str, object]:
-    """Return why a caller goes where it goes, step by step."""
+    """Return each step that decides where a caller's requests go, as JSON data."""
     view = runtime.core.view
     now = runtime.now()
     service = params.get("service", "")
--- a/lacewingcross/host/platform/__init__.py
+++ b/lacewingcross/host/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's side: configuration watch, host list and writes."""
+"""Access to the platform: configuration watch, host list and writes."""
--- a/lacewingcross/host/platform/watch.py
+++ b/lacewingcross/host/platform/watch.py
@@ -1,4 +1,4 @@
-"""Follows the configuration and the host list in the platform."""
+"""Watches the configuration and polls the host list in the platform."""
 
 import asyncio
 
@@ -17,7 +17,11 @@
 
 
 class ConfigWatcher:
-    """Lists once, then watches; relists when the platform compacted its history."""
+    """Lists the configuration once, then watches it for changes.
+
+    It lists again when the platform has compacted the history that the watch needs.
+    After the first list, it watches only while this host is elected to watch.
+    """
 
     __slots__ = ("_listed", "_platform", "_revision", "_runtime")
 
@@ -28,7 +32,7 @@
         self._revision = 0
 
     async def run(self) -> None:
-        """Follow the configuration until cancelled."""
+        """Watch the configuration until cancelled."""
         view = self._runtime.core.view
         backoff = Backoff(view.rng)
         while True:
@@ -61,7 +65,8 @@
         for key, entry in config.entries.items():
             missing = key not in listed and entry.version <= listing.revision
             if missing and entry.text and split_key(key)[0] in CONFIG_KINDS:
-                # Deleted while nobody watched: the list shows it by absence only.
+                # Deleted while this host did not watch: an object's absence from the
+                # list is the only sign of that.
                 entries.append(Entry(key, listing.revision, ""))
         self._revision = listing.revision
         self._dispatch_entries(entries, listing.revision)
@@ -83,7 +88,7 @@
 
 
 class HostListPoller:
-    """Reads the platform's list of hosts again and again."""
+    """Polls the platform's list of hosts while this host is elected to watch."""
 
     __slots__ = ("_platform", "_runtime")
 
@@ -92,7 +97,7 @@
         self._platform = platform
 
     async def run(self) -> None:
-        """Poll until cancelled; more slowly in a larger fleet."""
+        """Poll until cancelled, at an interval that grows with the number of hosts."""
         view = self._runtime.core.view
         backoff = Backoff(view.rng)
         while True:
--- a/lacewingcross/host/platform/writes.py
+++ b/lacewingcross/host/platform/writes.py
@@ -1,4 +1,4 @@
-"""Carries out the core's conditional writes in the platform."""
+"""Carries out the core's conditional writes and its reads in the platform."""
 
 import asyncio
 
@@ -19,7 +19,10 @@
 
 
 class PlatformWriter:
-    """Performs writes as tasks and reports how they ended."""
+    """Runs each write or read as a task, and reports its result to the core.
+
+    A delete reports no result.
+    """
 
     __slots__ = ("_platform", "_runtime", "_tasks")
 
@@ -84,7 +87,10 @@
         self._runtime.dispatch(ObjectsLoaded(action.call_id, objects))
 
     async def _delete(self, action: DeleteObject) -> None:
-        """Delete an object that nothing points at; one that stays does no harm."""
+        """Delete an object that nothing refers to, in up to `DELETE_TRIES` tries.
+
+        An object that stays after the last try does no harm.
+        """
         backoff = Backoff(self._runtime.core.view.rng)
         for _ in range(DELETE_TRIES):
             try:
@@ -97,6 +103,6 @@
             await backoff.wait()
 
     def close(self) -> None:
-        """Stop what is under way."""
+        """Cancel the writes and reads that still run."""
         for task in self._tasks:
             task.cancel()
--- a/lacewingcross/host/runtime.py
+++ b/lacewingcross/host/runtime.py
@@ -1,4 +1,4 @@
-"""Feeds events to the core and carries out its actions through the adapters."""
+"""Passes events to the core and has the adapters carry out the core's actions."""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,15 +14,16 @@
 
 
 class Runtime:
-    """The one place where the core is called.
+    """The only place that calls the core.
 
-    Adapters register who performs which action. Performers must not block; what
-    they learn later comes back as events through `dispatch`.
+    Each adapter registers a performer for the action types that it carries out.
+    A performer must not block; its later results come back as events through
+    `dispatch`.
 
     Parameters
     ----------
     core : HostCore
-        The decisions.
+        Makes all decisions; does no input or output itself.
     clock : Clock
         Source of time.
     metrics : Metrics
@@ -47,12 +48,15 @@
         return self.clock.monotonic()
 
     def register_performer(self, performer: Performer, *kinds: type) -> None:
-        """Let `performer` carry out actions of these types."""
+        """Register `performer` for actions of these types."""
         for kind in kinds:
             self._performers[kind] = performer
 
     def dispatch(self, event: Event) -> None:
-        """Handle an event, and those that its actions bring about, in order."""
+        """Handle an event, and then, in order, the events that its actions dispatch.
+
+        A nested call only queues its event, so the core is never re-entered.
+        """
         self._events.append(event)
         if self._dispatching:
             return
--- a/lacewingcross/host/supervisor.py
+++ b/lacewingcross/host/supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor: starts children in order, restarts those that fail, stops them."""
+"""A supervisor that starts child tasks, restarts those that fail, and stops them."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -20,12 +20,15 @@
 
 
 class Supervisor:
-    """Runs children one-for-one: one that fails is restarted alone, with backoff.
+    """Runs children one-for-one: a child that fails is restarted alone, with back-off.
+
+    The delay before a restart doubles from `RESTART_MIN_S` to `RESTART_MAX_S`; it
+    starts from `RESTART_MIN_S` again after a run longer than `STABLE_RUN_S`.
 
     Parameters
     ----------
     name : str
-        Name in the tree, for logs.
+        Name of this supervisor in the tree, for logs.
     children : list of Child
         Started in order, stopped in reverse order. A child may be the `run` of
         another supervisor.
@@ -69,7 +72,8 @@
             except asyncio.CancelledError:
                 raise
             except AssertionError:
-                # A broken invariant: going on could break a promise. Stop.
+                # An invariant is broken, so running on could violate a guarantee to
+                # callers or operators. The whole tree stops.
                 raise
             except Exception as exc:
                 self.restarts += 1
@@ -91,18 +95,19 @@
     finish: Callable[[], Awaitable[None]],
     close: Callable[[], None],
 ) -> None:
-    """Run a tree until `stop` is set, then leave gracefully and end it.
+    """Run a supervisor tree until `stop` is set, then shut it down gracefully.
 
     Parameters
     ----------
     root : Supervisor
-        The tree.
+        Root of the tree.
     stop : asyncio.Event
         Set when the process is to end.
-    leave : callable
-        Finishes what has begun, while the tree still runs.
+    finish : callable
+        Finishes the work in progress while the tree still runs. It is not called
+        when the tree ends by itself.
     close : callable
-        Lets go of what the tree leaves behind.
+        Closes resources that do not belong to the tree, when the tree is cancelled.
     """
     loop = asyncio.get_running_loop()
     tree = loop.create_task(root.run())
