--- a/lacewingcross/cli/accounts.py
+++ b/lacewingcross/cli/accounts.py
@@ -3,12 +3,12 @@
 from .metrics_page import fetch_page, figures_by_name
 from .output import Output, print_rows
 
-HEAD = ("account", "admitted", "refused", "unpaid", "kept here")
+HEADER = ("account", "admitted", "refused", "unpaid", "kept here")
 ADMITTED = "accounts.admitted."
 REFUSED = "accounts.refused."
 UNPAID = "accounts.unpaid."
 KEPT = "accounts.kept."
-COLUMNS = (ADMITTED, REFUSED, UNPAID, KEPT)
+COLUMN_PREFIXES = (ADMITTED, REFUSED, UNPAID, KEPT)
 
 Row = tuple[str, float, float, float, float]
 
@@ -28,10 +28,12 @@
     output
         Form of the output.
     """
-    print_rows(HEAD, rows_of(fetch_page(url)), output)
+    print_rows(HEADER, rows_of(fetch_page(url)), output)
 
 
 def rows_of(page: str) -> list[Row]:
     """Return a row for each account in a metrics page, the most refused first."""
-    rows = [(name, *figures) for name, figures in figures_by_name(page, COLUMNS)]
+    rows = [
+        (name, *figures) for name, figures in figures_by_name(page, COLUMN_PREFIXES)
+    ]
     return sorted(rows, key=lambda row: -row[2])
--- a/lacewingcross/cli/blocks.py
+++ b/lacewingcross/cli/blocks.py
@@ -35,18 +35,18 @@
 def shards(pairs: list[tuple[str, str]], table: str) -> Iterator[dict[str, object]]:
     """Yield the resources of a table, each with at most `SHARD_BLOCKS` starts."""
     groups = sorted({group for _, group in pairs})
-    numbers = {group: number for number, group in enumerate(groups)}
-    index = BlockIndex((network, numbers[group]) for network, group in pairs)
+    group_indexes = {group: position for position, group in enumerate(groups)}
+    index = BlockIndex((network, group_indexes[group]) for network, group in pairs)
     spans = list(index.spans())
-    for number, at in enumerate(range(0, len(spans), SHARD_BLOCKS)):
-        part = spans[at : at + SHARD_BLOCKS]
+    for sequence, offset in enumerate(range(0, len(spans), SHARD_BLOCKS)):
+        shard_spans = spans[offset : offset + SHARD_BLOCKS]
         spec = {
-            "first": str(IPv4Address(part[0][0])),
+            "first": str(IPv4Address(shard_spans[0][0])),
             "groups": groups,
-            "starts": pack("I", [start for start, _ in part]),
-            "members": pack("H", [member for _, member in part]),
+            "starts": pack("I", [start for start, _ in shard_spans]),
+            "members": pack("H", [member for _, member in shard_spans]),
         }
-        yield {"kind": BLOCKS, "name": f"{table}-{number:04d}", "spec": spec}
+        yield {"kind": BLOCKS, "name": f"{table}-{sequence:04d}", "spec": spec}
 
 
 def _read(file: str) -> Iterator[tuple[str, str]]:
@@ -54,12 +54,13 @@
         lines = Path(file).read_text(encoding="utf-8").splitlines()
     except (OSError, UnicodeDecodeError) as exc:
         raise UserError("unreadable", f"{file}: {exc}") from exc
-    for number, line in enumerate(lines, 1):
+    for line_number, line in enumerate(lines, 1):
         if not line.strip():
             continue
-        network, _, group = (part.strip() for part in line.partition(","))
+        network, _, group = (field.strip() for field in line.partition(","))
         if not is_network(network) or not group:
             raise UserError(
-                "bad-field", f"{file}:{number}: expected NETWORK,GROUP, got {line!r}"
+                "bad-field",
+                f"{file}:{line_number}: expected NETWORK,GROUP, got {line!r}",
             )
         yield network, group
--- a/lacewingcross/cli/main.py
+++ b/lacewingcross/cli/main.py
@@ -17,9 +17,9 @@
 from .status import status
 
 EXIT_USER_ERROR = 1
-EXIT_NOT_YET = 3
+EXIT_NOT_IN_FORCE = 3
 EXIT_INTERRUPTED = 130
-_NOT_YET = ("not-in-force", "not-drained", "unavailable", "unknown-outcome")
+_NOT_IN_FORCE_CODES = ("not-in-force", "not-drained", "unavailable", "unknown-outcome")
 
 COMMANDS = {
     "host": daemons.host,
@@ -61,6 +61,8 @@
         )
     except UserError as exc:
         print(f"error: {exc}", file=sys.stderr)
-        sys.exit(EXIT_NOT_YET if exc.code in _NOT_YET else EXIT_USER_ERROR)
+        sys.exit(
+            EXIT_NOT_IN_FORCE if exc.code in _NOT_IN_FORCE_CODES else EXIT_USER_ERROR
+        )
     except KeyboardInterrupt:
         sys.exit(EXIT_INTERRUPTED)
--- a/lacewingcross/cli/messages.py
+++ b/lacewingcross/cli/messages.py
@@ -5,8 +5,8 @@
 from .metrics_page import fetch_page, figures_by_name
 from .output import print_rows
 
-HEAD = ("message", "sent", "bytes sent", "heard")
-COLUMNS = (SENT, SENT_BYTES, HEARD)
+HEADER = ("message", "sent", "bytes sent", "heard")
+COLUMN_PREFIXES = (SENT, SENT_BYTES, HEARD)
 
 
 def messages(*, url: str, output: str = "table") -> None:
@@ -21,7 +21,7 @@
     output : str
         ``table`` or ``json``.
     """
-    print_rows(HEAD, rows_of(fetch_page(url)), output)
+    print_rows(HEADER, rows_of(fetch_page(url)), output)
 
 
 def rows_of(page: str) -> list[tuple[str, int, int, int]]:
@@ -33,7 +33,8 @@
         Lines of a name and a figure.
     """
     rows = [
-        (kind, *map(int, figures)) for kind, figures in figures_by_name(page, COLUMNS)
+        (kind, *map(int, figures))
+        for kind, figures in figures_by_name(page, COLUMN_PREFIXES)
     ]
-    sums = [sum(row[index] for row in rows) for index in range(1, len(HEAD))]
+    sums = [sum(row[index] for row in rows) for index in range(1, len(HEADER))]
     return [*rows, ("all", *sums)]
--- a/lacewingcross/cli/metrics_page.py
+++ b/lacewingcross/cli/metrics_page.py
@@ -9,7 +9,7 @@
 from ..http1_client import HttpClient, HttpError
 
 # A metrics page comes within milliseconds; a host that needs longer is not there.
-PAGE_S = 5.0
+PAGE_TIMEOUT_S = 5.0
 
 
 def fetch_page(url: str) -> str:
@@ -29,7 +29,7 @@
         raise UserError("bad-address", f"expected http://IP:PORT/PATH, {url}")
     http = HttpClient(parts.netloc)
     try:
-        async with asyncio.timeout(PAGE_S):
+        async with asyncio.timeout(PAGE_TIMEOUT_S):
             response = await http.request("GET", parts.path or "/")
     except (HttpError, OSError, TimeoutError) as exc:
         raise UserError("unavailable", f"no metrics page at {url}: {exc!r}") from exc
@@ -39,7 +39,7 @@
 
 
 def figures_by_name(
-    page: str, columns: Sequence[str]
+    page: str, prefixes: Sequence[str]
 ) -> Iterator[tuple[str, list[float]]]:
     """Yield what some counters or gauges say, in the order of what they are of.
 
@@ -59,10 +59,10 @@
     """
     figures = dict(line.rsplit(" ", 1) for line in page.splitlines() if " " in line)
     names = {
-        name.removeprefix(column)
+        name.removeprefix(prefix)
         for name in figures
-        for column in columns
-        if name.startswith(column)
+        for prefix in prefixes
+        if name.startswith(prefix)
     }
     for name in sorted(names):
-        yield name, [float(figures.get(column + name, 0)) for column in columns]
+        yield name, [float(figures.get(prefix + name, 0)) for prefix in prefixes]
--- a/lacewingcross/cli/output.py
+++ b/lacewingcross/cli/output.py
@@ -12,23 +12,23 @@
     print(json.dumps(data, indent=2, sort_keys=True))
 
 
-def print_table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print rows in aligned columns under `head`."""
+def print_table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
+    """Print rows in aligned columns under `header`."""
     texts = [[str(cell) for cell in row] for row in rows]
     widths = [
-        max(len(row[index]) for row in [list(head), *texts])
-        for index in range(len(head))
+        max(len(row[index]) for row in [list(header), *texts])
+        for index in range(len(header))
     ]
-    for row in [list(head), *texts]:
+    for row in [list(header), *texts]:
         cells = (cell.ljust(width) for cell, width in zip(row, widths, strict=True))
         print("  ".join(cells).rstrip())
 
 
 def print_rows(
-    head: Sequence[str], rows: Sequence[Sequence[object]], output: str
+    header: Sequence[str], rows: Sequence[Sequence[object]], output: str
 ) -> None:
-    """Print rows as a table, or as JSON objects with the words of `head` as names."""
+    """Print rows as a table, or as JSON objects with the words of `header` as names."""
     if output == "json":
-        print_json([dict(zip(head, row, strict=True)) for row in rows])
+        print_json([dict(zip(header, row, strict=True)) for row in rows])
     else:
-        print_table(head, rows)
+        print_table(header, rows)
--- a/lacewingcross/cli/resources.py
+++ b/lacewingcross/cli/resources.py
@@ -104,7 +104,7 @@
                 raise UserError("not-found", f"{key}: no such resource")
         items = [by_key[key] for key in wanted]
     if output == "json":
-        print_json({"items": [_item(item) for item in items]})
+        print_json({"items": [_as_data(item) for item in items]})
         return
     rows = [
         (item.key, item.version, item.writer() or "-", _summary(item)) for item in items
@@ -112,7 +112,7 @@
     print_table(("RESOURCE", "VERSION", "WRITTEN-BY", "SPEC"), rows)
 
 
-def _item(item: StoredObject) -> dict[str, object]:
+def _as_data(item: StoredObject) -> dict[str, object]:
     kind, name = res.split_key(item.key)
     return {"kind": kind, "name": name, "version": item.version, "spec": item.spec()}
 
@@ -140,8 +140,8 @@
 
 async def _watch(operator: Operator, kinds: tuple[str, ...]) -> None:
     async for item in operator.follow(*kinds):
-        what = "deleted" if item.value is None else _summary(item)
-        print(f"version={item.version} {item.key} {what}", flush=True)
+        change = "deleted" if item.value is None else _summary(item)
+        print(f"version={item.version} {item.key} {change}", flush=True)
 
 
 def drain(
@@ -271,13 +271,13 @@
 async def _explain(
     operator: Operator, service: str, address: str, caller: str, output: Output
 ) -> None:
-    found = await operator.explain(service, address, caller)
+    explanation = await operator.explain(service, address, caller)
     if output == "json":
-        print_json(found)
+        print_json(explanation)
         return
     rows = [
         (key, ", ".join(val) if isinstance(val, list) else val)
-        for key, val in found.items()
+        for key, val in explanation.items()
     ]
     print_table(("STEP", "RESULT"), rows)
 
@@ -297,7 +297,7 @@
 
 async def _export(operator: Operator) -> None:
     items = await operator.resources(*res.OPERATOR_KINDS)
-    documents = [_item(item) for item in items]
+    documents = [_as_data(item) for item in items]
     for document in documents:
         del document["version"]
     print_json({"items": documents})
--- a/lacewingcross/cli/servers.py
+++ b/lacewingcross/cli/servers.py
@@ -3,8 +3,8 @@
 from .metrics_page import fetch_page, figures_by_name
 from .output import Output, print_rows
 
-HEAD = ("server", "limit a second", "of it here", "leaves", "rests, s")
-COLUMNS = (
+HEADER = ("server", "limit a second", "of it here", "leaves", "rests, s")
+COLUMN_PREFIXES = (
     "servers.limit.",
     "servers.limit-here.",
     "servers.leaving.",
@@ -28,9 +28,11 @@
     output
         Form of the output.
     """
-    print_rows(HEAD, rows_of(fetch_page(url)), output)
+    print_rows(HEADER, rows_of(fetch_page(url)), output)
 
 
 def rows_of(page: str) -> list[Row]:
     """Return a row for each server in a metrics page that asks for something."""
-    return [(name, *figures) for name, figures in figures_by_name(page, COLUMNS)]
+    return [
+        (name, *figures) for name, figures in figures_by_name(page, COLUMN_PREFIXES)
+    ]
--- a/lacewingcross/cli/status.py
+++ b/lacewingcross/cli/status.py
@@ -46,23 +46,23 @@
 
 async def _status(operator: Operator, output: Output) -> None:
     items = await operator.resources(*res.OPERATOR_KINDS, res.PLAN)
-    said = _Reported()
+    reported = _Reported()
     for report in await operator.resources(REPORT_KIND):
-        said.add(report.spec())
+        reported.add(report.spec())
     state = await operator.in_force(0)
-    rows = [_status_row(item, state, said) for item in items]
+    rows = [_status_row(item, state, reported) for item in items]
     if output == "json":
-        data = {"resources": rows, "hosts": said.hosts, "leaving": said.leaving}
-        print_json({**data, "loads": said.loads})
+        data = {"resources": rows, "hosts": reported.hosts, "leaving": reported.leaving}
+        print_json({**data, "loads": reported.loads})
         return
     columns = ("resource", "version", "in_force", "why_not", "progress", "last_refusal")
     cells = [[row[column] or "-" for column in columns] for row in rows]
     print_table([column.upper() for column in columns], cells)
-    _print_hosts(said)
+    _print_hosts(reported)
 
 
 def _status_row(
-    item: StoredObject, state: InForce, said: _Reported
+    item: StoredObject, state: InForce, reported: _Reported
 ) -> dict[str, object]:
     state.wanted = item.version
     behind = state.behind()
@@ -71,23 +71,23 @@
         "resource": item.key,
         "version": item.version,
         "in_force": f"{in_force}/{len(state.live)}",
-        "why_not": said.rejected.get(item.key) or ",".join(behind),
-        "progress": _progress(item, said.leaving),
-        "last_refusal": said.last_refusals.get(res.split_key(item.key)[1], ""),
+        "why_not": reported.rejected.get(item.key) or ",".join(behind),
+        "progress": _progress(item, reported.leaving),
+        "last_refusal": reported.last_refusals.get(res.split_key(item.key)[1], ""),
     }
 
 
-def _print_hosts(said: _Reported) -> None:
+def _print_hosts(reported: _Reported) -> None:
     print()
     rows = [
         (host_id, host.get("state"), host.get("revision"), host.get("behind"))
-        for host_id, host in sorted(said.hosts.items())
+        for host_id, host in sorted(reported.hosts.items())
     ]
     print_table(("HOST", "STATE", "IN-FORCE", "BUCKETS-BEHIND"), rows)
     print()
     rows = [
         (name, load["in_flight"], load["queued"], load["limit"], _headroom(load))
-        for name, load in sorted(said.loads.items())
+        for name, load in sorted(reported.loads.items())
     ]
     print_table(("SERVICE/REGION", "IN-FLIGHT", "QUEUED", "LIMIT", "HEADROOM"), rows)
 
@@ -113,7 +113,11 @@
     spec = item.spec() or {}
     if "server" not in spec:
         return ""
-    left = [num for key, num in leaving.items() if key.endswith("/" + spec["server"])]
-    if not left:
+    in_flight_counts = [
+        in_flight
+        for key, in_flight in leaving.items()
+        if key.endswith("/" + spec["server"])
+    ]
+    if not in_flight_counts:
         return "waiting for the slot keeper"
-    return "idle" if not any(left) else f"{sum(left)} in flight"
+    return "idle" if not any(in_flight_counts) else f"{sum(in_flight_counts)} in flight"
--- a/lacewingcross/standins/backend.py
+++ b/lacewingcross/standins/backend.py
@@ -15,11 +15,11 @@
 from ..http1_server import HttpServer
 from ..settings import BackendSettings
 
-CONTROL_MAX = 100_000
-LEDGER_MAX = 500_000
+MAX_CONTROL_BYTES = 100_000
+MAX_LEDGER_ENTRIES = 500_000
 HEAVY_SHARE = 0.05
 HEAVY_FACTOR = 10.0
-ECHO_PREFIX_MAX = 4096
+MAX_ECHOED_TARGET_CHARS = 4096
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
     body_bytes: int = 0
 
 
-class Switches:
+class FaultSwitches:
     """Faults set by tests through ``POST /control``."""
 
     __slots__ = (
@@ -89,15 +89,15 @@
     def __init__(self, cfg: BackendSettings, clock: Clock | None = None) -> None:
         clock = clock or SystemClock()
         self.cfg = cfg
-        self.switches = Switches(cfg)
+        self.switches = FaultSwitches(cfg)
         self.ledger: list[LedgerEntry] = []
         self.shed = 0
         self.busy = 0
-        self.most_busy = 0
+        self.max_busy = 0
         self._now = clock.monotonic
         self._rng = random.Random(cfg.seed)
         self._waiting: deque[asyncio.Future[None]] = deque()
-        self._served = 0
+        self._served_count = 0
         self.server = HttpServer(
             self._handle, self._now, max_connections=cfg.connections
         )
@@ -138,7 +138,7 @@
             "server_id": self.cfg.server_id,
             "shed": self.shed,
             "busy": self.busy,
-            "most_busy": self.most_busy,
+            "most_busy": self.max_busy,
             "entries": [
                 {
                     "request_id": item.request_id,
@@ -154,7 +154,7 @@
 
     async def _control(self, exchange: Exchange) -> None:
         try:
-            self.switches.set(json.loads(await read_body(exchange, CONTROL_MAX)))
+            self.switches.set(json.loads(await read_body(exchange, MAX_CONTROL_BYTES)))
         except (UserError, ValueError) as exc:
             await send_error(exchange, 400, "bad-request", str(exc))
             return
@@ -166,11 +166,11 @@
             return
         if not await self._take_slot(exchange):
             self.shed += 1
-            await self._not_run(exchange)
+            await self._send_not_run(exchange)
             return
-        entry = self._enter(exchange)
+        entry = self._add_to_ledger(exchange)
         try:
-            await self._work(exchange, entry)
+            await self._run_request(exchange, entry)
         except (CallerGoneError, asyncio.CancelledError):
             entry.state = "cancelled"
             raise
@@ -188,7 +188,7 @@
             await fut
         else:
             return False
-        self.most_busy = max(self.most_busy, self.busy)
+        self.max_busy = max(self.max_busy, self.busy)
         return True
 
     def _leave_slot(self) -> None:
@@ -199,11 +199,11 @@
                 return
         self.busy -= 1
 
-    async def _not_run(self, exchange: Exchange) -> None:
+    async def _send_not_run(self, exchange: Exchange) -> None:
         headers = [(hd.OUTCOME, b"not-run"), *hd.retry_after(0.5)]
         await exchange.respond(503, headers, b"")
 
-    def _enter(self, exchange: Exchange) -> LedgerEntry:
+    def _add_to_ledger(self, exchange: Exchange) -> LedgerEntry:
         headers = exchange.head.headers
         entry = LedgerEntry(
             hd.find(headers, hd.REQUEST_ID),
@@ -211,11 +211,11 @@
             exchange.head.method,
             self._now(),
         )
-        if len(self.ledger) < LEDGER_MAX:
+        if len(self.ledger) < MAX_LEDGER_ENTRIES:
             self.ledger.append(entry)
         return entry
 
-    async def _work(self, exchange: Exchange, entry: LedgerEntry) -> None:
+    async def _run_request(self, exchange: Exchange, entry: LedgerEntry) -> None:
         while data := await exchange.read():
             entry.body_bytes += len(data)
         await self._wait_service(exchange)
@@ -228,20 +228,20 @@
 
     async def _wait_service(self, exchange: Exchange) -> None:
         """Work for the service time; stop early when the caller cancels."""
-        gone = asyncio.get_running_loop().create_future()
-        exchange.on_gone = lambda: gone.done() or gone.set_result(None)
+        caller_gone = asyncio.get_running_loop().create_future()
+        exchange.on_gone = lambda: caller_gone.done() or caller_gone.set_result(None)
         deadline = hd.milliseconds(exchange.head.headers, hd.DEADLINE_MS)
         service_s = self._service_s()
         limit = service_s if deadline is None else min(service_s, deadline)
-        await asyncio.wait((gone,), timeout=limit)
-        if gone.done():
+        await asyncio.wait((caller_gone,), timeout=limit)
+        if caller_gone.done():
             raise CallerGoneError
 
     def _service_s(self) -> float:
         mean = self.switches.service_ms / 1000.0
-        if self._served < self.cfg.cold_requests:
+        if self._served_count < self.cfg.cold_requests:
             mean *= self.cfg.cold_factor
-        self._served += 1
+        self._served_count += 1
         if self.cfg.service_shape == "fixed":
             return mean
         if self.cfg.service_shape == "heavy":
@@ -256,7 +256,7 @@
                 "caller": entry.caller,
                 "server_id": self.cfg.server_id,
                 "body_bytes": entry.body_bytes,
-                "target": exchange.head.target[:ECHO_PREFIX_MAX],
+                "target": exchange.head.target[:MAX_ECHOED_TARGET_CHARS],
             }
         ).encode()
         load = f"{self.busy}/{self.cfg.slots}".encode()
--- a/lacewingcross/standins/object_store.py
+++ b/lacewingcross/standins/object_store.py
@@ -14,11 +14,11 @@
 PREFIX = "/v1/objects/"
 PAGE = 500
 # Room for a value of a megabyte and what is written around it.
-MAX_BODY = (1 << 20) + 4096
+MAX_BODY_BYTES = (1 << 20) + 4096
 # A silent store answers nothing for longer than anybody waits, in seconds.
 SILENT_S = 3600.0
 # Deleted objects that a kind remembers for its watches before it drops its history.
-DELETED_MOST = 5000
+MAX_DELETED_KEPT = 5000
 
 
 @dataclass(slots=True)
@@ -106,28 +106,28 @@
 
     def put(self, kind: str, name: str, spec: object) -> int:
         """Create or replace an object; return its revision."""
-        known = self._objects.setdefault(kind, {}).get(name)
-        if known is not None and not known.deleted and known.spec == spec:
-            return known.revision
+        stored = self._objects.setdefault(kind, {}).get(name)
+        if stored is not None and not stored.deleted and stored.spec == spec:
+            return stored.revision
         self.revision += 1
-        live = known is not None and not known.deleted
-        created = known.create_revision if live else self.revision
+        exists = stored is not None and not stored.deleted
+        created = stored.create_revision if exists else self.revision
         self._objects[kind][name] = StoredObject(name, self.revision, created, spec)
-        self.wake()
+        self.wake_watches()
         return self.revision
 
     def delete(self, kind: str, name: str) -> None:
         """Remove an object."""
-        known = self._objects.get(kind, {}).get(name)
-        if known is None or known.deleted:
+        stored = self._objects.get(kind, {}).get(name)
+        if stored is None or stored.deleted:
             return
         self.revision += 1
-        known.revision = self.revision
-        known.deleted = True
+        stored.revision = self.revision
+        stored.deleted = True
         self._deleted += 1
-        if self._deleted > DELETED_MOST:
+        if self._deleted > MAX_DELETED_KEPT:
             self.compact()
-        self.wake()
+        self.wake_watches()
 
     def compact(self) -> None:
         """Forget the history; watches from before it get 410."""
@@ -136,7 +136,7 @@
         for objects in self._objects.values():
             for name in [name for name, obj in objects.items() if obj.deleted]:
                 del objects[name]
-        self.wake()
+        self.wake_watches()
 
     def names(self, kind: str) -> list[str]:
         """Return the names of the objects of a kind."""
@@ -152,7 +152,7 @@
         objects = self._objects.get(kind, {})
         return [name for name in names if objects[name].create_revision <= since]
 
-    def wake(self) -> None:
+    def wake_watches(self) -> None:
         """Let the waiting watches look again."""
         self._changed.set()
         self._changed = asyncio.Event()
@@ -164,7 +164,7 @@
         self.calls += 1
         if self.faults.slow_s:
             await asyncio.sleep(self.faults.slow_s)
-        if await self.failed(exchange):
+        if await self.send_fault(exchange):
             return
         try:
             await self._answer(exchange)
@@ -174,7 +174,7 @@
             await send_error(exchange, 400, "bad-request", str(exc))
 
     async def _answer(self, exchange: Exchange) -> None:
-        body = await read_body(exchange, MAX_BODY)
+        body = await read_body(exchange, MAX_BODY_BYTES)
         path, _, query = exchange.head.target.partition("?")
         kind, _, name = path.removeprefix(PREFIX).partition("/")
         kind, name = unquote(kind), unquote(name)
@@ -193,7 +193,7 @@
             name = name or meta.get("name", "")
             await self._write(exchange, (kind, name), data.get("spec"), expected)
 
-    async def failed(self, exchange: Exchange) -> bool:
+    async def send_fault(self, exchange: Exchange) -> bool:
         """Answer a call as an outage would; return whether there is one."""
         down = self.faults.down
         if down == "silent":
@@ -219,53 +219,53 @@
 
     async def _watch(self, exchange: Exchange, kind: str, fields: dict) -> None:
         since = int(fields["watch"])
-        ends = self.now() + int(fields.get("wait_ms", 0)) / 1000.0
+        deadline = self.now() + int(fields.get("wait_ms", 0)) / 1000.0
         while True:
-            if await self.failed(exchange):
+            if await self.send_fault(exchange):
                 return
             if since < self._compacted:
                 await send_json(exchange, 410, {"error": "history-gone"})
                 return
             changed = self._changed
             objects = self._objects.get(kind, {}).values()
-            newer = [obj for obj in objects if obj.revision > since]
-            left = ends - self.now()
-            if newer or left <= 0:
+            changes = [obj for obj in objects if obj.revision > since]
+            remaining_s = deadline - self.now()
+            if changes or remaining_s <= 0:
                 break
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await changed.wait()
             except TimeoutError:
                 continue
-        newer.sort(key=lambda obj: obj.revision)
-        events = [{"object": obj.as_data(), "deleted": obj.deleted} for obj in newer]
+        changes.sort(key=lambda obj: obj.revision)
+        events = [{"object": obj.as_data(), "deleted": obj.deleted} for obj in changes]
         await send_json(exchange, 200, {"events": events, "as_of": self.revision})
 
     async def _get(self, exchange: Exchange, kind: str, name: str) -> None:
-        known = self._objects.get(kind, {}).get(name)
-        if known is None or known.deleted:
+        stored = self._objects.get(kind, {}).get(name)
+        if stored is None or stored.deleted:
             await send_json(exchange, 404, {"error": "not-found"})
             return
-        await send_json(exchange, 200, known.as_data())
+        await send_json(exchange, 200, stored.as_data())
 
     async def _write(
         self,
         exchange: Exchange,
-        place: tuple[str, str],
+        kind_and_name: tuple[str, str],
         spec: object,
         expected: int,
     ) -> None:
-        kind, name = place
+        kind, name = kind_and_name
         method = exchange.head.method
-        known = self._objects.get(kind, {}).get(name)
-        live = known is not None and not known.deleted
-        if method != "POST" and not live:
+        stored = self._objects.get(kind, {}).get(name)
+        exists = stored is not None and not stored.deleted
+        if method != "POST" and not exists:
             message = f"{kind}/{name}: no such object"
             await send_error(exchange, 404, "not-found", message)
             return
-        if method == "POST" and live or expected and expected != known.revision:
-            message = f"{kind}/{name}: revision is {known.revision}"
-            data = {"error": "conflict", "message": message, **known.as_data()}
+        if method == "POST" and exists or expected and expected != stored.revision:
+            message = f"{kind}/{name}: revision is {stored.revision}"
+            data = {"error": "conflict", "message": message, **stored.as_data()}
             await send_json(exchange, 409, data)
             return
         if method == "DELETE":
--- a/lacewingcross/standins/platform.py
+++ b/lacewingcross/standins/platform.py
@@ -15,7 +15,7 @@
 from ..tls import TlsFiles
 from .object_store import ObjectStoreStandin
 
-MAX_CONTROL = 1_000_000
+MAX_CONTROL_BYTES = 1_000_000
 OBJECTS_PATH = "/v1/objects/"
 
 
@@ -61,10 +61,10 @@
     async def _publish(self) -> None:
         """Publish the host list with its lag."""
         while True:
-            current = self._host_list()
+            host_list = self._host_list()
             await asyncio.sleep(max(0.05, self._cfg.list_lag_s))
             if not self._freeze_list:
-                self._published = current
+                self._published = host_list
 
     def _host_list(self) -> dict[str, object]:
         hosts = [
@@ -98,19 +98,19 @@
     async def _hosts_call(self, exchange: Exchange) -> None:
         self.calls["GET hosts"] += 1
         await asyncio.sleep(self.objects.faults.slow_s)
-        if not await self.objects.failed(exchange):
+        if not await self.objects.send_fault(exchange):
             await send_json(exchange, 200, self._published)
 
-    async def _control(self, exchange: Exchange, what: str) -> None:
-        if what == "calls":
+    async def _control(self, exchange: Exchange, control_name: str) -> None:
+        if control_name == "calls":
             await send_json(exchange, 200, dict(self.calls))
             return
-        data = json.loads(await read_body(exchange, MAX_CONTROL))
-        if what == "faults":
+        data = json.loads(await read_body(exchange, MAX_CONTROL_BYTES))
+        if control_name == "faults":
             self._control_faults(data)
-        elif what == "hosts":
+        elif control_name == "hosts":
             self._control_host(data)
-        elif what == "leaving-servers":
+        elif control_name == "leaving-servers":
             self._leaving_servers = set(data["servers"])
         else:
             raise UserError("not-found", "unknown control")
@@ -127,7 +127,7 @@
         faults.lose_answers = reader.integer("lose_answers", faults.lose_answers)
         self._freeze_list = reader.boolean("freeze_list", self._freeze_list)
         reader.finish()
-        self.objects.wake()
+        self.objects.wake_watches()
 
     def _control_host(self, data: object) -> None:
         reader = Reader(data, "host", ResourceError)
