--- a/lacewingcross/cli/__init__.py
+++ b/lacewingcross/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: a thin layer over the library."""
+"""The command line, a thin layer over the library."""
--- a/lacewingcross/cli/accounts.py
+++ b/lacewingcross/cli/accounts.py
@@ -1,4 +1,4 @@
-"""The command that shows what a host admitted of each client account."""
+"""The command that shows how many requests of each client account a host admitted."""
 
 from .metrics_page import fetch_page, figures_by_name
 from .output import Output, print_rows
@@ -16,15 +16,16 @@
 def accounts(*, url: str, output: Output = "table") -> None:
     """Show the requests of each client account with a quota at one host.
 
-    `unpaid` are requests that run and no keeper has paid for, `kept here` the part of
-    the account's quota that this host keeps for all.
+    `unpaid` is the number of requests run that no quota keeper has acknowledged as
+    paid. `kept here` is the share of the account's quota that this host keeps for all
+    hosts.
 
     Example: lacewingcross accounts --url http://10.1.0.34:9464/metrics
 
     Parameters
     ----------
     url : str
-        The host's metrics page.
+        Address of the host's metrics page.
     output
         Form of the output.
     """
@@ -32,7 +33,7 @@
 
 
 def rows_of(page: str) -> list[Row]:
-    """Return a row for each account in a metrics page, the most refused first."""
+    """Return a row for each account in a metrics page, most refusals first."""
     rows = [
         (name, *figures) for name, figures in figures_by_name(page, COLUMN_PREFIXES)
     ]
--- a/lacewingcross/cli/blocks.py
+++ b/lacewingcross/cli/blocks.py
@@ -1,4 +1,4 @@
-"""The command that packs client blocks into shards."""
+"""The command that packs a table of client address blocks into shards."""
 
 import json
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 
 
 def pack_blocks(file: str, *, table: str, to: str) -> None:
-    """Pack a list of client blocks into resources for "apply -f".
+    """Pack a list of client address blocks into resources for "apply -f".
 
     Example: lacewingcross pack-blocks clients.csv --table clients --to clients.json
 
@@ -23,9 +23,9 @@
         Lines of NETWORK,GROUP such as 10.1.0.0/16,centro; the more specific network
         wins.
     table : str
-        Name that policies give as block_table.
+        Name of the table, which policies give as block_table.
     to : str
-        Where the resources go.
+        File to write the resources to.
     """
     items = list(shards(list(_read(file)), table))
     Path(to).write_text(json.dumps({"items": items}) + "\n", encoding="utf-8")
@@ -33,7 +33,15 @@
 
 
 def shards(pairs: list[tuple[str, str]], table: str) -> Iterator[dict[str, object]]:
-    """Yield the resources of a table, each with at most `SHARD_BLOCKS` starts."""
+    """Yield the resources of a table, each with at most `SHARD_BLOCKS` block starts.
+
+    Parameters
+    ----------
+    pairs : list of (str, str)
+        Network and client group.
+    table : str
+        Name of the table.
+    """
     groups = sorted({group for _, group in pairs})
     group_indexes = {group: position for position, group in enumerate(groups)}
     index = BlockIndex((network, group_indexes[group]) for network, group in pairs)
--- a/lacewingcross/cli/connection.py
+++ b/lacewingcross/cli/connection.py
@@ -1,4 +1,4 @@
-"""How commands reach the platform."""
+"""The connection of commands to the platform."""
 
 import getpass
 import os
@@ -15,7 +15,13 @@
 
 
 def operator_at(platform: str) -> Operator:
-    """Return the operator's side of a platform, or of the one that is set.
+    """Return the operations on the platform at an address.
+
+    Parameters
+    ----------
+    platform : str
+        IP:PORT; if empty, the address in the environment variable
+        ``LACEWINGCROSS_PLATFORM``.
 
     Raises
     ------
--- a/lacewingcross/cli/daemons.py
+++ b/lacewingcross/cli/daemons.py
@@ -1,4 +1,4 @@
-"""Commands that run processes: the entry host, the stand-ins, the demo."""
+"""Commands that run a process: the entry host and the stand-ins."""
 
 import asyncio
 import signal
@@ -13,8 +13,8 @@
 def host(*, cfg: str = "") -> None:
     """Run an entry host until SIGTERM; requests in flight are finished first.
 
-    Without a settings file it runs on the users' platform, which names the file in
-    the environment.
+    Without --cfg the host runs on the users' platform, which names the settings file
+    in the environment.
 
     Example: lacewingcross host --cfg host-1.json
 
@@ -30,7 +30,7 @@
 
 
 def platform(*, cfg: str) -> None:
-    """Run the platform's stand-in.
+    """Run the stand-in of the platform.
 
     Example: lacewingcross standin platform --cfg platform.json
 
--- a/lacewingcross/cli/demo.py
+++ b/lacewingcross/cli/demo.py
@@ -1,18 +1,18 @@
-"""The demo command; what it shows is in `lacewingcross.demo`."""
+"""The demo command; the demo itself is in `lacewingcross.demo`."""
 
 import asyncio
 import sys
 
 
 def demo(*, seed: int = 1) -> None:
-    """Show traffic being steered, all in one process, in under a minute.
+    """Show how traffic is steered, in one process and in under a minute.
 
     Example: lacewingcross demo
 
     Parameters
     ----------
     seed : int
-        Seed of callers and service times.
+        Random seed of callers and service times.
     """
     from ..demo import run_demo
 
--- a/lacewingcross/cli/examples.py
+++ b/lacewingcross/cli/examples.py
@@ -1,4 +1,4 @@
-"""The command that writes a deployment's settings and resources."""
+"""The command that writes the settings and resources of an example deployment."""
 
 import json
 from pathlib import Path
@@ -20,7 +20,7 @@
     to : str
         Folder to write to.
     hosts : int
-        Number of entry hosts; 0 for the deployment's own.
+        Number of entry hosts; 0 for the number that the deployment has.
     divide_workers : int
         Divides the number of backend servers, to fit a small machine.
     """
@@ -34,7 +34,7 @@
 
 
 def write_layout(layout: Layout, folder: Path) -> int:
-    """Write every settings file of a layout; return how many."""
+    """Write the settings and resource files of a layout; return their number."""
     files: dict[str, object] = {
         "platform.json": as_data(layout.platform),
         "resources.json": {"items": layout.resources},
--- a/lacewingcross/cli/main.py
+++ b/lacewingcross/cli/main.py
@@ -47,8 +47,9 @@
 def main(argv: list[str] | None = None) -> None:
     """Run one command.
 
-    Exit status: 0 done, 1 refused with a coded error, 2 wrong usage, 3 accepted or
-    unclear but not yet in force, 130 interrupted.
+    Exit status: 0 if done, 1 if refused with a coded error, 2 for wrong usage, 3 if
+    the change is accepted or its outcome unknown, but it is not yet in force, 130 if
+    interrupted.
     """
     try:
         defopt.run(
--- a/lacewingcross/cli/messages.py
+++ b/lacewingcross/cli/messages.py
@@ -1,4 +1,4 @@
-"""The command that shows what a host tells and hears of others."""
+"""The command that shows the messages that a host sends to and receives from others."""
 
 from ..gateway.gossip_receiver import HEARD
 from ..gateway.link import SENT, SENT_BYTES
@@ -10,14 +10,14 @@
 
 
 def messages(*, url: str, output: str = "table") -> None:
-    """Show the messages between hosts that one host has sent and heard, by kind.
+    """Show the messages between hosts that one host has sent and received, by kind.
 
     Example: lacewingcross messages --url http://10.1.0.34:9464/metrics
 
     Parameters
     ----------
     url : str
-        The host's metrics page.
+        Address of the host's metrics page.
     output : str
         ``table`` or ``json``.
     """
@@ -25,12 +25,12 @@
 
 
 def rows_of(page: str) -> list[tuple[str, int, int, int]]:
-    """Return a row for each kind of message in a metrics page, and their sum.
+    """Return a row for each kind of message in a metrics page, and a row of sums.
 
     Parameters
     ----------
     page : str
-        Lines of a name and a figure.
+        Lines with the name of a metric and its value.
     """
     rows = [
         (kind, *map(int, figures))
--- a/lacewingcross/cli/metrics_page.py
+++ b/lacewingcross/cli/metrics_page.py
@@ -1,4 +1,4 @@
-"""A host's metrics page: fetched, and read as rows of a table."""
+"""Fetches a host's metrics page and reads it as rows of a table."""
 
 import asyncio
 from collections.abc import Iterator, Sequence
@@ -8,7 +8,8 @@
 from ..errors import UserError
 from ..http1_client import HttpClient, HttpError
 
-# A metrics page comes within milliseconds; a host that needs longer is not there.
+# A host sends its metrics page within milliseconds. A host that needs longer than this
+# is considered unavailable.
 PAGE_TIMEOUT_S = 5.0
 
 
@@ -41,21 +42,22 @@
 def figures_by_name(
     page: str, prefixes: Sequence[str]
 ) -> Iterator[tuple[str, list[float]]]:
-    """Yield what some counters or gauges say, in the order of what they are of.
+    """Yield the values of some counters or gauges for each object, sorted by object.
 
     Parameters
     ----------
     page : str
-        Lines of a name and a figure.
-    columns : sequence of str
-        How names begin; the rest of a name says what its figure is of.
+        Lines with the name of a metric and its value.
+    prefixes : sequence of str
+        Prefixes of metric names, one for each column. The rest of a metric's name is
+        the name of the object that it describes, such as an account or a server.
 
     Yields
     ------
     name : str
-        What figures are of.
+        Name of the object.
     figures : list of float
-        One for each column, 0 where there is none.
+        One value for each prefix, 0 where the page has none.
     """
     figures = dict(line.rsplit(" ", 1) for line in page.splitlines() if " " in line)
     names = {
--- a/lacewingcross/cli/reports.py
+++ b/lacewingcross/cli/reports.py
@@ -1,4 +1,4 @@
-"""The command that renders bench results."""
+"""The command that renders benchmark results."""
 
 from pathlib import Path
 
@@ -7,16 +7,16 @@
 
 
 def report(file: str, *, to: str = "report.html") -> None:
-    """Render a bench result as an HTML page with plots.
+    """Render a benchmark result as an HTML page with plots.
 
     Example: lacewingcross report bench/results/scenarios.json --to report.html
 
     Parameters
     ----------
     file : str
-        JSON file written by the bench.
+        JSON file written by the benchmark.
     to : str
-        Where the page goes.
+        File to write the page to.
     """
     page = render(read_json(file))
     Path(to).write_text(page, encoding="utf-8")
--- a/lacewingcross/cli/resources.py
+++ b/lacewingcross/cli/resources.py
@@ -1,4 +1,4 @@
-"""Operators' commands on resources."""
+"""The operators' commands that read and change resources."""
 
 import asyncio
 import sys
@@ -44,12 +44,12 @@
     platform : str
         IP:PORT of the platform; by default from LACEWINGCROSS_PLATFORM.
     wait : bool
-        Return only when every live host has it in force.
+        Return only when the resources are in force on every live host.
     timeout : float
         Longest wait in seconds.
     regroup : bool
-        Accept that callers change their client group: they move at once, outside the
-        shift cap.
+        Accept that callers change their client group. They move at once, and the
+        shift cap does not limit that.
     """
     data = settings.read_json("/dev/stdin" if file == "-" else file)
     documents = read_documents(data, file)
@@ -83,7 +83,7 @@
     kind : str
         SteeringPolicy, ShiftCap, BackendPool, Drain, Plan or Report.
     *names : str
-        Only these.
+        Show only the resources with these names.
     platform : str
         IP:PORT of the platform.
     output
@@ -130,7 +130,7 @@
     Parameters
     ----------
     *kinds : str
-        Only these kinds; by default all that operators write, and plans.
+        Print only these kinds; by default all kinds that operators write, and plans.
     platform : str
         IP:PORT of the platform.
     """
@@ -153,22 +153,22 @@
     wait: bool = False,
     timeout: float = 600.0,
 ) -> None:
-    """Plan a stop: no new work goes there, what is in flight is finished.
+    """Drain before a planned stop: no new requests go there, those in flight finish.
 
     Example: lacewingcross drain server booking-3 --wait
 
     Parameters
     ----------
     target
-        What is drained.
+        Type of the drained target.
     value : str
-        Its id.
+        Id of the target.
     service : str
-        Only for this service; by default for all.
+        Drain the target for this service only; by default for all services.
     platform : str
         IP:PORT of the platform.
     wait : bool
-        Return only when it is idle.
+        Return only when the target is idle.
     timeout : float
         Longest wait in seconds.
     """
@@ -200,16 +200,16 @@
     *,
     platform: str = "",
 ) -> None:
-    """Take back a planned stop; the backend server ramps up again.
+    """End a drain; the traffic of a backend server ramps up again.
 
     Example: lacewingcross undrain server booking-3
 
     Parameters
     ----------
     target
-        What was drained.
+        Type of the drained target.
     value : str
-        Its id.
+        Id of the target.
     platform : str
         IP:PORT of the platform.
     """
@@ -224,9 +224,9 @@
     Parameters
     ----------
     kind : str
-        Its kind.
+        Kind of the resource.
     name : str
-        Its name.
+        Name of the resource.
     platform : str
         IP:PORT of the platform.
     """
@@ -246,7 +246,7 @@
     platform: str = "",
     output: Output = "table",
 ) -> None:
-    """Show why a caller goes where it goes.
+    """Show each step that decides where a caller's requests go.
 
     Example: lacewingcross explain calendar --address 10.1.2.3
 
@@ -283,7 +283,7 @@
 
 
 def export(*, platform: str = "") -> None:
-    """Print all operators' resources as a file that "apply -f" takes.
+    """Print all resources that operators write, in a form that "apply -f" accepts.
 
     Example: lacewingcross export > backup.json
 
@@ -306,7 +306,7 @@
 def check_config(
     file: str, *, what: Literal["host", "platform", "backend", "resources"] = "host"
 ) -> None:
-    """Check a settings or resource file without using it.
+    """Check a settings or resource file without applying it.
 
     Example: lacewingcross check-config host-1.json
 
@@ -315,7 +315,7 @@
     file : str
         JSON file.
     what
-        What the file holds.
+        Type of the file's content.
     """
     loaders = {
         "host": settings.load_host,
--- a/lacewingcross/cli/servers.py
+++ b/lacewingcross/cli/servers.py
@@ -1,4 +1,4 @@
-"""The command that shows what backend servers ask of a host."""
+"""The command that shows what backend servers request of a host in their answers."""
 
 from .metrics_page import fetch_page, figures_by_name
 from .output import Output, print_rows
@@ -15,16 +15,19 @@
 
 
 def servers(*, url: str, output: Output = "table") -> None:
-    """Show the backend servers that ask for something in their answers, at one host.
+    """Show the limits, back-offs and departures that servers announce to one host.
 
-    `of it here` is the host's own share of the limit; `leaves` is by a server's word.
+    `limit a second` is the rate limit that a backend server names, `of it here` the
+    host's own share of that limit. `leaves` is 1 for a server that announces that it
+    is shutting down. `rests, s` is the remaining time of a back-off that the server
+    requested, in seconds.
 
     Example: lacewingcross servers --url http://10.1.0.34:9464/metrics
 
     Parameters
     ----------
     url : str
-        The host's metrics page.
+        Address of the host's metrics page.
     output
         Form of the output.
     """
@@ -32,7 +35,7 @@
 
 
 def rows_of(page: str) -> list[Row]:
-    """Return a row for each server in a metrics page that asks for something."""
+    """Return a row for each server in a metrics page that has one of these metrics."""
     return [
         (name, *figures) for name, figures in figures_by_name(page, COLUMN_PREFIXES)
     ]
--- a/lacewingcross/cli/status.py
+++ b/lacewingcross/cli/status.py
@@ -1,4 +1,4 @@
-"""The command that shows what is desired and what is in force."""
+"""The command that shows the desired configuration and the one in force."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 
 def status(*, platform: str = "", output: Output = "table") -> None:
-    """Show what is desired, what is in force on each host, and why not yet.
+    """Show the desired resources, where each is in force, and why not yet elsewhere.
 
     Example: lacewingcross status
 
@@ -29,7 +29,21 @@
 
 @dataclass(slots=True)
 class _Reported:
-    """What the failure domains' reports say, put together."""
+    """The content of all failure domains' reports, merged.
+
+    Attributes
+    ----------
+    hosts : dict of str to dict
+        State, revision and lag of each host.
+    last_refusals : dict of str to str
+        Reason of the last refusal for each service.
+    rejected : dict of str to str
+        Reason for each resource that hosts rejected.
+    leaving : dict of str to int
+        Requests in flight on each leaving backend server.
+    loads : dict of str to dict
+        Load of each service and region.
+    """
 
     hosts: dict[str, dict] = field(default_factory=dict)
     last_refusals: dict[str, str] = field(default_factory=dict)
@@ -38,7 +52,7 @@
     loads: dict[str, dict] = field(default_factory=dict)
 
     def add(self, spec: object) -> None:
-        """Take in one report."""
+        """Merge one report into this one."""
         for name in self.__slots__:
             part = spec.get(name) if isinstance(spec, dict) else None
             getattr(self, name).update(part or {})
--- a/lacewingcross/standins/__init__.py
+++ b/lacewingcross/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems around us, each with fault switches, for tests."""
+"""Stand-ins for the platform and backend servers, with fault switches, for tests."""
--- a/lacewingcross/standins/backend.py
+++ b/lacewingcross/standins/backend.py
@@ -1,4 +1,4 @@
-"""Stand-in for a backend server: slots, shedding, drain, lies and a ledger."""
+"""Stand-in for a backend server: slots, shedding, drain, false reports and a ledger."""
 
 import asyncio
 import json
@@ -24,7 +24,19 @@
 
 @dataclass(slots=True)
 class LedgerEntry:
-    """What happened to one request here."""
+    """One request that took a slot, and how it ended.
+
+    Attributes
+    ----------
+    request_id, caller, method : str
+        From the head of the request.
+    started : float
+        Monotonic time in seconds.
+    state : {"running", "done", "cancelled"}
+        ``done`` once the service time is over, even if the answer is lost.
+    body_bytes : int
+        Size of the request's body as far as it was read.
+    """
 
     request_id: str
     caller: str
@@ -35,7 +47,29 @@
 
 
 class FaultSwitches:
-    """Faults set by tests through ``POST /control``."""
+    """Faults that tests set through ``POST /control``.
+
+    Attributes
+    ----------
+    draining : bool
+        The health page reports ``draining``.
+    fail_fast : bool
+        Every request is answered 500 at once.
+    lie_health : str
+        State that the health page reports instead of the true one, if not empty.
+    lie_load : int
+        Number of busy slots that the load page reports instead of the true one, if
+        not negative.
+    lose_answer : int
+        Number of further requests that run, and whose connection is then broken
+        instead of answered.
+    service_ms : float
+        Mean service time in milliseconds.
+    shed_all : bool
+        Every request is refused as not run.
+    truncate : int
+        Number of further answers whose connection is broken after half of the body.
+    """
 
     __slots__ = (
         "draining",
@@ -59,7 +93,7 @@
         self.service_ms = cfg.service_ms
 
     def set(self, data: object) -> None:
-        """Take over the switches named in `data`."""
+        """Set the switches named in `data`; the others keep their values."""
         reader = Reader(data, "switches", ResourceError)
         self.draining = reader.boolean("draining", self.draining)
         self.fail_fast = reader.boolean("fail_fast", self.fail_fast)
@@ -76,7 +110,8 @@
     """A backend server with a fixed number of slots.
 
     It answers any request with JSON that names the request, its caller and the
-    size of its body, so that a crossed or short answer shows.
+    size of its body, so that a test can detect an answer to another request and a
+    truncated answer.
 
     Parameters
     ----------
@@ -227,7 +262,13 @@
         await self._answer(exchange, entry)
 
     async def _wait_service(self, exchange: Exchange) -> None:
-        """Work for the service time; stop early when the caller cancels."""
+        """Wait for the service time, at most until the request's deadline.
+
+        Raises
+        ------
+        CallerGoneError
+            If the caller cancels before that.
+        """
         caller_gone = asyncio.get_running_loop().create_future()
         exchange.on_gone = lambda: caller_gone.done() or caller_gone.set_result(None)
         deadline = hd.milliseconds(exchange.head.headers, hd.DEADLINE_MS)
--- a/lacewingcross/standins/object_store.py
+++ b/lacewingcross/standins/object_store.py
@@ -13,17 +13,17 @@
 
 PREFIX = "/v1/objects/"
 PAGE = 500
-# Room for a value of a megabyte and what is written around it.
+# Room for a value of one MiB and the JSON around it.
 MAX_BODY_BYTES = (1 << 20) + 4096
-# A silent store answers nothing for longer than anybody waits, in seconds.
+# How long a silent store holds a call, in seconds: longer than any caller waits.
 SILENT_S = 3600.0
-# Deleted objects that a kind remembers for its watches before it drops its history.
+# Deletions that the store keeps for watches before it compacts its history.
 MAX_DELETED_KEPT = 5000
 
 
 @dataclass(slots=True)
 class StoredObject:
-    """One object and when it was last changed."""
+    """One object, with the revisions of its creation and its last change."""
 
     name: str
     revision: int
@@ -33,7 +33,7 @@
     deleted: bool = False
 
     def as_data(self) -> dict:
-        """Return the object as the store spells it."""
+        """Return the object in the JSON form of the object API."""
         return {
             "metadata": {
                 "name": self.name,
@@ -49,11 +49,22 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What the store does wrong, for all callers.
+    """Faults of the store, for all callers.
 
-    `down` is ``busy`` (503), ``many`` (429), ``reset``, ``silent`` or empty;
-    `lost_writes` are done and not answered, or the next `lose_answers` of them only.
-    Readings that may be stale are as of `stale_since`, a revision, if that is set.
+    Attributes
+    ----------
+    down : {"", "busy", "many", "reset", "silent"}
+        How each call fails: answered 503, answered 429, connection reset, or no
+        answer. Empty for no fault.
+    slow_s : float
+        Delay of each call in seconds.
+    lost_writes : bool
+        Every write is carried out and not answered.
+    lose_answers : int
+        The next so many writes are carried out and not answered.
+    stale_since : int
+        A revision. If it is set, a listing that may be stale lacks the objects that
+        were created after this revision.
     """
 
     down: str = ""
@@ -63,7 +74,7 @@
     stale_since: int = 0
 
     def lose_answer(self) -> bool:
-        """Tell whether the answer to one more write is lost, and count it."""
+        """Return whether the answer to a write is lost, and count it if it is."""
         if self.lose_answers > 0:
             self.lose_answers -= 1
             return True
@@ -72,14 +83,20 @@
 
 @dataclass(slots=True)
 class ObjectStoreStandin:
-    """A store in memory, served on loopback.
+    """An object store in memory, served on the loopback address.
 
     Parameters
     ----------
     now : callable
         Monotonic clock in seconds.
     page : int
-        Objects in one answer to a list call.
+        Maximum number of objects in one answer to a list call.
+    revision : int
+        Revision of the last change.
+    faults : Faults
+        Faults that are switched on.
+    calls : int
+        Number of API calls so far.
     """
 
     now: Callable[[], float]
@@ -102,8 +119,6 @@
         """Stop listening."""
         await self._server.close()
 
-    # What operators and backend servers write
-
     def put(self, kind: str, name: str, spec: object) -> int:
         """Create or replace an object; return its revision."""
         stored = self._objects.setdefault(kind, {}).get(name)
@@ -117,7 +132,7 @@
         return self.revision
 
     def delete(self, kind: str, name: str) -> None:
-        """Remove an object."""
+        """Delete an object, and keep its deletion for the watches."""
         stored = self._objects.get(kind, {}).get(name)
         if stored is None or stored.deleted:
             return
@@ -130,7 +145,7 @@
         self.wake_watches()
 
     def compact(self) -> None:
-        """Forget the history; watches from before it get 410."""
+        """Drop the history; a watch from an older revision is answered 410."""
         self._compacted = self.revision
         self._deleted = 0
         for objects in self._objects.values():
@@ -144,7 +159,7 @@
         return sorted(obj.name for obj in objects if not obj.deleted)
 
     def _names_seen(self, kind: str, *, stale: bool) -> list[str]:
-        """Return the names in a listing; a stale one lacks what was made later."""
+        """Return the names in a listing; a stale one lacks objects created later."""
         since = self.faults.stale_since
         names = self.names(kind)
         if not (stale and since):
@@ -153,12 +168,10 @@
         return [name for name in names if objects[name].create_revision <= since]
 
     def wake_watches(self) -> None:
-        """Let the waiting watches look again."""
+        """Make the waiting watches check for changes and faults."""
         self._changed.set()
         self._changed = asyncio.Event()
 
-    # Calls
-
     async def handle(self, exchange: Exchange) -> None:
         """Answer one call of the object API."""
         self.calls += 1
@@ -194,7 +207,7 @@
             await self._write(exchange, (kind, name), data.get("spec"), expected)
 
     async def send_fault(self, exchange: Exchange) -> bool:
-        """Answer a call as an outage would; return whether there is one."""
+        """Fail a call as `Faults.down` says; return whether a fault is set."""
         down = self.faults.down
         if down == "silent":
             await asyncio.sleep(SILENT_S)
--- a/lacewingcross/standins/platform.py
+++ b/lacewingcross/standins/platform.py
@@ -20,12 +20,12 @@
 
 
 class PlatformStandin:
-    """The platform as hosts and operators see it.
+    """The platform as entry hosts and operators see it.
 
     Parameters
     ----------
     cfg : PlatformSettings
-        Address, known hosts and the lag of their list.
+        Address, known hosts and the lag of the host list.
     clock : Clock, optional
         Source of time.
     """
@@ -59,7 +59,10 @@
         await self.server.close()
 
     async def _publish(self) -> None:
-        """Publish the host list with its lag."""
+        """Publish each state of the host list after the configured lag.
+
+        While the `freeze_list` switch is set, the last published list stays.
+        """
         while True:
             host_list = self._host_list()
             await asyncio.sleep(max(0.05, self._cfg.list_lag_s))
@@ -74,7 +77,7 @@
         return {"hosts": hosts, "leaving_servers": sorted(self._leaving_servers)}
 
     def add_host(self, known: KnownHost) -> None:
-        """Add a host to the list."""
+        """Add a host to the host list as live."""
         self._hosts[known.host_id] = known
         self._states[known.host_id] = "live"
 
@@ -113,11 +116,11 @@
         elif control_name == "leaving-servers":
             self._leaving_servers = set(data["servers"])
         else:
-            raise UserError("not-found", "unknown control")
+            raise UserError("not-found", "unknown control call")
         await send_json(exchange, 200, {"ok": True})
 
     def _control_faults(self, data: object) -> None:
-        """Take over the switches named in `data`; the others stay."""
+        """Set the fault switches named in `data`; the others keep their values."""
         faults = self.objects.faults
         reader = Reader(data, "faults", ResourceError)
         outage = reader.boolean("outage", faults.down == "busy")
