--- a/tests/processes.py
+++ b/tests/processes.py
@@ -80,13 +80,13 @@
         self._dir.cleanup()
         self.operator.platform.close()
 
-    def spawn(self, name: str, words: list[str], cfg) -> None:
+    def spawn(self, name: str, args: list[str], cfg) -> None:
         """Start one process with its settings file."""
         path = Path(self._dir.name) / f"{name}.json"
         path.write_text(json.dumps(as_data(cfg)))
         log = open(Path(self._dir.name) / f"{name}.log", "ab")  # noqa: SIM115
         self._running[name] = subprocess.Popen(
-            [sys.executable, "-m", "lacewingcross", *words, "--cfg", str(path)],
+            [sys.executable, "-m", "lacewingcross", *args, "--cfg", str(path)],
             stderr=log,
             stdout=log,
             env={**os.environ, "PYTHONUNBUFFERED": "1"},
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -30,12 +30,14 @@
             return
         host, _, port = self.target.rpartition(":")
         try:
-            there = await asyncio.open_connection(host, int(port))
+            target_stream = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, there[1]}
-        await asyncio.gather(self._pump(reader, there[1]), self._pump(there[0], writer))
+        self._writers |= {writer, target_stream[1]}
+        await asyncio.gather(
+            self._pump(reader, target_stream[1]), self._pump(target_stream[0], writer)
+        )
 
     async def _pump(self, reader, writer):
         try:
--- a/tests/test_attempts_processes.py
+++ b/tests/test_attempts_processes.py
@@ -11,7 +11,7 @@
 from .processes import Processes, small_layout, until
 
 
-def _runs(ledger):
+def _run_counts(ledger):
     return Counter(item["request_id"] for item in ledger)
 
 
@@ -32,7 +32,7 @@
             "GET", "/booking/a", service="booking", request_id="get"
         )
         caller.close()
-        return post, get, _runs(await procs.ledgers())
+        return post, get, _run_counts(await procs.ledgers())
 
 
 def test_lost_answer_is_unknown_for_a_booking_and_retried_for_a_read():
@@ -56,7 +56,7 @@
             "POST", "/booking/a", service="booking", body=b"x", request_id="post"
         )
         caller.close()
-        return post, _runs(await procs.ledgers())
+        return post, _run_counts(await procs.ledgers())
 
 
 def test_short_answer_never_passes_as_whole():
@@ -94,7 +94,7 @@
                 for num, address in enumerate((first, second))
             )
         )
-        return answers, _runs(await procs.ledgers())
+        return answers, _run_counts(await procs.ledgers())
 
 
 def test_key_that_arrives_at_two_hosts_runs_once():
@@ -119,10 +119,10 @@
     async with Processes(small_layout()) as procs:
         await procs.faults(outage=True)
         refused = await _send_keyed(procs.entries()[0], "r1", "k")
-        before = _runs(await procs.ledgers())
+        before = _run_counts(await procs.ledgers())
         await procs.faults(outage=False)
         again = await _send_keyed(procs.entries()[1], "r2", "k")
-        return refused, before, again, _runs(await procs.ledgers())
+        return refused, before, again, _run_counts(await procs.ledgers())
 
 
 def test_keyed_booking_in_an_outage_is_refused_and_runs_later():
@@ -144,7 +144,7 @@
     async with Processes(small_layout()) as procs:
         await procs.faults(lose_answers=1)
         answer = await _send_keyed(procs.entries()[0], "r1", "k")
-        return answer, _runs(await procs.ledgers())
+        return answer, _run_counts(await procs.ledgers())
 
 
 def test_claim_whose_answer_was_lost_still_counts_as_ours():
--- a/tests/test_caps_processes.py
+++ b/tests/test_caps_processes.py
@@ -19,11 +19,13 @@
     loop = asyncio.get_running_loop()
     while not stop.is_set():
         for cfg in procs.layout.hosts:
-            asked = loop.time()
+            read_start = loop.time()
             status = await procs.fetch(cfg.operators, "/status")
             if status and status["plans"]:
                 groups = status["plans"]["booking"]
-                samples.setdefault(cfg.host_id, []).append((asked, loop.time(), groups))
+                samples.setdefault(cfg.host_id, []).append(
+                    (read_start, loop.time(), groups)
+                )
         await asyncio.sleep(SAMPLE_S)
 
 
@@ -33,18 +35,20 @@
     return sum(count for count in gained.values() if count > 0)
 
 
-def _most_moved(samples):
+def _max_moved(samples):
     """Return the most buckets of a group moved on a host within a window."""
-    most = 0
+    max_moved = 0
     for series in samples.values():
-        for index, (asked, _, groups) in enumerate(series):
-            for _, answered, later_groups in series[index + 1 :]:
+        for index, (read_start, _, groups) in enumerate(series):
+            for _, read_end, later_groups in series[index + 1 :]:
                 # However slow the readings were, these two lie within the window.
-                if answered - asked > WINDOW_S:
+                if read_end - read_start > WINDOW_S:
                     break
                 for name, counts in groups.items():
-                    most = max(most, _moved(counts, later_groups.get(name, counts)))
-    return most
+                    max_moved = max(
+                        max_moved, _moved(counts, later_groups.get(name, counts))
+                    )
+    return max_moved
 
 
 async def _shift(disturb):
@@ -88,7 +92,7 @@
     raise AssertionError("no planner")
 
 
-async def _nothing(_procs):
+async def _no_disturbance(_procs):
     pass
 
 
@@ -111,13 +115,13 @@
 
 def _check(disturb):
     samples = asyncio.run(_shift(disturb))
-    most = _most_moved(samples)
-    assert 0 < most <= CAP_BUCKETS
+    max_moved = _max_moved(samples)
+    assert 0 < max_moved <= CAP_BUCKETS
 
 
 def test_operator_shift_stays_under_the_cap():
     """An operator sends all traffic south; the cap is 10% in any two seconds."""
-    _check(_nothing)
+    _check(_no_disturbance)
 
 
 def test_cap_holds_when_the_planner_is_killed():
--- a/tests/test_commands_processes.py
+++ b/tests/test_commands_processes.py
@@ -8,13 +8,13 @@
 from .processes import Processes, small_layout, until
 
 
-async def _run(procs, *words, stdin=None):
+async def _run(procs, *args, stdin=None):
     """Run one command; return its exit status, output and errors."""
     proc = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "lacewingcross",
-        *words,
+        *args,
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
@@ -47,9 +47,9 @@
         (item,) = json.loads(out)["items"]
         assert item["spec"] == spec
 
-        raced = {**item, "version": item["version"] - 1}
+        outdated = {**item, "version": item["version"] - 1}
         status, _, err = await _run(
-            procs, "apply", "-f", "-", stdin=json.dumps(raced).encode()
+            procs, "apply", "-f", "-", stdin=json.dumps(outdated).encode()
         )
         assert status == 1
         assert "conflict" in err
@@ -94,16 +94,16 @@
         explained = json.loads(out)
         assert (explained["group"], explained["region"]) == ("south", "south")
         assert explained["entry_hosts"][0].endswith("(south)")
-        for words in (
+        for args in (
             ("explain", "nobody", "--address", "10.2.0.9"),
             ("explain", "booking"),
             ("get", "nonsense"),
             ("delete", "drain", "nothing"),
             ("apply", "-f", str(folder / "missing.json")),
         ):
-            status, _, err = await _run(procs, *words)
-            assert status == 1, words
-            assert err.startswith("error: "), words
+            status, _, err = await _run(procs, *args)
+            assert status == 1, args
+            assert err.startswith("error: "), args
 
         watcher = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -131,13 +131,13 @@
         host = procs.layout.hosts[0]
         procs.kill("host-2")
 
-        async def says_why():
+        async def reason_names_host():
             _, out, _ = await _run(procs, "drain", "server", "booking-3")
             _, out, _ = await _run(procs, "status", "-o", "json")
             rows = {row["resource"]: row for row in json.loads(out)["resources"]}
             return "host-2" in rows["Drain/server-booking-3"]["why_not"]
 
-        await until(says_why)
+        await until(reason_names_host)
         return host.host_id
 
 
--- a/tests/test_keepers_processes.py
+++ b/tests/test_keepers_processes.py
@@ -44,7 +44,7 @@
             procs.kill(keeper)
         else:
             procs.signal(keeper, signum)
-        at = len(answers)
+        answers_before = len(answers)
         await asyncio.sleep(RUN_S / 2)
         if signum == signal.SIGSTOP:
             procs.signal(keeper, signal.SIGCONT)
@@ -52,20 +52,20 @@
         stop.set()
         await asyncio.gather(*tasks)
         ledger = await procs.ledgers()
-        return answers, at, Counter(item["request_id"] for item in ledger)
+        return answers, answers_before, Counter(item["request_id"] for item in ledger)
 
 
 def _fields(cfg):
     return {name: getattr(cfg, name) for name in cfg.__slots__}
 
 
-def _check(answers, at, ran):
+def _check(answers, answers_before, run_counts):
     outcomes = Counter(answer.outcome for _, answer in answers)
     for request_id, answer in answers:
-        assert ran[request_id] <= 1, request_id
+        assert run_counts[request_id] <= 1, request_id
         if answer.outcome == NOT_RUN:
-            assert ran[request_id] == 0, (request_id, answer)
-    after = [answer for _, answer in answers[at:]]
+            assert run_counts[request_id] == 0, (request_id, answer)
+    after = [answer for _, answer in answers[answers_before:]]
     assert sum(a.outcome == ANSWERED for a in after) > 100, outcomes
 
 
--- a/tests/test_leaving_processes.py
+++ b/tests/test_leaving_processes.py
@@ -58,7 +58,7 @@
     return answers, settled, later, ledger
 
 
-async def _drain_three_ways(how):
+async def _drain_under_load(trigger):
     async with Processes(small_layout()) as procs:
         server = procs.layout.backends[0].server_id
 
@@ -73,8 +73,8 @@
             data = {"servers": [server]}
             await procs.fetch(address, "/control/leaving-servers", data)
 
-        ways = {"operator": by_operator, "signal": by_signal, "list": by_list}
-        return await _under_load(procs, ways[how])
+        triggers = {"operator": by_operator, "signal": by_signal, "list": by_list}
+        return await _under_load(procs, triggers[trigger])
 
 
 def _check(result):
@@ -91,17 +91,17 @@
     What a user would see otherwise: work cut when the server stops. Once the keeper
     knows, nothing new may start there, and what ran must have ended whole.
     """
-    _check(asyncio.run(_drain_three_ways("operator")))
+    _check(asyncio.run(_drain_under_load("operator")))
 
 
 def test_drained_server_gets_no_new_work_by_its_own_signal():
     """A backend server says in its health answer that it is draining."""
-    _check(asyncio.run(_drain_three_ways("signal")))
+    _check(asyncio.run(_drain_under_load("signal")))
 
 
 def test_drained_server_gets_no_new_work_by_the_platform_list():
     """The platform's lagging list names a backend server as leaving."""
-    _check(asyncio.run(_drain_three_ways("list")))
+    _check(asyncio.run(_drain_under_load("list")))
 
 
 async def _drain_while(disturb):
@@ -199,7 +199,7 @@
 @pytest.mark.parametrize(
     "disturb",
     [_undisturbed, _platform_goes, _kill_another_host],
-    ids=lambda way: way.__name__.strip("_"),
+    ids=lambda function: function.__name__.strip("_"),
 )
 def test_sigterm_cuts_no_upload_and_leaves_lookups_first(disturb):
     """A yard uploads a video through a host that is told to stop.
--- a/tests/test_partitions_processes.py
+++ b/tests/test_partitions_processes.py
@@ -40,9 +40,9 @@
                 await procs.faults(outage=True)
             for relay in relays.values():
                 relay.set_cut(True)
-            at = len(answers)
+            answers_before = len(answers)
             await asyncio.sleep(4.0)
-            during = answers[at:]
+            during = answers[answers_before:]
             for relay in relays.values():
                 relay.set_cut(False)
             await procs.faults(outage=False)
@@ -72,13 +72,13 @@
     host keeps its own region's slots; backend servers shed what is too much.
     """
     answers, during, ledger = asyncio.run(_cut(outage))
-    ran = Counter(item["request_id"] for item in ledger)
+    run_counts = Counter(item["request_id"] for item in ledger)
     outcomes = Counter(answer.outcome for _, answer in during)
     assert outcomes[ANSWERED] > 0.8 * len(during), outcomes
     for request_id, answer in answers:
-        assert ran[request_id] <= 1
+        assert run_counts[request_id] <= 1
         if answer.outcome == NOT_RUN:
-            assert ran[request_id] == 0
+            assert run_counts[request_id] == 0
 
 
 async def _frozen_holder():
@@ -109,14 +109,14 @@
     run twice after being given up elsewhere.
     """
     answers, ledger = asyncio.run(_frozen_holder())
-    ran = Counter(item["request_id"] for item in ledger)
+    run_counts = Counter(item["request_id"] for item in ledger)
     for request_id, answer in answers:
-        assert ran[request_id] <= 1
+        assert run_counts[request_id] <= 1
         if answer.outcome == NOT_RUN:
-            assert ran[request_id] == 0, (request_id, answer)
+            assert run_counts[request_id] == 0, (request_id, answer)
 
 
-async def _replace_everybody():
+async def _replace_all_hosts():
     layout = small_layout()
     async with Processes(layout) as procs:
         applied = await procs.operator.apply(
@@ -143,4 +143,4 @@
 
 def test_fleet_whose_hosts_are_all_replaced_serves_again():
     """Every host dies at once; nothing is left but the platform."""
-    assert asyncio.run(_replace_everybody()) == 3
+    assert asyncio.run(_replace_all_hosts()) == 3
