--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Starts a deployment as real processes for tests and ends only those."""
+"""Starts a deployment as real processes for tests, and ends only these processes."""
 
 import asyncio
 import dataclasses
@@ -30,7 +30,10 @@
 
 
 def small_layout(**options) -> Layout:
-    """Three hosts in different failure domains and four backend servers."""
+    """Return a layout of three hosts and four backend servers.
+
+    Each host is in a region and a failure domain of its own.
+    """
     layout = lay_out(SMALL, Ports(free_ports()), log_level="WARNING", **options)
     domains = ["north-1", "south-1", "west-1"]
     for index, (domain, cfg) in enumerate(zip(domains, layout.hosts, strict=False)):
@@ -47,7 +50,7 @@
 
 
 class Processes:
-    """A layout's platform, hosts and backend servers, each a process."""
+    """The platform, hosts and backend servers of a layout, each as a process."""
 
     def __init__(self, layout: Layout, ssl=None) -> None:
         self.layout = layout
@@ -102,7 +105,7 @@
         self._running[name].send_signal(signum)
 
     def kill(self, name: str) -> None:
-        """SIGKILL one process."""
+        """Kill one process with SIGKILL and wait for its end."""
         proc = self._running.pop(name)
         proc.kill()
         proc.wait()
@@ -114,7 +117,7 @@
         return self._running.pop(name).returncode
 
     def alive(self, name: str) -> bool:
-        """Tell whether a process still runs."""
+        """Return whether a process still runs."""
         return self._running[name].poll() is None
 
     async def platform_ready(self) -> None:
@@ -125,8 +128,8 @@
     async def backends_ready(self) -> None:
         """Wait until every backend server answers.
 
-        Failure: on a busy machine hosts are ready before the servers listen; a test
-        that then reads a server's ledger gets nothing and fails.
+        Failure: on a busy machine, hosts are ready before the backend servers listen.
+        A test that reads a server's ledger then gets no answer and fails.
         """
         for cfg in self.layout.backends:
             await until(lambda cfg=cfg: self.fetch(cfg.listen, "/control/ledger"))
@@ -139,7 +142,10 @@
         return True
 
     async def fetch(self, address: str, target: str, data: object = None, ssl=None):
-        """Return the JSON answer of a GET, or of a POST when `data` is given."""
+        """Return the JSON answer of a GET, or of a POST when `data` is given.
+
+        None means that there was no answer, or that it was not JSON.
+        """
         client = HttpClient(address, ssl)
         try:
             if data is None:
@@ -154,7 +160,7 @@
             client.close()
 
     async def ledgers(self) -> list[dict]:
-        """Return every entry that the backend servers still running have kept."""
+        """Return the ledger entries of all backend servers that still run."""
         entries = []
         for cfg in self.layout.backends:
             if cfg.server_id in self._running:
@@ -182,7 +188,10 @@
 
 
 async def book(procs, num, stop, answers, *, regions=3, pause_s=0.0, deadline_s=10.0):
-    """Send bookings one after the other until `stop`; keep (request id, answer)."""
+    """Send bookings in sequence until `stop` is set.
+
+    Each booking adds (request id, answer) to `answers`.
+    """
     caller = Caller(
         procs.entries(),
         caller_id=f"c{num}",
@@ -206,7 +215,7 @@
 
 
 async def until(condition, timeout_s: float = WAIT_S) -> None:
-    """Wait until `condition` (plain or coroutine function) gives a true value."""
+    """Wait until `condition`, a plain or a coroutine function, returns a true value."""
     async with asyncio.timeout(timeout_s):
         while True:
             value = condition()
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,11 +1,11 @@
-"""A TCP relay in front of a host's peer port, which tests can cut."""
+"""A TCP relay in front of a host's peer port, which a test can cut."""
 
 import asyncio
 import dataclasses
 
 
 class Relay:
-    """Passes bytes on until it is cut; a cut drops and refuses connections."""
+    """Forwards bytes; while it is cut, it drops and refuses all connections."""
 
     def __init__(self, listen, target):
         self.listen = listen
@@ -56,7 +56,7 @@
 
 
 async def put_relays(layout, ports):
-    """Put a relay before each host's peer port; return them by host id."""
+    """Put a relay in front of each host's peer port; return the relays by host id."""
     relays = {}
     for index, cfg in enumerate(layout.hosts):
         inner = ports.take()
--- a/tests/test_accounts_command.py
+++ b/tests/test_accounts_command.py
@@ -1,4 +1,4 @@
-"""The command that shows what a host admitted of each account."""
+"""The command that shows how many requests of each account a host admitted."""
 
 import asyncio
 
--- a/tests/test_attempts_processes.py
+++ b/tests/test_attempts_processes.py
@@ -1,4 +1,4 @@
-"""Attempts under lost, short and doubled traffic, with real processes."""
+"""Attempts with lost, truncated and duplicate messages, with real processes."""
 
 import asyncio
 import json
@@ -36,10 +36,11 @@
 
 
 def test_lost_answer_is_unknown_for_a_booking_and_retried_for_a_read():
-    """A backend server runs a booking and its connection breaks before the answer.
+    """A backend server runs a booking, and its connection breaks before the answer.
 
-    What a user would see: the class is booked twice if the host sends it again, or
-    told "not run" although it ran. A read may be sent again and is answered.
+    Guards against a booking that runs twice because the host sends it again, and
+    against the outcome "not run" for a booking that ran. A read may be sent again
+    and is answered.
     """
     post, get, runs = asyncio.run(_lost_answers())
     assert post.outcome == UNKNOWN
@@ -60,10 +61,10 @@
 
 
 def test_short_answer_never_passes_as_whole():
-    """A backend server dies in the middle of its answer's body.
+    """A backend server crashes in the middle of its answer's body.
 
-    What a user would see: half a confirmation taken for the whole one. The host has
-    sent the head on already, so it must break the caller's connection too.
+    Guards against a caller that takes half of a confirmation for the whole one. The
+    host has already forwarded the head, so it must break the caller's connection.
     """
     post, runs = asyncio.run(_truncated())
     assert post.outcome == UNKNOWN
@@ -98,11 +99,11 @@
 
 
 def test_key_that_arrives_at_two_hosts_runs_once():
-    """A teacher's browser sends one booking to two hosts in the same instant.
+    """A browser sends one booking to two hosts at the same time.
 
-    What a user would see: two bookings and two charges. Both hosts try to create
-    the claim of the key in the platform; one create fails, and that copy is told
-    that the key is taken, not that nothing ran.
+    Guards against two bookings and two charges. Both hosts try to create the claim
+    of the key in the platform. One create fails, and that host answers that the key
+    is taken, not that nothing ran.
     """
     answers, runs = asyncio.run(_keyed_twice())
     for key in ("k1", "k2", "k3", "k4"):
@@ -126,10 +127,10 @@
 
 
 def test_keyed_booking_in_an_outage_is_refused_and_runs_later():
-    """The platform is down when a keyed booking arrives.
+    """The platform is down when a booking with an idempotency key arrives.
 
-    What a user would see: a refusal that says "not run" and when to come back. The
-    claim cannot be made, so nothing is sent. After the outage the key is free.
+    The host cannot create the claim, so it sends nothing to a backend server and
+    refuses with "not run" and a time to retry after. After the outage the key is free.
     """
     refused, before, again, runs = asyncio.run(_keyed_outage())
     assert refused.status == 503
@@ -148,10 +149,10 @@
 
 
 def test_claim_whose_answer_was_lost_still_counts_as_ours():
-    """The platform stores a key's claim, and its answer is lost on the way.
+    """The platform stores the claim of a key, and its answer is lost.
 
-    What a user would see: the booking refused as a duplicate of itself. The write
-    is repeated with the same id, conflicts, and is recognised as our own.
+    Guards against a booking that is refused as a duplicate of itself. The host
+    repeats the write with the same id, gets a conflict, and recognises its own claim.
     """
     answer, runs = asyncio.run(_claim_answer_lost())
     assert answer.status == 200
@@ -180,8 +181,8 @@
 
 
 def test_cancellation_is_passed_on():
-    """A customer closes the page while the backend server works.
+    """A caller closes its connection while the backend server runs the request.
 
-    What a user would see otherwise: slots full of work that nobody waits for.
+    Guards against slots that are filled with requests whose callers have gone.
     """
     assert "gone" in asyncio.run(_caller_leaves())
--- a/tests/test_caps_processes.py
+++ b/tests/test_caps_processes.py
@@ -1,4 +1,4 @@
-"""Shift caps while planners die, freeze and race, with real processes."""
+"""Shift caps while planners crash, freeze or lose an answer, with real processes."""
 
 import asyncio
 import signal
@@ -15,7 +15,7 @@
 
 
 async def _sample(procs, samples, stop):
-    """Record each host's bucket counts, and between which times they were read."""
+    """Record each host's bucket counts, with the start and end time of the reading."""
     loop = asyncio.get_running_loop()
     while not stop.is_set():
         for cfg in procs.layout.hosts:
@@ -36,12 +36,13 @@
 
 
 def _max_moved(samples):
-    """Return the most buckets of a group moved on a host within a window."""
+    """Return the largest number of a group's buckets moved on a host in a window."""
     max_moved = 0
     for series in samples.values():
         for index, (read_start, _, groups) in enumerate(series):
             for _, read_end, later_groups in series[index + 1 :]:
-                # However slow the readings were, these two lie within the window.
+                # Both readings of a pair that is compared lie within one window, even
+                # if the readings were slow.
                 if read_end - read_start > WINDOW_S:
                     break
                 for name, counts in groups.items():
@@ -73,7 +74,7 @@
 
 
 def _progress(samples):
-    """Return the most buckets that the group north has in the south, anywhere."""
+    """Return how many buckets of group north any host has in the south, at most."""
     return max(
         (
             series[-1][2]["north"].get("south", 0)
@@ -120,24 +121,24 @@
 
 
 def test_operator_shift_stays_under_the_cap():
-    """An operator sends all traffic south; the cap is 10% in any two seconds."""
+    """An operator shifts all traffic south under a cap of 10% in any two seconds."""
     _check(_no_disturbance)
 
 
 def test_cap_holds_when_the_planner_is_killed():
-    """The planner dies in the middle of a shift and another host takes over.
+    """The planner crashes in the middle of a shift, and another host takes over.
 
-    What a user would see: the successor does not know what was moved a moment ago
-    and moves a second cap's worth onto cold caches.
+    Guards against a successor that does not know what was just moved, and moves the
+    capped fraction a second time within the window, onto servers with cold caches.
     """
     _check(_kill_planner)
 
 
 def test_cap_holds_when_the_planner_freezes_and_wakes():
-    """The planner is paused past the window and wakes believing it still plans."""
+    """The planner is paused past the window and still considers itself the planner."""
     _check(_freeze_planner)
 
 
 def test_cap_holds_when_a_plan_write_loses_its_answer():
-    """The platform takes a plan and its answer is lost; the step must not repeat."""
+    """The platform stores a plan and its answer is lost; the step must not repeat."""
     _check(_lose_plan_answer)
--- a/tests/test_commands_processes.py
+++ b/tests/test_commands_processes.py
@@ -1,4 +1,4 @@
-"""Operators' commands as a user runs them, against real processes."""
+"""The operators' commands, run as subprocesses against real processes."""
 
 import asyncio
 import json
@@ -9,7 +9,7 @@
 
 
 async def _run(procs, *args, stdin=None):
-    """Run one command; return its exit status, output and errors."""
+    """Run one command; return its exit status, standard output and standard error."""
     proc = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -25,7 +25,7 @@
 
 
 async def _limit_is(procs, pool, limit):
-    """Tell whether the reported load of a pool names a limit."""
+    """Return whether the reported load of a pool has this limit."""
     _, out, _ = await _run(procs, "status", "-o", "json")
     load = json.loads(out)["loads"].get(pool)
     return load is not None and load["limit"] == limit
@@ -81,7 +81,7 @@
         status, out, _ = await _run(procs, "status", "-o", "json")
         rows = {row["resource"]: row for row in json.loads(out)["resources"]}
         assert rows["ShiftCap/booking"]["in_force"] == "3/3"
-        # Loads are reported each five seconds; the commands so far may take less.
+        # Loads are reported every five seconds; the commands so far may take less.
         await until(lambda: _limit_is(procs, "booking/south", 3.0))
         status, out, _ = await _run(procs, "undrain", "server", "booking-1")
         assert status == 0
@@ -115,7 +115,7 @@
             procs.layout.platform.listen,
             stdout=asyncio.subprocess.PIPE,
         )
-        # The watch shows either the object that is there or the change that makes it.
+        # The watch prints the drain either as an existing object or as a change.
         await _run(procs, "drain", "server", "booking-2")
         async with asyncio.timeout(20):
             line = (await watcher.stdout.readline()).decode()
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -1,4 +1,4 @@
-"""Configuration under outages, lost answers and operator races."""
+"""Configuration with outages, lost answers and concurrent operators."""
 
 import asyncio
 import signal
@@ -44,8 +44,8 @@
 def test_hosts_that_start_in_an_outage_get_the_configuration_from_a_peer():
     """All hosts but one are replaced while the platform is down.
 
-    What a user would see: hosts that refuse everything for hours, or that serve
-    under an older configuration. The one that stayed has the accepted version.
+    Guards against hosts that refuse every request for hours, or that serve with an
+    older configuration. The host that stayed has the accepted version.
     """
     assert asyncio.run(_restart_in_outage()).outcome == ANSWERED
 
@@ -61,10 +61,11 @@
 
 
 def test_apply_whose_answer_is_lost_is_reported_as_it_happened():
-    """The store takes the write and its answer is lost.
+    """The store carries out a write, and its answer is lost.
 
-    What an operator would see: "failed" for a change that is in force, or a
-    conflict with himself. The version reported must be the one stored.
+    Guards against the report "failed" for a change that is in force, and against a
+    conflict of an operator with their own write. The reported version must be the
+    stored one.
     """
     applied, stored = asyncio.run(_ambiguous_apply())
     assert applied.version == stored.version
@@ -89,7 +90,7 @@
 def test_operator_who_loses_a_race_is_told_who_won_and_what_differs():
     """Two operators edit the same shift cap, both from the same version.
 
-    What an operator would see: the other's change gone without a word.
+    Guards against one operator's change being overwritten without notice.
     """
     exc, stored = asyncio.run(_race())
     assert exc.code == "conflict"
@@ -108,7 +109,7 @@
 
 @pytest.mark.parametrize("fault", ["outage", "stall"])
 def test_requests_are_served_while_the_platform_is_away(fault):
-    """The platform refuses or hangs for long; requests need nothing from it."""
+    """The platform refuses or does not answer; requests do not depend on it."""
     answers = asyncio.run(_serve_through(**{fault: True}))
     assert all(answer.outcome == ANSWERED for answer in answers)
 
@@ -129,6 +130,6 @@
 
 
 def test_host_that_was_frozen_catches_up_and_never_goes_back():
-    """A host sleeps through two changes and wakes with the first one on its way."""
+    """A host is frozen during two changes; the first arrives when it runs again."""
     versions, revision = asyncio.run(_frozen_host_wakes())
     assert revision >= versions[-1]
--- a/tests/test_health_processes.py
+++ b/tests/test_health_processes.py
@@ -1,4 +1,4 @@
-"""Backend servers that lie or fail, and regions that are lost."""
+"""Backend servers with false reports or failures, and the loss of a region."""
 
 import asyncio
 import signal
@@ -31,10 +31,10 @@
 
 
 def test_server_that_fails_fast_with_a_low_load_does_not_draw_the_traffic():
-    """One of two servers answers 500 at once and reports health "ok", load 0.
+    """One of two servers answers 500 at once and reports health "ok" and load 0.
 
-    What a user would see: most requests fail, since the broken server always looks
-    the least busy. Its own answers must count for more than what it reports.
+    Guards against most requests failing because the broken server always looks the
+    least busy. Its answers must count for more than its reports.
     """
     answers = asyncio.run(_fail_fast())
     failed = sum(answer.status == 500 for answer in answers)
@@ -76,11 +76,12 @@
 
 
 def test_lost_region_is_moved_at_the_cap_and_the_rest_is_refused_as_not_run():
-    """All hosts and backend servers of a region die.
+    """All hosts and backend servers of a region crash.
 
-    What a user would see otherwise: all its callers thrown onto another region at
-    once, or requests that hang. What moved is answered; the rest is told at once
-    that nothing ran and when to come back. Other regions' callers notice nothing.
+    Guards against all its callers moving to another region at once, and against
+    requests that hang. Callers that have moved are answered. The others are refused
+    at once as not run, with a time to retry after. Callers of other regions are not
+    affected.
     """
     answers, south = asyncio.run(_region_lost())
     outcomes = Counter(answer.outcome for answer in answers)
@@ -106,7 +107,7 @@
 
 
 def test_frozen_server_is_ejected_after_a_few_timeouts():
-    """A backend server freezes: it takes connections and answers nothing."""
+    """A backend server freezes: it accepts connections and does not answer."""
     answers = asyncio.run(_freeze_server())
     answered = sum(answer.outcome == ANSWERED for answer in answers)
     assert answered >= 0.7 * len(answers), Counter(a.outcome for a in answers)
--- a/tests/test_keepers_processes.py
+++ b/tests/test_keepers_processes.py
@@ -1,4 +1,4 @@
-"""Slot keepers that die or freeze, with real processes."""
+"""Slot keepers that crash or freeze, with real processes."""
 
 import asyncio
 import signal
@@ -22,7 +22,7 @@
 async def _disturb_keeper(signum):
     layout = small_layout()
     for index, cfg in enumerate(layout.hosts):
-        # All three hosts in one region, so that its keeper can move.
+        # All three hosts are in one region, so that another can become its keeper.
         layout.hosts[index] = type(cfg)(
             **{**_fields(cfg), "region": "north", "failure_domain": f"north-{index}"}
         )
@@ -72,16 +72,16 @@
 def test_killed_keeper_is_replaced_and_nothing_runs_twice():
     """The host that keeps the region's slots is killed under load.
 
-    What a user would see: bookings that wait for ever for a permit, or that run
-    twice when both the old permit and a new one are used.
+    Guards against bookings that wait for a permit without end, and against bookings
+    that run twice because both the old permit and a new one are used.
     """
     _check(*asyncio.run(_disturb_keeper(signal.SIGKILL)))
 
 
 def test_frozen_keeper_is_replaced_and_wakes_harmlessly():
-    """The keeper freezes for three seconds, its leases lapse, and it wakes up.
+    """The keeper freezes for three seconds, its leases expire, and it runs again.
 
-    What a user would see: grants of the past used now, on slots that the successor
-    has given to others.
+    Guards against old grants of the keeper being used on slots that its successor
+    has granted to other requests.
     """
     _check(*asyncio.run(_disturb_keeper(signal.SIGSTOP)))
--- a/tests/test_leaving_processes.py
+++ b/tests/test_leaving_processes.py
@@ -1,4 +1,4 @@
-"""Planned stops with real processes: drains, signals and a host's shutdown."""
+"""Drains, draining signals and a host's shutdown, with real processes."""
 
 import asyncio
 import signal
@@ -22,7 +22,7 @@
 
 
 async def _leaving_seen(procs, server):
-    """Tell whether the slot keeper counts the server as leaving."""
+    """Return whether the slot keeper counts the server as leaving."""
     for cfg in procs.layout.hosts:
         status = await procs.fetch(cfg.operators, "/status")
         for keeper in status["keepers"] if status else []:
@@ -37,7 +37,14 @@
 
 
 async def _under_load(procs, action):
-    """Run `action` under load; return answers and the server's work afterwards."""
+    """Run `action` under load.
+
+    Returns
+    -------
+    tuple
+        All answers, the number of requests in the server's ledger soon after it is
+        counted as leaving and some time later, and its ledger at that later time.
+    """
     stop = asyncio.Event()
     answers = []
     tasks = [
@@ -47,7 +54,7 @@
     await action()
     server = procs.layout.backends[0].server_id
     await until(lambda: _leaving_seen(procs, server))
-    # Grants of a moment ago may still arrive; then nothing may start any more.
+    # Requests with a recent grant may still arrive. After that none may start.
     await asyncio.sleep(SETTLE_S)
     settled, _ = await _starts(procs)
     before = len(answers)
@@ -88,19 +95,20 @@
 def test_drained_server_gets_no_new_work_by_operator():
     """An operator drains a backend server under load.
 
-    What a user would see otherwise: work cut when the server stops. Once the keeper
-    knows, nothing new may start there, and what ran must have ended whole.
+    Guards against requests that are cut when the server stops. Once the keeper counts
+    the server as leaving, no request may start there, and those that ran must have
+    ended completely.
     """
     _check(asyncio.run(_drain_under_load("operator")))
 
 
 def test_drained_server_gets_no_new_work_by_its_own_signal():
-    """A backend server says in its health answer that it is draining."""
+    """A backend server reports in its health answer that it is draining."""
     _check(asyncio.run(_drain_under_load("signal")))
 
 
 def test_drained_server_gets_no_new_work_by_the_platform_list():
-    """The platform's lagging list names a backend server as leaving."""
+    """The platform's host list, which lags, names a backend server as leaving."""
     _check(asyncio.run(_drain_under_load("list")))
 
 
@@ -130,10 +138,10 @@
 
 
 def test_drain_holds_when_the_slot_keeper_dies():
-    """A backend server drains; then the host that keeps its region's slots dies.
+    """A backend server drains; then the host that keeps its region's slots crashes.
 
-    What a user would see: the successor gives the leaving server new work, which is
-    cut when it stops.
+    Guards against a successor that sends new requests to the leaving server, which
+    are cut when the server stops.
     """
     answers, settled, later, ledger = asyncio.run(_drain_while(_kill_keeper))
     assert later == settled
@@ -141,7 +149,7 @@
 
 
 def test_drain_holds_through_a_platform_outage():
-    """A drain is accepted; then the platform goes away."""
+    """A drain is accepted; then the platform fails."""
     _check(asyncio.run(_drain_while(_platform_goes)))
 
 
@@ -202,11 +210,11 @@
     ids=lambda function: function.__name__.strip("_"),
 )
 def test_sigterm_cuts_no_upload_and_leaves_lookups_first(disturb):
-    """A yard uploads a video through a host that is told to stop.
+    """A caller uploads a video through a host that gets SIGTERM.
 
-    What a user would see: the upload cut and a season certificate void. The host
-    must vanish from look-ups while the upload goes on, then exit with status 0; also
-    when the platform is down and when another host has just died.
+    Guards against an upload that is cut by the shutdown. The host must leave the
+    look-up answers while the upload goes on, and then exit with status 0; also while
+    the platform is down, and when another host has just crashed.
     """
     during, sent, answer, status = asyncio.run(_upload_through_shutdown(disturb))
     assert during < sent
--- a/tests/test_messages_command.py
+++ b/tests/test_messages_command.py
@@ -1,4 +1,4 @@
-"""What a host tells and hears, as the command shows it."""
+"""The command that shows the messages that a host sends and receives."""
 
 import asyncio
 
--- a/tests/test_partitions_processes.py
+++ b/tests/test_partitions_processes.py
@@ -1,4 +1,4 @@
-"""Hosts that lose each other, alone and together with a platform outage."""
+"""Hosts that cannot reach each other, with and without a platform outage."""
 
 import asyncio
 import signal
@@ -67,9 +67,10 @@
 def test_hosts_that_lose_each_other_serve_their_own_region(outage):
     """All links between hosts are cut for four seconds, also in a platform outage.
 
-    What a user would see: requests that hang because their slot keeper is on the
-    other side, or bookings that run twice because two keepers grant one slot. Each
-    host keeps its own region's slots; backend servers shed what is too much.
+    Guards against requests that hang because their slot keeper cannot be reached,
+    and against bookings that run twice because two keepers grant one slot. Each host
+    keeps the slots of its own region, and backend servers shed what exceeds their
+    slots.
     """
     answers, during, ledger = asyncio.run(_cut(outage))
     run_counts = Counter(item["request_id"] for item in ledger)
@@ -103,10 +104,10 @@
 
 
 def test_host_that_is_frozen_past_its_leases_wakes_harmlessly():
-    """A host freezes with permits and grants in hand, longer than the lease.
+    """A host that holds permits and grants freezes for longer than their leases.
 
-    What a user would see: its requests started on slots that others use by now, or
-    run twice after being given up elsewhere.
+    Guards against its requests starting on slots that are granted to other requests
+    by then, and against requests that run twice after they timed out elsewhere.
     """
     answers, ledger = asyncio.run(_frozen_holder())
     run_counts = Counter(item["request_id"] for item in ledger)
@@ -142,5 +143,5 @@
 
 
 def test_fleet_whose_hosts_are_all_replaced_serves_again():
-    """Every host dies at once; nothing is left but the platform."""
+    """All hosts crash at once, so only the platform still has the configuration."""
     assert asyncio.run(_replace_all_hosts()) == 3
--- a/tests/test_servers_command.py
+++ b/tests/test_servers_command.py
@@ -1,4 +1,4 @@
-"""The command that shows what backend servers ask of a host."""
+"""The command that shows what backend servers request of a host in their answers."""
 
 import asyncio
 
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor tree: restarts one child alone, stops on broken invariants."""
+"""The supervisor restarts a failed child alone and stops on a broken invariant."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 class Flaky:
-    """Fails twice, then runs on."""
+    """A child that fails on its first two starts and then runs until cancelled."""
 
     def __init__(self):
         self.starts = 0
