--- a/lacewingcross/cli/examples.py
+++ b/lacewingcross/cli/examples.py
@@ -26,8 +26,8 @@
     """
     deployment = DEPLOYMENTS.get(name)
     if deployment is None:
-        known = ", ".join(DEPLOYMENTS)
-        raise UserError("not-found", f"{name!r}: expected one of {known}")
+        names = ", ".join(DEPLOYMENTS)
+        raise UserError("not-found", f"{name!r}: expected one of {names}")
     layout = lay_out(deployment, Ports(), hosts=hosts, worker_divisor=divide_workers)
     count = write_layout(layout, Path(to))
     print(f"{to}: {count} files written")
--- a/lacewingcross/cli/resources.py
+++ b/lacewingcross/cli/resources.py
@@ -134,8 +134,10 @@
     platform : str
         IP:PORT of the platform.
     """
-    known = tuple(_kind(kind) for kind in kinds)
-    asyncio.run(_watch(operator_at(platform), known or (*res.OPERATOR_KINDS, res.PLAN)))
+    known_kinds = tuple(_kind(kind) for kind in kinds)
+    asyncio.run(
+        _watch(operator_at(platform), known_kinds or (*res.OPERATOR_KINDS, res.PLAN))
+    )
 
 
 async def _watch(operator: Operator, kinds: tuple[str, ...]) -> None:
--- a/lacewingcross/cli/status.py
+++ b/lacewingcross/cli/status.py
@@ -54,8 +54,8 @@
     def add(self, spec: object) -> None:
         """Merge one report into this one."""
         for name in self.__slots__:
-            part = spec.get(name) if isinstance(spec, dict) else None
-            getattr(self, name).update(part or {})
+            section = spec.get(name) if isinstance(spec, dict) else None
+            getattr(self, name).update(section or {})
 
 
 async def _status(operator: Operator, output: Output) -> None:
--- a/lacewingcross/host/entry/attempt.py
+++ b/lacewingcross/host/entry/attempt.py
@@ -245,6 +245,6 @@
         headers.append((hd.OUTCOME, b"answered"))
         headers.append((hd.REQUEST_ID, action.request_id.encode()))
         await exchange.send_head(head.status, headers)
-        async for part in conn.read_body():
-            await exchange.send_body(part)
+        async for chunk in conn.read_body():
+            await exchange.send_body(chunk)
         exchange.finish()
--- a/lacewingcross/standins/object_store.py
+++ b/lacewingcross/standins/object_store.py
@@ -221,11 +221,11 @@
     async def _list(self, exchange: Exchange, kind: str, fields: dict) -> None:
         after = fields.get("after", "")
         names = self._names_seen(kind, stale="allow_stale" in fields)
-        found = [name for name in names if name > after]
-        items = [self._objects[kind][name].as_data() for name in found[: self.page]]
+        listed = [name for name in names if name > after]
+        items = [self._objects[kind][name].as_data() for name in listed[: self.page]]
         data = {
             "items": items,
-            "has_more": len(found) > self.page,
+            "has_more": len(listed) > self.page,
             "as_of": self.revision,
         }
         await send_json(exchange, 200, data)
--- a/lacewingcross/standins/platform.py
+++ b/lacewingcross/standins/platform.py
@@ -36,7 +36,7 @@
         self.objects = ObjectStoreStandin(clock.monotonic)
         self.calls: Counter[str] = Counter()
         self._freeze_list = False
-        self._hosts = {known.host_id: known for known in cfg.hosts}
+        self._hosts = {known_host.host_id: known_host for known_host in cfg.hosts}
         self._states = dict.fromkeys(self._hosts, "live")
         self._leaving_servers: set[str] = set()
         self._published = self._host_list()
@@ -71,15 +71,15 @@
 
     def _host_list(self) -> dict[str, object]:
         hosts = [
-            {**asdict(known), "state": self._states[known.host_id]}
-            for known in self._hosts.values()
+            {**asdict(known_host), "state": self._states[known_host.host_id]}
+            for known_host in self._hosts.values()
         ]
         return {"hosts": hosts, "leaving_servers": sorted(self._leaving_servers)}
 
-    def add_host(self, known: KnownHost) -> None:
+    def add_host(self, known_host: KnownHost) -> None:
         """Add a host to the host list as live."""
-        self._hosts[known.host_id] = known
-        self._states[known.host_id] = "live"
+        self._hosts[known_host.host_id] = known_host
+        self._states[known_host.host_id] = "live"
 
     async def _handle(self, exchange: Exchange) -> None:
         path = exchange.head.target.partition("?")[0]
@@ -116,7 +116,7 @@
         elif control_name == "leaving-servers":
             self._leaving_servers = set(data["servers"])
         else:
-            raise UserError("not-found", "unknown control call")
+            raise UserError("not-found", "unknown control")
         await send_json(exchange, 200, {"ok": True})
 
     def _control_faults(self, data: object) -> None:
@@ -141,13 +141,13 @@
             self._states.pop(host_id, None)
             return
         if reader.has("peer"):
-            known = KnownHost(
+            known_host = KnownHost(
                 host_id,
                 reader.name("region"),
                 reader.name("failure_domain"),
                 reader.address("entry"),
                 reader.address("peer"),
             )
-            self.add_host(known)
+            self.add_host(known_host)
         if host_id in self._hosts:
             self._states[host_id] = state
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -41,11 +41,13 @@
         layout.hosts[index] = dataclasses.replace(
             cfg, region=region, failure_domain=domain
         )
-    known = tuple(
+    known_hosts = tuple(
         dataclasses.replace(item, region=cfg.region, failure_domain=cfg.failure_domain)
         for item, cfg in zip(layout.platform.hosts, layout.hosts, strict=True)
     )
-    layout.platform = dataclasses.replace(layout.platform, hosts=known, list_lag_s=0.3)
+    layout.platform = dataclasses.replace(
+        layout.platform, hosts=known_hosts, list_lag_s=0.3
+    )
     return layout
 
 
@@ -187,20 +189,22 @@
         return next(cfg for cfg in self.layout.hosts if cfg.host_id == host_id)
 
 
-async def book(procs, num, stop, answers, *, regions=3, pause_s=0.0, deadline_s=10.0):
+async def book(
+    procs, caller_index, stop, answers, *, regions=3, pause_s=0.0, deadline_s=10.0
+):
     """Send bookings in sequence until `stop` is set.
 
     Each booking adds (request id, answer) to `answers`.
     """
     caller = Caller(
         procs.entries(),
-        caller_id=f"c{num}",
-        address=f"10.{num % regions + 1}.0.{num + 1}",
+        caller_id=f"c{caller_index}",
+        address=f"10.{caller_index % regions + 1}.0.{caller_index + 1}",
     )
     count = 0
     while not stop.is_set():
         count += 1
-        request_id = f"c{num}-{count}"
+        request_id = f"c{caller_index}-{count}"
         answer = await caller.request(
             "POST",
             "/booking/x",
--- a/tests/test_attempts_processes.py
+++ b/tests/test_attempts_processes.py
@@ -90,9 +90,9 @@
         first, second, _ = procs.entries()
         answers = await asyncio.gather(
             *(
-                _send_keyed(address, f"{key}-{num}", key)
+                _send_keyed(address, f"{key}-{copy}", key)
                 for key in ("k1", "k2", "k3", "k4")
-                for num, address in enumerate((first, second))
+                for copy, address in enumerate((first, second))
             )
         )
         return answers, _run_counts(await procs.ledgers())
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -102,7 +102,9 @@
 async def _serve_through(**switches):
     async with Processes(small_layout()) as procs:
         await procs.faults(**switches)
-        answers = [await _one_read(procs, f"c{num}") for num in range(10)]
+        answers = [
+            await _one_read(procs, f"c{caller_index}") for caller_index in range(10)
+        ]
         await procs.faults(outage=False, stall=False)
         return answers
 
--- a/tests/test_health_processes.py
+++ b/tests/test_health_processes.py
@@ -25,7 +25,7 @@
         server = procs.layout.backends[0].server_id
         await procs.backend(server, fail_fast=True, lie_health="ok", lie_load=0)
         batches = await asyncio.gather(
-            *(_reads(procs, 40, f"c{num}") for num in range(4))
+            *(_reads(procs, 40, f"c{caller_index}") for caller_index in range(4))
         )
         return [answer for batch in batches for answer in batch]
 
@@ -65,8 +65,8 @@
 
         await until(shifting)
         callers = [
-            _reads(procs, 1, f"n{num}", deadline_s=0.5, max_tries=1)
-            for num in range(150)
+            _reads(procs, 1, f"n{caller_index}", deadline_s=0.5, max_tries=1)
+            for caller_index in range(150)
         ]
         south = await _reads(procs, 10, "s", "10.2.0.1")
         answers = []
@@ -100,7 +100,10 @@
         await _reads(procs, 5)
         procs.signal(server, signal.SIGSTOP)
         answers = await asyncio.gather(
-            *(_reads(procs, 10, f"c{num}", deadline_s=3.0) for num in range(6))
+            *(
+                _reads(procs, 10, f"c{caller_index}", deadline_s=3.0)
+                for caller_index in range(6)
+            )
         )
         procs.signal(server, signal.SIGCONT)
         return [answer for batch in answers for answer in batch]
--- a/tests/test_keepers_processes.py
+++ b/tests/test_keepers_processes.py
@@ -26,17 +26,18 @@
         layout.hosts[index] = type(cfg)(
             **{**_fields(cfg), "region": "north", "failure_domain": f"north-{index}"}
         )
-    known = tuple(
+    known_hosts = tuple(
         type(item)(**{**_fields(item), "region": "north"})
         for item in layout.platform.hosts
     )
     layout.platform = type(layout.platform)(
-        **{**_fields(layout.platform), "hosts": known}
+        **{**_fields(layout.platform), "hosts": known_hosts}
     )
     async with Processes(layout) as procs:
         stop, answers = asyncio.Event(), []
         tasks = [
-            asyncio.create_task(book(procs, num, stop, answers)) for num in range(9)
+            asyncio.create_task(book(procs, caller_index, stop, answers))
+            for caller_index in range(9)
         ]
         await asyncio.sleep(1.0)
         keeper = await _keeper_of(procs, "north")
--- a/tests/test_leaving_processes.py
+++ b/tests/test_leaving_processes.py
@@ -13,8 +13,8 @@
 SETTLE_S = 0.5
 
 
-async def _steady(procs, stop, answers, num):
-    caller = Caller(procs.entries(), caller_id=f"c{num}", address="10.1.0.1")
+async def _steady(procs, stop, answers, caller_index):
+    caller = Caller(procs.entries(), caller_id=f"c{caller_index}", address="10.1.0.1")
     while not stop.is_set():
         answers.append(await caller.request("GET", "/booking/x", service="booking"))
         await asyncio.sleep(0.01)
@@ -48,7 +48,8 @@
     stop = asyncio.Event()
     answers = []
     tasks = [
-        asyncio.create_task(_steady(procs, stop, answers, num)) for num in range(6)
+        asyncio.create_task(_steady(procs, stop, answers, caller_index))
+        for caller_index in range(6)
     ]
     await until(lambda: len(answers) > 50)
     await action()
--- a/tests/test_partitions_processes.py
+++ b/tests/test_partitions_processes.py
@@ -25,7 +25,7 @@
                 asyncio.create_task(
                     book(
                         procs,
-                        num,
+                        caller_index,
                         stop,
                         answers,
                         regions=2,
@@ -33,7 +33,7 @@
                         deadline_s=3.0,
                     )
                 )
-                for num in range(6)
+                for caller_index in range(6)
             ]
             await asyncio.sleep(1.0)
             if outage:
@@ -89,9 +89,17 @@
         stop, answers = asyncio.Event(), []
         tasks = [
             asyncio.create_task(
-                book(procs, num, stop, answers, regions=2, pause_s=0.02, deadline_s=3.0)
+                book(
+                    procs,
+                    caller_index,
+                    stop,
+                    answers,
+                    regions=2,
+                    pause_s=0.02,
+                    deadline_s=3.0,
+                )
             )
-            for num in range(8)
+            for caller_index in range(8)
         ]
         await asyncio.sleep(1.5)
         procs.signal("host-3", signal.SIGSTOP)
