--- a/lacewingcross/host/app.py
+++ b/lacewingcross/host/app.py
@@ -26,8 +26,8 @@
 from .supervisor import Child, Supervisor, run_until_stopped
 
 INCARNATION_BITS = 24
-BUSY_TICK_S = 0.02
-IDLE_TICK_S = 0.2
+BUSY_TICK_INTERVAL_S = 0.02
+IDLE_TICK_INTERVAL_S = 0.2
 SHUTDOWN_NOTICE_S = 2.0
 SHUTDOWN_POLL_S = 0.05
 
@@ -115,7 +115,7 @@
         while True:
             self.runtime.dispatch(Tick())
             busy = core.busy()
-            await asyncio.sleep(BUSY_TICK_S if busy else IDLE_TICK_S)
+            await asyncio.sleep(BUSY_TICK_INTERVAL_S if busy else IDLE_TICK_INTERVAL_S)
 
     async def run(self, stop: asyncio.Event) -> None:
         """Run until `stop` is set and every request has been answered."""
--- a/lacewingcross/host/supervisor.py
+++ b/lacewingcross/host/supervisor.py
@@ -6,8 +6,8 @@
 
 from .. import logs
 
-RESTART_MIN_S = 0.1
-RESTART_MAX_S = 5.0
+MIN_RESTART_DELAY_S = 0.1
+MAX_RESTART_DELAY_S = 5.0
 STABLE_RUN_S = 30.0
 
 
@@ -22,8 +22,9 @@
 class Supervisor:
     """Runs children one-for-one: a child that fails is restarted alone, with back-off.
 
-    The delay before a restart doubles from `RESTART_MIN_S` to `RESTART_MAX_S`; it
-    starts from `RESTART_MIN_S` again after a run longer than `STABLE_RUN_S`.
+    The delay before a restart doubles from `MIN_RESTART_DELAY_S` up to
+    `MAX_RESTART_DELAY_S`. After a run longer than `STABLE_RUN_S` it starts again from
+    `MIN_RESTART_DELAY_S`.
 
     Parameters
     ----------
@@ -63,7 +64,7 @@
 
     async def _keep_running(self, child: Child) -> None:
         loop = asyncio.get_running_loop()
-        delay_s = RESTART_MIN_S
+        delay_s = MIN_RESTART_DELAY_S
         while True:
             started = loop.time()
             try:
@@ -84,9 +85,9 @@
                     error=repr(exc),
                 )
             if loop.time() - started > STABLE_RUN_S:
-                delay_s = RESTART_MIN_S
+                delay_s = MIN_RESTART_DELAY_S
             await asyncio.sleep(delay_s)
-            delay_s = min(RESTART_MAX_S, delay_s * 2)
+            delay_s = min(MAX_RESTART_DELAY_S, delay_s * 2)
 
 
 async def run_until_stopped(
--- a/lacewingcross/standins/object_store.py
+++ b/lacewingcross/standins/object_store.py
@@ -12,7 +12,7 @@
 from ..http1_server import HttpServer
 
 PREFIX = "/v1/objects/"
-PAGE = 500
+PAGE_SIZE = 500
 # Room for a value of one MiB and the JSON around it.
 MAX_BODY_BYTES = (1 << 20) + 4096
 # How long a silent store holds a call, in seconds: longer than any caller waits.
@@ -100,7 +100,7 @@
     """
 
     now: Callable[[], float]
-    page: int = PAGE
+    page: int = PAGE_SIZE
     revision: int = 0
     faults: Faults = field(default_factory=Faults)
     calls: int = 0
