--- a/lacewingcross/cli/messages.py
+++ b/lacewingcross/cli/messages.py
@@ -1,12 +1,12 @@
 """The command that shows the messages that a host sends to and receives from others."""
 
-from ..gateway.gossip_receiver import HEARD
+from ..gateway.gossip_receiver import RECEIVED
 from ..gateway.link import SENT, SENT_BYTES
 from .metrics_page import fetch_page, figures_by_name
 from .output import print_rows
 
 HEADER = ("message", "sent", "bytes sent", "heard")
-COLUMN_PREFIXES = (SENT, SENT_BYTES, HEARD)
+COLUMN_PREFIXES = (SENT, SENT_BYTES, RECEIVED)
 
 
 def messages(*, url: str, output: str = "table") -> None:
--- a/lacewingcross/cli/resources.py
+++ b/lacewingcross/cli/resources.py
@@ -141,7 +141,7 @@
 
 
 async def _watch(operator: Operator, kinds: tuple[str, ...]) -> None:
-    async for item in operator.follow(*kinds):
+    async for item in operator.watch_resources(*kinds):
         change = "deleted" if item.value is None else _summary(item)
         print(f"version={item.version} {item.key} {change}", flush=True)
 
--- a/tests/test_accounts_command.py
+++ b/tests/test_accounts_command.py
@@ -22,7 +22,7 @@
             made.configure(accounts=stored(5, 5))
             await made.add_server(answers_at_once)
             app = await made.ready(await made.add_host())
-            await until(lambda: app.gateway.quotas.keeper.part("school") == 1.0)
+            await until(lambda: app.gateway.quotas.keeper.lent_share("school") == 1.0)
             await flood([app], 80)
             counted = app.gateway.metrics
             await until(lambda: "accounts.kept.school" in counted.gauges)
