--- a/lacewingcross/cli/blocks.py
+++ b/lacewingcross/cli/blocks.py
@@ -1,4 +1,4 @@
-"""The command that packs client blocks into shards."""
+"""The command that packs a table of client address blocks into shards."""
 
 import json
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 
 
 def pack_blocks(file: str, *, table: str, to: str) -> None:
-    """Pack a list of client blocks into resources for "apply -f".
+    """Pack a list of client address blocks into resources for "apply -f".
 
     Example: lacewingcross pack-blocks clients.csv --table clients --to clients.json
 
@@ -23,9 +23,9 @@
         Lines of NETWORK,GROUP such as 10.1.0.0/16,centro; the more specific network
         wins.
     table : str
-        Name that policies give as block_table.
+        Name of the table, which policies give as block_table.
     to : str
-        Where the resources go.
+        File to write the resources to.
     """
     items = list(shards(list(_read(file)), table))
     Path(to).write_text(json.dumps({"items": items}) + "\n", encoding="utf-8")
@@ -33,20 +33,28 @@
 
 
 def shards(pairs: list[tuple[str, str]], table: str) -> Iterator[dict[str, object]]:
-    """Yield the resources of a table, each with at most `SHARD_BLOCKS` starts."""
+    """Yield the resources of a table, each with at most `SHARD_BLOCKS` block starts.
+
+    Parameters
+    ----------
+    pairs : list of (str, str)
+        Network and client group.
+    table : str
+        Name of the table.
+    """
     groups = sorted({group for _, group in pairs})
-    numbers = {group: number for number, group in enumerate(groups)}
-    index = BlockIndex((network, numbers[group]) for network, group in pairs)
+    group_indexes = {group: position for position, group in enumerate(groups)}
+    index = BlockIndex((network, group_indexes[group]) for network, group in pairs)
     spans = list(index.spans())
-    for number, at in enumerate(range(0, len(spans), SHARD_BLOCKS)):
-        part = spans[at : at + SHARD_BLOCKS]
+    for sequence, offset in enumerate(range(0, len(spans), SHARD_BLOCKS)):
+        shard_spans = spans[offset : offset + SHARD_BLOCKS]
         spec = {
-            "first": str(IPv4Address(part[0][0])),
+            "first": str(IPv4Address(shard_spans[0][0])),
             "groups": groups,
-            "starts": pack("I", [start for start, _ in part]),
-            "members": pack("H", [member for _, member in part]),
+            "starts": pack("I", [start for start, _ in shard_spans]),
+            "members": pack("H", [member for _, member in shard_spans]),
         }
-        yield {"kind": BLOCKS, "name": f"{table}-{number:04d}", "spec": spec}
+        yield {"kind": BLOCKS, "name": f"{table}-{sequence:04d}", "spec": spec}
 
 
 def _read(file: str) -> Iterator[tuple[str, str]]:
@@ -54,12 +62,13 @@
         lines = Path(file).read_text(encoding="utf-8").splitlines()
     except (OSError, UnicodeDecodeError) as exc:
         raise UserError("unreadable", f"{file}: {exc}") from exc
-    for number, line in enumerate(lines, 1):
+    for line_number, line in enumerate(lines, 1):
         if not line.strip():
             continue
-        network, _, group = (part.strip() for part in line.partition(","))
+        network, _, group = (field.strip() for field in line.partition(","))
         if not is_network(network) or not group:
             raise UserError(
-                "bad-field", f"{file}:{number}: expected NETWORK,GROUP, got {line!r}"
+                "bad-field",
+                f"{file}:{line_number}: expected NETWORK,GROUP, got {line!r}",
             )
         yield network, group
--- a/lacewingcross/cli/examples.py
+++ b/lacewingcross/cli/examples.py
@@ -1,4 +1,4 @@
-"""The command that writes a deployment's settings and resources."""
+"""The command that writes the settings and resources of an example deployment."""
 
 import json
 from pathlib import Path
@@ -20,21 +20,21 @@
     to : str
         Folder to write to.
     hosts : int
-        Number of entry hosts; 0 for the deployment's own.
+        Number of entry hosts; 0 for the number that the deployment has.
     divide_workers : int
         Divides the number of backend servers, to fit a small machine.
     """
     deployment = DEPLOYMENTS.get(name)
     if deployment is None:
-        known = ", ".join(DEPLOYMENTS)
-        raise UserError("not-found", f"{name!r}: expected one of {known}")
+        names = ", ".join(DEPLOYMENTS)
+        raise UserError("not-found", f"{name!r}: expected one of {names}")
     layout = lay_out(deployment, Ports(), hosts=hosts, worker_divisor=divide_workers)
     count = write_layout(layout, Path(to))
     print(f"{to}: {count} files written")
 
 
 def write_layout(layout: Layout, folder: Path) -> int:
-    """Write every settings file of a layout; return how many."""
+    """Write the settings and resource files of a layout; return their number."""
     files: dict[str, object] = {
         "platform.json": as_data(layout.platform),
         "resources.json": {"items": layout.resources},
--- a/lacewingcross/cli/main.py
+++ b/lacewingcross/cli/main.py
@@ -17,9 +17,9 @@
 from .status import status
 
 EXIT_USER_ERROR = 1
-EXIT_NOT_YET = 3
+EXIT_NOT_IN_FORCE = 3
 EXIT_INTERRUPTED = 130
-_NOT_YET = ("not-in-force", "not-drained", "unavailable", "unknown-outcome")
+_NOT_IN_FORCE_CODES = ("not-in-force", "not-drained", "unavailable", "unknown-outcome")
 
 COMMANDS = {
     "host": daemons.host,
@@ -47,8 +47,9 @@
 def main(argv: list[str] | None = None) -> None:
     """Run one command.
 
-    Exit status: 0 done, 1 refused with a coded error, 2 wrong usage, 3 accepted or
-    unclear but not yet in force, 130 interrupted.
+    Exit status: 0 if done, 1 if refused with a coded error, 2 for wrong usage, 3 if
+    the change is accepted or its outcome unknown, but it is not yet in force, 130 if
+    interrupted.
     """
     try:
         defopt.run(
@@ -61,6 +62,8 @@
         )
     except UserError as exc:
         print(f"error: {exc}", file=sys.stderr)
-        sys.exit(EXIT_NOT_YET if exc.code in _NOT_YET else EXIT_USER_ERROR)
+        sys.exit(
+            EXIT_NOT_IN_FORCE if exc.code in _NOT_IN_FORCE_CODES else EXIT_USER_ERROR
+        )
     except KeyboardInterrupt:
         sys.exit(EXIT_INTERRUPTED)
--- a/lacewingcross/host/app.py
+++ b/lacewingcross/host/app.py
@@ -1,4 +1,4 @@
-"""The host's root: builds the supervisor tree and runs it to a graceful stop."""
+"""Builds the supervisor tree of an entry host and runs it until a graceful stop."""
 
 import asyncio
 import random
@@ -26,36 +26,36 @@
 from .supervisor import Child, Supervisor, run_until_stopped
 
 INCARNATION_BITS = 24
-BUSY_TICK_S = 0.02
-IDLE_TICK_S = 0.2
-LEAVE_NOTICE_S = 2.0
-FINISH_POLL_S = 0.05
+BUSY_TICK_INTERVAL_S = 0.02
+IDLE_TICK_INTERVAL_S = 0.2
+SHUTDOWN_NOTICE_S = 2.0
+SHUTDOWN_POLL_S = 0.05
 
 
 class HostApp:
-    """One entry host.
+    """One entry host: the core, its adapters and their supervisor tree.
 
-    The tree::
+    The supervisor tree::
 
         host
-        |-- tls          certificates, when there are any
-        |-- platform     configuration watch, host list
+        |-- tls          reload of the certificates, if TLS is enabled
+        |-- platform     configuration watch and polling of the host list
         |-- mesh         links to the other hosts
-        |-- backends     health probes
-        |-- entry        callers' listener
-        |-- operators    operators' listener
-        `-- ticker       the core's clock
+        |-- backends     health probes of backend servers
+        |-- entry        listener for callers
+        |-- operators    listener for operators
+        `-- ticker       periodic `Tick` events for the core
 
     Parameters
     ----------
     cfg : HostSettings
-        Settings.
+        Settings of this host.
     clock : Clock, optional
-        Source of time.
+        Source of time; by default the system clock.
     rng : random.Random, optional
-        Source of spreads and of the incarnation.
+        Source of jitter and of this process's incarnation number.
     policy : KeeperPolicy, optional
-        Admission settings.
+        Admission settings of the slot keepers.
     """
 
     def __init__(
@@ -66,9 +66,11 @@
         policy: KeeperPolicy | None = None,
     ) -> None:
         self.cfg = cfg
-        own = HostInfo(cfg.host_id, cfg.region, cfg.failure_domain, cfg.entry, cfg.peer)
+        own_info = HostInfo(
+            cfg.host_id, cfg.region, cfg.failure_domain, cfg.entry, cfg.peer
+        )
         rng = rng or random.Random(secrets.randbits(64))
-        core = HostCore(own, rng.getrandbits(INCARNATION_BITS), rng, policy)
+        core = HostCore(own_info, rng.getrandbits(INCARNATION_BITS), rng, policy)
         self.runtime = Runtime(core, clock or SystemClock(), Metrics())
         self._tls = TlsFiles(cfg.tls) if cfg.tls.enabled else None
         client_ssl = self._tls.client if self._tls else None
@@ -97,44 +99,45 @@
             ],
         )
         operators = OperatorsListener(runtime, self.cfg.operators)
-        reload = [Child("tls", self._tls.run)] if self._tls else []
+        tls_children = [Child("tls", self._tls.run)] if self._tls else []
         return [
-            *reload,
+            *tls_children,
             Child("platform", platform.run),
             Child("mesh", self._mesh.run),
             Child("backends", Prober(runtime).run),
             Child("entry", self.entry.run),
             Child("operators", operators.run),
-            Child("ticker", self._tick),
+            Child("ticker", self._run_ticker),
         ]
 
-    async def _tick(self) -> None:
+    async def _run_ticker(self) -> None:
         core = self.runtime.core
         while True:
             self.runtime.dispatch(Tick())
             busy = core.busy()
-            await asyncio.sleep(BUSY_TICK_S if busy else IDLE_TICK_S)
+            await asyncio.sleep(BUSY_TICK_INTERVAL_S if busy else IDLE_TICK_INTERVAL_S)
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Run until `stop` is set and every request has had its answer."""
-        await run_until_stopped(self.root, stop, self._leave, self._close)
+        """Run until `stop` is set and every request has been answered."""
+        await run_until_stopped(self.root, stop, self._finish_requests, self._close)
 
     def _close(self) -> None:
         self._writer.close()
         self._platform.close()
 
-    async def _leave(self) -> None:
-        """Leave look-ups first, then finish every request, however long it takes.
+    async def _finish_requests(self) -> None:
+        """Leave the look-up answers, then finish every request without a time limit.
 
-        Failure: a host that closes its listener first refuses callers that were
-        sent to it a moment ago, and one that exits cuts uploads. Callers keep
-        being served while the others learn that this host leaves.
+        Failure: a host that closes its listener first refuses callers that a look-up
+        sent to it a moment ago, and a host that exits at once cuts uploads. So this
+        host announces its shutdown and serves callers for `SHUTDOWN_NOTICE_S` more,
+        while the announcement reaches the other hosts.
         """
         self.runtime.dispatch(ShutdownAsked())
-        await asyncio.sleep(LEAVE_NOTICE_S)
+        await asyncio.sleep(SHUTDOWN_NOTICE_S)
         await self.entry.server.stop_listening()
         while not self.runtime.core.idle() or self.entry.busy:
-            await asyncio.sleep(FINISH_POLL_S)
+            await asyncio.sleep(SHUTDOWN_POLL_S)
         logs.event("host-stopped")
 
 
--- a/lacewingcross/host/backends/pool.py
+++ b/lacewingcross/host/backends/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers, within each server's connection limit."""
+"""Connections to backend servers, within the connection limit of each server."""
 
 import ssl as ssl_module
 from collections import defaultdict
@@ -6,14 +6,14 @@
 
 from ...http1_client import ClientConnection, HttpError
 
-IDLE_S = 30.0
-FRESH_IDLE_S = 2.0
-DEFAULT_LIMIT = 30
+MAX_IDLE_S = 30.0
+MAX_IDLE_UNREPEATABLE_S = 2.0
+DEFAULT_MAX_CONNECTIONS = 30
 CONNECTION_LIMIT = "connection-limit"
 
 
 class BackendPool:
-    """Idle and open connections for each backend server's address.
+    """Open connections, idle and in use, for each backend server's address.
 
     Parameters
     ----------
@@ -21,6 +21,12 @@
         Monotonic clock in seconds.
     ssl : ssl.SSLContext, optional
         For TLS to backend servers.
+
+    Attributes
+    ----------
+    limits : dict of str to int
+        Maximum number of open connections for each address; an address without an
+        entry has `DEFAULT_MAX_CONNECTIONS`.
     """
 
     __slots__ = ("_idle", "_now", "_open", "_ssl", "limits")
@@ -35,25 +41,36 @@
         self.limits: dict[str, int] = {}
 
     async def take(self, address: str, *, repeatable: bool) -> ClientConnection:
-        """Return an idle connection or open a new one.
+        """Return an idle connection, or open a new one.
+
+        Failure: a server closes an idle connection at the moment when this host writes
+        a request to it. A repeatable request can be tried again; the outcome of any
+        other request would be unknown. So a request that is not repeatable gets only
+        a connection that was used within `MAX_IDLE_UNREPEATABLE_S`, or a new one.
 
-        Failure: a server closes a kept connection in the moment we write on it. A
-        repeatable request can be tried again; any other would end as unknown. So
-        one that may not be repeated only gets a connection used moments ago.
+        Parameters
+        ----------
+        address : str
+            Address of the backend server.
+        repeatable : bool
+            Whether the request may run twice.
 
         Raises
         ------
         HttpError
-            With ``sent=False``.
+            With ``sent=False``; with reason `CONNECTION_LIMIT` if the server's
+            connections are all in use.
         """
         idle = self._idle[address]
-        oldest = self._now() - (IDLE_S if repeatable else FRESH_IDLE_S)
+        min_used_at = self._now() - (
+            MAX_IDLE_S if repeatable else MAX_IDLE_UNREPEATABLE_S
+        )
         while idle:
             conn = idle.pop()
-            if not conn.stale() and conn.used_at >= oldest:
+            if not conn.stale() and conn.used_at >= min_used_at:
                 return conn
             self.drop(address, conn)
-        if self._open[address] >= self.limits.get(address, DEFAULT_LIMIT):
+        if self._open[address] >= self.limits.get(address, DEFAULT_MAX_CONNECTIONS):
             raise HttpError(CONNECTION_LIMIT, sent=False)
         self._open[address] += 1
         try:
@@ -63,7 +80,7 @@
             raise
 
     def give_back(self, address: str, conn: ClientConnection) -> None:
-        """Keep a connection whose exchange is whole; close any other."""
+        """Keep a connection whose exchange is complete, and close any other."""
         if conn.reusable():
             conn.used_at = self._now()
             self._idle[address].append(conn)
@@ -71,15 +88,15 @@
             self.drop(address, conn)
 
     def drop(self, address: str, conn: ClientConnection) -> None:
-        """Close a connection."""
+        """Close a connection and stop counting it against the limit."""
         conn.close()
         self._open[address] -= 1
 
     def sweep(self) -> None:
-        """Close connections that have been idle for long."""
-        oldest = self._now() - IDLE_S
+        """Close connections that have been idle for longer than `MAX_IDLE_S`."""
+        min_used_at = self._now() - MAX_IDLE_S
         for address, idle in self._idle.items():
-            for conn in [conn for conn in idle if conn.used_at < oldest]:
+            for conn in [conn for conn in idle if conn.used_at < min_used_at]:
                 idle.remove(conn)
                 self.drop(address, conn)
 
--- a/lacewingcross/host/backends/prober.py
+++ b/lacewingcross/host/backends/prober.py
@@ -1,4 +1,4 @@
-"""Asks backend servers for their health, for the keepers this host runs."""
+"""Probes the health of backend servers in the regions whose slots this host keeps."""
 
 import asyncio
 import json
@@ -8,17 +8,18 @@
 from ...http1_client import HttpClient, HttpError
 from ..runtime import Runtime
 
-PROBE_S = 0.5
+PROBE_INTERVAL_S = 0.5
 PROBE_TIMEOUT_S = 1.0
 HEALTH_PATH = "/-/health"
 
 
 class Prober:
-    """Probes each backend server of the kept regions, one probe in a period.
+    """Sends one probe each `PROBE_INTERVAL_S` to every server of the kept regions.
 
-    A probe costs the server a few milliseconds, so only the keeper's host probes.
-    Its word takes a server out when it drains, or when it accepts no connection;
-    that a server calls itself healthy proves nothing and gives it no traffic.
+    A probe costs the server a few milliseconds, so only the host that runs the slot
+    keeper of a region probes its servers. A probe can only take a server out of
+    service: when the server reports that it is draining, or accepts no connection.
+    A report of good health proves nothing and brings the server no traffic.
     """
 
     __slots__ = ("_clients", "_runtime")
@@ -35,7 +36,7 @@
             addresses = {server.address for _, server in targets}
             for address in [addr for addr in self._clients if addr not in addresses]:
                 self._clients.pop(address).close()
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
 
     def _targets(self) -> list[tuple[str, BackendServer]]:
         core = self._runtime.core
@@ -56,16 +57,17 @@
             response = await client.request(
                 "GET", HEALTH_PATH, timeout_s=PROBE_TIMEOUT_S
             )
-            draining = _says_draining(response.body)
+            draining = _reports_draining(response.body)
         except HttpError as exc:
-            # A slow probe proves nothing; only a refused connection does.
+            # A timeout after the probe was sent proves nothing. Only a connection
+            # that could not be opened shows that the server is unreachable.
             reachable = exc.sent
         self._runtime.dispatch(
             ServerProbed(service, server.server_id, reachable, draining)
         )
 
 
-def _says_draining(body: bytes) -> bool:
+def _reports_draining(body: bytes) -> bool:
     try:
         data = json.loads(body)
     except ValueError:
--- a/lacewingcross/host/mesh/links.py
+++ b/lacewingcross/host/mesh/links.py
@@ -1,4 +1,4 @@
-"""One outgoing stream to each other host, and the listener for theirs."""
+"""Outgoing streams to other hosts, and the listener for incoming streams."""
 
 import asyncio
 import ssl as ssl_module
@@ -16,47 +16,60 @@
 from ...wire import PROTOCOL, encode, read_message
 from ..runtime import Runtime
 
-CONNECT_S = 1.0
-HELLO_S = 5.0
-REDIAL_MIN_S = 0.05
-REDIAL_MAX_S = 1.0
-QUEUE_MAX = 5000
-REVIEW_S = 0.2
-SEEK_S = 0.3
-GREET_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
+HELLO_TIMEOUT_S = 5.0
+MIN_RECONNECT_DELAY_S = 0.05
+MAX_RECONNECT_DELAY_S = 1.0
+MAX_QUEUED_MESSAGES = 5000
+LINK_REVIEW_INTERVAL_S = 0.2
+SEED_INTERVAL_S = 0.3
+SEED_HELLO_S = 1.0
 
 
 class Link:
-    """An outgoing stream to one host; only this side sends on it."""
+    """An outgoing stream to one host, opened again whenever it breaks.
+
+    Only this side sends on the stream; the other host sends on a stream of its own.
+    """
 
     __slots__ = ("_mesh", "_queue", "host_id", "task")
 
     def __init__(self, mesh: "Mesh", host_id: str) -> None:
         self._mesh = mesh
-        self._queue = FrameQueue(QUEUE_MAX)
+        self._queue = FrameQueue(MAX_QUEUED_MESSAGES)
         self.host_id = host_id
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, message: msg.Message) -> None:
-        """Queue a message; the oldest are dropped when the host takes none."""
+        """Queue a message; if the queue is full, its oldest message is dropped."""
         if self._queue.put(encode(message)):
             self._mesh.runtime.metrics.count("peers.dropped")
 
     async def _run(self) -> None:
-        pause = REDIAL_MIN_S
+        delay_s = MIN_RECONNECT_DELAY_S
         while True:
             opened = await self._session()
             self._queue.clear()
             self._mesh.runtime.dispatch(PeerBroken(self.host_id))
-            pause = REDIAL_MIN_S if opened else min(REDIAL_MAX_S, pause * 2)
-            await asyncio.sleep(pause)
+            delay_s = (
+                MIN_RECONNECT_DELAY_S
+                if opened
+                else min(MAX_RECONNECT_DELAY_S, delay_s * 2)
+            )
+            await asyncio.sleep(delay_s)
 
     async def _session(self) -> bool:
-        """Connect, say hello and send until the stream breaks."""
+        """Connect, send a hello and queued messages until the stream breaks.
+
+        Returns
+        -------
+        bool
+            Whether a connection was opened.
+        """
         info = self._mesh.runtime.core.view.members.info(self.host_id)
         if info is None:
             return False
-        stream = await self._mesh.dial(info.peer)
+        stream = await self._mesh.connect(info.peer)
         if stream is None:
             return False
         reader, writer = stream
@@ -71,19 +84,22 @@
 
 
 class Mesh:
-    """Links to all hosts that the core knows, and the listener for theirs.
+    """Links to other hosts, and the listener for the links that they open.
+
+    A link is kept to each neighbour. The first message to any other known host opens
+    a link to that host too. A link is closed when the core forgets the host.
 
     Parameters
     ----------
     runtime : Runtime
         Where events go.
     address : str
-        Where this host listens for others.
+        Where this host listens for other hosts.
     seeds : tuple of str
-        Peer addresses to say hello to while no other host is known, so that a host
+        Peer addresses to send a hello to while no other host is known, so that a host
         that starts in a platform outage still finds the fleet.
     server_ssl, client_ssl : ssl.SSLContext, optional
-        Mutual TLS, so that nobody else joins.
+        Mutual TLS, so that only hosts with a certificate join the fleet.
     """
 
     __slots__ = (
@@ -111,10 +127,10 @@
         self._seeds = seeds
         self._links: dict[str, Link] = {}
         self._accepted: set[asyncio.StreamWriter] = set()
-        runtime.perform_with(self._send, SendPeer)
+        runtime.register_performer(self._send, SendPeer)
 
     def hello(self) -> msg.Hello:
-        """Return this host's first message."""
+        """Return the hello, which is the first message on every stream."""
         view = self.runtime.core.view
         own = view.own
         return msg.Hello(
@@ -137,19 +153,19 @@
         link.send(action.message)
 
     async def run(self) -> None:
-        """Listen, and keep links to the known hosts, until cancelled."""
+        """Listen, and keep the links up to date, until cancelled."""
         host, port = split_address(self._address)
         server = await asyncio.start_server(
             self._accept, host, port, ssl=self.server_ssl
         )
         loop = asyncio.get_running_loop()
-        seeking = loop.create_task(self._seek())
+        seed_task = loop.create_task(self._greet_seeds())
         try:
             while True:
-                self._review()
-                await asyncio.sleep(REVIEW_S)
+                self._update_links()
+                await asyncio.sleep(LINK_REVIEW_INTERVAL_S)
         finally:
-            seeking.cancel()
+            seed_task.cancel()
             server.close()
             for writer in list(self._accepted):
                 writer.transport.abort()
@@ -157,49 +173,49 @@
                 link.task.cancel()
             self._links.clear()
 
-    async def _seek(self) -> None:
-        """Say hello to the seeds until some other host is known.
+    async def _greet_seeds(self) -> None:
+        """Send a hello to the seeds while no other host is known.
 
-        A host that gets a hello learns where the sender listens and links back,
-        with its members and configuration.
+        The receiver of a hello opens a link to the sender's peer address and sends
+        its members and configuration.
         """
         while True:
             if not any(self.runtime.core.view.members.others()):
-                await asyncio.gather(*(self._greet(seed) for seed in self._seeds))
-            await asyncio.sleep(SEEK_S)
+                await asyncio.gather(*(self._send_hello(seed) for seed in self._seeds))
+            await asyncio.sleep(SEED_INTERVAL_S)
 
-    async def dial(
+    async def connect(
         self, address: str
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter] | None:
-        """Connect to a host's peer address; None when that fails."""
+        """Connect to a host's peer address; return None if that fails."""
         host, port = split_address(address)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 return await asyncio.open_connection(host, port, ssl=self.client_ssl)
         except (OSError, TimeoutError, ssl_module.SSLError):
             return None
 
-    async def _greet(self, seed: str) -> None:
-        stream = await self.dial(seed)
+    async def _send_hello(self, seed: str) -> None:
+        stream = await self.connect(seed)
         if stream is None:
             return
         _, writer = stream
         try:
             writer.write(encode(self.hello()))
             await writer.drain()
-            await asyncio.sleep(GREET_S)
+            await asyncio.sleep(SEED_HELLO_S)
         except (OSError, ssl_module.SSLError):
             pass
         finally:
             writer.transport.abort()
 
-    def _review(self) -> None:
+    def _update_links(self) -> None:
         members = self.runtime.core.view.members
-        known = {st.info.host_id for st in members.others() if st.neighbour}
-        gone = [hid for hid in self._links if members.info(hid) is None]
-        for host_id in gone:
+        neighbours = {st.info.host_id for st in members.others() if st.neighbour}
+        forgotten = [hid for hid in self._links if members.info(hid) is None]
+        for host_id in forgotten:
             self._links.pop(host_id).task.cancel()
-        for host_id in known:
+        for host_id in neighbours:
             if host_id not in self._links:
                 self._links[host_id] = Link(self, host_id)
 
@@ -208,11 +224,11 @@
     ) -> None:
         self._accepted.add(writer)
         try:
-            async with asyncio.timeout(HELLO_S):
+            async with asyncio.timeout(HELLO_TIMEOUT_S):
                 hello = await read_message(reader)
             info = host_of(hello)
-            self._check_other(info)
-            self._check_name(hello, writer.get_extra_info("ssl_object"))
+            self._check_host_id(info)
+            self._check_certificate(hello, writer.get_extra_info("ssl_object"))
             self.runtime.dispatch(PeerConnected(info, hello.incarnation))
             while True:
                 message = await read_message(reader)
@@ -223,19 +239,20 @@
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             pass
         except Exception as exc:
-            # An error of ours over one message costs this stream, not the listener.
+            # A fault of this host in handling one message closes this stream only;
+            # the listener goes on.
             logs.event("peer-failed", "ERROR", error=repr(exc))
         finally:
             self._accepted.discard(writer)
             writer.transport.abort()
 
-    def _check_name(
+    def _check_certificate(
         self, hello: msg.Hello, ssl_object: ssl_module.SSLObject | None
     ) -> None:
-        """Refuse a host that speaks for another one.
+        """Refuse a hello whose host id differs from the name in the certificate.
 
-        Failure: one stolen or mixed-up certificate speaks for any host, and its
-        messages are taken for those of the host that it names.
+        Failure: with one stolen or mixed-up certificate a process can name any host
+        in its hello, and its messages are taken for messages of that host.
         """
         if ssl_object is None:
             return
@@ -243,6 +260,6 @@
         if name != hello.host_id:
             raise FrameError("bad-hello", f"certificate of {name!r}, not this host")
 
-    def _check_other(self, info: HostInfo) -> None:
+    def _check_host_id(self, info: HostInfo) -> None:
         if info.host_id == self.runtime.core.view.own.host_id:
             raise FrameError("bad-hello", "another process uses this host's id")
--- a/lacewingcross/host/platform/writes.py
+++ b/lacewingcross/host/platform/writes.py
@@ -1,4 +1,4 @@
-"""Carries out the core's conditional writes in the platform."""
+"""Carries out the core's conditional writes and its reads in the platform."""
 
 import asyncio
 
@@ -19,7 +19,10 @@
 
 
 class PlatformWriter:
-    """Performs writes as tasks and reports how they ended."""
+    """Runs each write or read as a task, and reports its result to the core.
+
+    A delete reports no result.
+    """
 
     __slots__ = ("_platform", "_runtime", "_tasks")
 
@@ -27,9 +30,9 @@
         self._runtime = runtime
         self._platform = platform
         self._tasks: set[asyncio.Task[None]] = set()
-        runtime.perform_with(self._begin_write, CreateObject, UpdateObject)
-        runtime.perform_with(self._begin_delete, DeleteObject)
-        runtime.perform_with(self._begin_load, LoadObjects)
+        runtime.register_performer(self._begin_write, CreateObject, UpdateObject)
+        runtime.register_performer(self._begin_delete, DeleteObject)
+        runtime.register_performer(self._begin_load, LoadObjects)
 
     def _begin_write(self, action: CreateObject | UpdateObject) -> None:
         self._spawn(self._write(action))
@@ -40,8 +43,8 @@
     def _begin_load(self, action: LoadObjects) -> None:
         self._spawn(self._load(action))
 
-    def _spawn(self, work) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coro) -> None:
+        task = asyncio.get_running_loop().create_task(coro)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -56,10 +59,10 @@
             ended = WriteEnded(action.call_id, "ok", stored.version)
         except PlatformError as exc:
             self._runtime.metrics.count(f"platform.write-{exc.code}")
-            ended = await self._failed(action, exc)
+            ended = await self._ended_in_error(action, exc)
         self._runtime.dispatch(ended)
 
-    async def _failed(
+    async def _ended_in_error(
         self, action: CreateObject | UpdateObject, exc: PlatformError
     ) -> WriteEnded:
         if exc.code not in ("conflict", "not-found"):
@@ -84,7 +87,10 @@
         self._runtime.dispatch(ObjectsLoaded(action.call_id, objects))
 
     async def _delete(self, action: DeleteObject) -> None:
-        """Delete an object that nothing points at; one that stays does no harm."""
+        """Delete an object that nothing refers to, in up to `DELETE_TRIES` tries.
+
+        An object that stays after the last try does no harm.
+        """
         backoff = Backoff(self._runtime.core.view.rng)
         for _ in range(DELETE_TRIES):
             try:
@@ -97,6 +103,6 @@
             await backoff.wait()
 
     def close(self) -> None:
-        """Stop what is under way."""
+        """Cancel the writes and reads that still run."""
         for task in self._tasks:
             task.cancel()
--- a/lacewingcross/host/runtime.py
+++ b/lacewingcross/host/runtime.py
@@ -1,4 +1,4 @@
-"""Feeds events to the core and carries out its actions through the adapters."""
+"""Passes events to the core and has the adapters carry out the core's actions."""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,29 +14,30 @@
 
 
 class Runtime:
-    """The one place where the core is called.
+    """The only place that calls the core.
 
-    Adapters register who performs which action. Performers must not block; what
-    they learn later comes back as events through `dispatch`.
+    Each adapter registers a performer for the action types that it carries out.
+    A performer must not block; its later results come back as events through
+    `dispatch`.
 
     Parameters
     ----------
     core : HostCore
-        The decisions.
+        Makes all decisions; does no input or output itself.
     clock : Clock
         Source of time.
     metrics : Metrics
         Counters of this process.
     """
 
-    __slots__ = ("_busy", "_events", "_performers", "clock", "core", "metrics")
+    __slots__ = ("_dispatching", "_events", "_performers", "clock", "core", "metrics")
 
     def __init__(self, core: HostCore, clock: Clock, metrics: Metrics) -> None:
         self.core = core
         self.clock = clock
         self.metrics = metrics
         self._events: deque[Event] = deque()
-        self._busy = False
+        self._dispatching = False
         self._performers: dict[type, Performer] = {
             act.Count: self._count,
             act.Log: self._log,
@@ -46,23 +47,26 @@
         """Return the monotonic time in seconds."""
         return self.clock.monotonic()
 
-    def perform_with(self, performer: Performer, *kinds: type) -> None:
-        """Let `performer` carry out actions of these types."""
+    def register_performer(self, performer: Performer, *kinds: type) -> None:
+        """Register `performer` for actions of these types."""
         for kind in kinds:
             self._performers[kind] = performer
 
     def dispatch(self, event: Event) -> None:
-        """Handle an event, and those that its actions bring about, in order."""
+        """Handle an event, and then, in order, the events that its actions dispatch.
+
+        A nested call only queues its event, so the core is never re-entered.
+        """
         self._events.append(event)
-        if self._busy:
+        if self._dispatching:
             return
-        self._busy = True
+        self._dispatching = True
         try:
             while self._events:
                 for action in self.core.handle(self._events.popleft(), self.now()):
                     self._performers[type(action)](action)
         finally:
-            self._busy = False
+            self._dispatching = False
 
     def _count(self, action: act.Count) -> None:
         self.metrics.count(action.name)
--- a/lacewingcross/host/supervisor.py
+++ b/lacewingcross/host/supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor: starts children in order, restarts those that fail, stops them."""
+"""A supervisor that starts child tasks, restarts those that fail, and stops them."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -6,9 +6,9 @@
 
 from .. import logs
 
-RESTART_MIN_S = 0.1
-RESTART_MAX_S = 5.0
-STEADY_S = 30.0
+MIN_RESTART_DELAY_S = 0.1
+MAX_RESTART_DELAY_S = 5.0
+STABLE_RUN_S = 30.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -20,12 +20,16 @@
 
 
 class Supervisor:
-    """Runs children one-for-one: one that fails is restarted alone, with backoff.
+    """Runs children one-for-one: a child that fails is restarted alone, with back-off.
+
+    The delay before a restart doubles from `MIN_RESTART_DELAY_S` up to
+    `MAX_RESTART_DELAY_S`. After a run longer than `STABLE_RUN_S` it starts again from
+    `MIN_RESTART_DELAY_S`.
 
     Parameters
     ----------
     name : str
-        Name in the tree, for logs.
+        Name of this supervisor in the tree, for logs.
     children : list of Child
         Started in order, stopped in reverse order. A child may be the `run` of
         another supervisor.
@@ -60,7 +64,7 @@
 
     async def _keep_running(self, child: Child) -> None:
         loop = asyncio.get_running_loop()
-        pause = RESTART_MIN_S
+        delay_s = MIN_RESTART_DELAY_S
         while True:
             started = loop.time()
             try:
@@ -69,7 +73,8 @@
             except asyncio.CancelledError:
                 raise
             except AssertionError:
-                # A broken invariant: going on could break a promise. Stop.
+                # An invariant is broken, so running on could violate a guarantee to
+                # callers or operators. The whole tree stops.
                 raise
             except Exception as exc:
                 self.restarts += 1
@@ -79,40 +84,41 @@
                     child=f"{self.name}/{child.name}",
                     error=repr(exc),
                 )
-            if loop.time() - started > STEADY_S:
-                pause = RESTART_MIN_S
-            await asyncio.sleep(pause)
-            pause = min(RESTART_MAX_S, pause * 2)
+            if loop.time() - started > STABLE_RUN_S:
+                delay_s = MIN_RESTART_DELAY_S
+            await asyncio.sleep(delay_s)
+            delay_s = min(MAX_RESTART_DELAY_S, delay_s * 2)
 
 
 async def run_until_stopped(
     root: Supervisor,
     stop: asyncio.Event,
-    leave: Callable[[], Awaitable[None]],
+    finish: Callable[[], Awaitable[None]],
     close: Callable[[], None],
 ) -> None:
-    """Run a tree until `stop` is set, then leave gracefully and end it.
+    """Run a supervisor tree until `stop` is set, then shut it down gracefully.
 
     Parameters
     ----------
     root : Supervisor
-        The tree.
+        Root of the tree.
     stop : asyncio.Event
         Set when the process is to end.
-    leave : callable
-        Finishes what has begun, while the tree still runs.
+    finish : callable
+        Finishes the work in progress while the tree still runs. It is not called
+        when the tree ends by itself.
     close : callable
-        Lets go of what the tree leaves behind.
+        Closes resources that do not belong to the tree, when the tree is cancelled.
     """
     loop = asyncio.get_running_loop()
     tree = loop.create_task(root.run())
-    stopping = loop.create_task(stop.wait())
+    stop_waiter = loop.create_task(stop.wait())
     try:
-        await asyncio.wait((tree, stopping), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((tree, stop_waiter), return_when=asyncio.FIRST_COMPLETED)
         if not tree.done():
-            await leave()
+            await finish()
     finally:
-        stopping.cancel()
+        stop_waiter.cancel()
         tree.cancel()
         close()
         await asyncio.gather(tree, return_exceptions=True)
--- a/lacewingcross/standins/object_store.py
+++ b/lacewingcross/standins/object_store.py
@@ -12,18 +12,18 @@
 from ..http1_server import HttpServer
 
 PREFIX = "/v1/objects/"
-PAGE = 500
-# Room for a value of a megabyte and what is written around it.
-MAX_BODY = (1 << 20) + 4096
-# A silent store answers nothing for longer than anybody waits, in seconds.
+PAGE_SIZE = 500
+# Room for a value of one MiB and the JSON around it.
+MAX_BODY_BYTES = (1 << 20) + 4096
+# How long a silent store holds a call, in seconds: longer than any caller waits.
 SILENT_S = 3600.0
-# Deleted objects that a kind remembers for its watches before it drops its history.
-DELETED_MOST = 5000
+# Deletions that the store keeps for watches before it compacts its history.
+MAX_DELETED_KEPT = 5000
 
 
 @dataclass(slots=True)
 class StoredObject:
-    """One object and when it was last changed."""
+    """One object, with the revisions of its creation and its last change."""
 
     name: str
     revision: int
@@ -33,7 +33,7 @@
     deleted: bool = False
 
     def as_data(self) -> dict:
-        """Return the object as the store spells it."""
+        """Return the object in the JSON form of the object API."""
         return {
             "metadata": {
                 "name": self.name,
@@ -49,11 +49,22 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What the store does wrong, for all callers.
+    """Faults of the store, for all callers.
 
-    `down` is ``busy`` (503), ``many`` (429), ``reset``, ``silent`` or empty;
-    `lost_writes` are done and not answered, or the next `lose_answers` of them only.
-    Readings that may be stale are as of `stale_since`, a revision, if that is set.
+    Attributes
+    ----------
+    down : {"", "busy", "many", "reset", "silent"}
+        How each call fails: answered 503, answered 429, connection reset, or no
+        answer. Empty for no fault.
+    slow_s : float
+        Delay of each call in seconds.
+    lost_writes : bool
+        Every write is carried out and not answered.
+    lose_answers : int
+        The next so many writes are carried out and not answered.
+    stale_since : int
+        A revision. If it is set, a listing that may be stale lacks the objects that
+        were created after this revision.
     """
 
     down: str = ""
@@ -63,7 +74,7 @@
     stale_since: int = 0
 
     def lose_answer(self) -> bool:
-        """Tell whether the answer to one more write is lost, and count it."""
+        """Return whether the answer to a write is lost, and count it if it is."""
         if self.lose_answers > 0:
             self.lose_answers -= 1
             return True
@@ -72,18 +83,24 @@
 
 @dataclass(slots=True)
 class ObjectStoreStandin:
-    """A store in memory, served on loopback.
+    """An object store in memory, served on the loopback address.
 
     Parameters
     ----------
     now : callable
         Monotonic clock in seconds.
     page : int
-        Objects in one answer to a list call.
+        Maximum number of objects in one answer to a list call.
+    revision : int
+        Revision of the last change.
+    faults : Faults
+        Faults that are switched on.
+    calls : int
+        Number of API calls so far.
     """
 
     now: Callable[[], float]
-    page: int = PAGE
+    page: int = PAGE_SIZE
     revision: int = 0
     faults: Faults = field(default_factory=Faults)
     calls: int = 0
@@ -102,41 +119,39 @@
         """Stop listening."""
         await self._server.close()
 
-    # What operators and backend servers write
-
     def put(self, kind: str, name: str, spec: object) -> int:
         """Create or replace an object; return its revision."""
-        known = self._objects.setdefault(kind, {}).get(name)
-        if known is not None and not known.deleted and known.spec == spec:
-            return known.revision
+        stored = self._objects.setdefault(kind, {}).get(name)
+        if stored is not None and not stored.deleted and stored.spec == spec:
+            return stored.revision
         self.revision += 1
-        live = known is not None and not known.deleted
-        created = known.create_revision if live else self.revision
+        exists = stored is not None and not stored.deleted
+        created = stored.create_revision if exists else self.revision
         self._objects[kind][name] = StoredObject(name, self.revision, created, spec)
-        self.wake()
+        self.wake_watches()
         return self.revision
 
     def delete(self, kind: str, name: str) -> None:
-        """Remove an object."""
-        known = self._objects.get(kind, {}).get(name)
-        if known is None or known.deleted:
+        """Delete an object, and keep its deletion for the watches."""
+        stored = self._objects.get(kind, {}).get(name)
+        if stored is None or stored.deleted:
             return
         self.revision += 1
-        known.revision = self.revision
-        known.deleted = True
+        stored.revision = self.revision
+        stored.deleted = True
         self._deleted += 1
-        if self._deleted > DELETED_MOST:
+        if self._deleted > MAX_DELETED_KEPT:
             self.compact()
-        self.wake()
+        self.wake_watches()
 
     def compact(self) -> None:
-        """Forget the history; watches from before it get 410."""
+        """Drop the history; a watch from an older revision is answered 410."""
         self._compacted = self.revision
         self._deleted = 0
         for objects in self._objects.values():
             for name in [name for name, obj in objects.items() if obj.deleted]:
                 del objects[name]
-        self.wake()
+        self.wake_watches()
 
     def names(self, kind: str) -> list[str]:
         """Return the names of the objects of a kind."""
@@ -144,7 +159,7 @@
         return sorted(obj.name for obj in objects if not obj.deleted)
 
     def _names_seen(self, kind: str, *, stale: bool) -> list[str]:
-        """Return the names in a listing; a stale one lacks what was made later."""
+        """Return the names in a listing; a stale one lacks objects created later."""
         since = self.faults.stale_since
         names = self.names(kind)
         if not (stale and since):
@@ -152,19 +167,17 @@
         objects = self._objects.get(kind, {})
         return [name for name in names if objects[name].create_revision <= since]
 
-    def wake(self) -> None:
-        """Let the waiting watches look again."""
+    def wake_watches(self) -> None:
+        """Make the waiting watches check for changes and faults."""
         self._changed.set()
         self._changed = asyncio.Event()
 
-    # Calls
-
     async def handle(self, exchange: Exchange) -> None:
         """Answer one call of the object API."""
         self.calls += 1
         if self.faults.slow_s:
             await asyncio.sleep(self.faults.slow_s)
-        if await self.failed(exchange):
+        if await self.send_fault(exchange):
             return
         try:
             await self._answer(exchange)
@@ -174,7 +187,7 @@
             await send_error(exchange, 400, "bad-request", str(exc))
 
     async def _answer(self, exchange: Exchange) -> None:
-        body = await read_body(exchange, MAX_BODY)
+        body = await read_body(exchange, MAX_BODY_BYTES)
         path, _, query = exchange.head.target.partition("?")
         kind, _, name = path.removeprefix(PREFIX).partition("/")
         kind, name = unquote(kind), unquote(name)
@@ -193,8 +206,8 @@
             name = name or meta.get("name", "")
             await self._write(exchange, (kind, name), data.get("spec"), expected)
 
-    async def failed(self, exchange: Exchange) -> bool:
-        """Answer a call as an outage would; return whether there is one."""
+    async def send_fault(self, exchange: Exchange) -> bool:
+        """Fail a call as `Faults.down` says; return whether a fault is set."""
         down = self.faults.down
         if down == "silent":
             await asyncio.sleep(SILENT_S)
@@ -208,64 +221,64 @@
     async def _list(self, exchange: Exchange, kind: str, fields: dict) -> None:
         after = fields.get("after", "")
         names = self._names_seen(kind, stale="allow_stale" in fields)
-        found = [name for name in names if name > after]
-        items = [self._objects[kind][name].as_data() for name in found[: self.page]]
+        listed = [name for name in names if name > after]
+        items = [self._objects[kind][name].as_data() for name in listed[: self.page]]
         data = {
             "items": items,
-            "has_more": len(found) > self.page,
+            "has_more": len(listed) > self.page,
             "as_of": self.revision,
         }
         await send_json(exchange, 200, data)
 
     async def _watch(self, exchange: Exchange, kind: str, fields: dict) -> None:
         since = int(fields["watch"])
-        ends = self.now() + int(fields.get("wait_ms", 0)) / 1000.0
+        deadline = self.now() + int(fields.get("wait_ms", 0)) / 1000.0
         while True:
-            if await self.failed(exchange):
+            if await self.send_fault(exchange):
                 return
             if since < self._compacted:
                 await send_json(exchange, 410, {"error": "history-gone"})
                 return
             changed = self._changed
             objects = self._objects.get(kind, {}).values()
-            newer = [obj for obj in objects if obj.revision > since]
-            left = ends - self.now()
-            if newer or left <= 0:
+            changes = [obj for obj in objects if obj.revision > since]
+            remaining_s = deadline - self.now()
+            if changes or remaining_s <= 0:
                 break
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await changed.wait()
             except TimeoutError:
                 continue
-        newer.sort(key=lambda obj: obj.revision)
-        events = [{"object": obj.as_data(), "deleted": obj.deleted} for obj in newer]
+        changes.sort(key=lambda obj: obj.revision)
+        events = [{"object": obj.as_data(), "deleted": obj.deleted} for obj in changes]
         await send_json(exchange, 200, {"events": events, "as_of": self.revision})
 
     async def _get(self, exchange: Exchange, kind: str, name: str) -> None:
-        known = self._objects.get(kind, {}).get(name)
-        if known is None or known.deleted:
+        stored = self._objects.get(kind, {}).get(name)
+        if stored is None or stored.deleted:
             await send_json(exchange, 404, {"error": "not-found"})
             return
-        await send_json(exchange, 200, known.as_data())
+        await send_json(exchange, 200, stored.as_data())
 
     async def _write(
         self,
         exchange: Exchange,
-        place: tuple[str, str],
+        kind_and_name: tuple[str, str],
         spec: object,
         expected: int,
     ) -> None:
-        kind, name = place
+        kind, name = kind_and_name
         method = exchange.head.method
-        known = self._objects.get(kind, {}).get(name)
-        live = known is not None and not known.deleted
-        if method != "POST" and not live:
+        stored = self._objects.get(kind, {}).get(name)
+        exists = stored is not None and not stored.deleted
+        if method != "POST" and not exists:
             message = f"{kind}/{name}: no such object"
             await send_error(exchange, 404, "not-found", message)
             return
-        if method == "POST" and live or expected and expected != known.revision:
-            message = f"{kind}/{name}: revision is {known.revision}"
-            data = {"error": "conflict", "message": message, **known.as_data()}
+        if method == "POST" and exists or expected and expected != stored.revision:
+            message = f"{kind}/{name}: revision is {stored.revision}"
+            data = {"error": "conflict", "message": message, **stored.as_data()}
             await send_json(exchange, 409, data)
             return
         if method == "DELETE":
--- a/lacewingcross/standins/platform.py
+++ b/lacewingcross/standins/platform.py
@@ -15,17 +15,17 @@
 from ..tls import TlsFiles
 from .object_store import ObjectStoreStandin
 
-MAX_CONTROL = 1_000_000
+MAX_CONTROL_BYTES = 1_000_000
 OBJECTS_PATH = "/v1/objects/"
 
 
 class PlatformStandin:
-    """The platform as hosts and operators see it.
+    """The platform as entry hosts and operators see it.
 
     Parameters
     ----------
     cfg : PlatformSettings
-        Address, known hosts and the lag of their list.
+        Address, known hosts and the lag of the host list.
     clock : Clock, optional
         Source of time.
     """
@@ -36,7 +36,7 @@
         self.objects = ObjectStoreStandin(clock.monotonic)
         self.calls: Counter[str] = Counter()
         self._freeze_list = False
-        self._hosts = {known.host_id: known for known in cfg.hosts}
+        self._hosts = {known_host.host_id: known_host for known_host in cfg.hosts}
         self._states = dict.fromkeys(self._hosts, "live")
         self._leaving_servers: set[str] = set()
         self._published = self._host_list()
@@ -59,24 +59,27 @@
         await self.server.close()
 
     async def _publish(self) -> None:
-        """Publish the host list with its lag."""
+        """Publish each state of the host list after the configured lag.
+
+        While the `freeze_list` switch is set, the last published list stays.
+        """
         while True:
-            current = self._host_list()
+            host_list = self._host_list()
             await asyncio.sleep(max(0.05, self._cfg.list_lag_s))
             if not self._freeze_list:
-                self._published = current
+                self._published = host_list
 
     def _host_list(self) -> dict[str, object]:
         hosts = [
-            {**asdict(known), "state": self._states[known.host_id]}
-            for known in self._hosts.values()
+            {**asdict(known_host), "state": self._states[known_host.host_id]}
+            for known_host in self._hosts.values()
         ]
         return {"hosts": hosts, "leaving_servers": sorted(self._leaving_servers)}
 
-    def add_host(self, known: KnownHost) -> None:
-        """Add a host to the list."""
-        self._hosts[known.host_id] = known
-        self._states[known.host_id] = "live"
+    def add_host(self, known_host: KnownHost) -> None:
+        """Add a host to the host list as live."""
+        self._hosts[known_host.host_id] = known_host
+        self._states[known_host.host_id] = "live"
 
     async def _handle(self, exchange: Exchange) -> None:
         path = exchange.head.target.partition("?")[0]
@@ -98,26 +101,26 @@
     async def _hosts_call(self, exchange: Exchange) -> None:
         self.calls["GET hosts"] += 1
         await asyncio.sleep(self.objects.faults.slow_s)
-        if not await self.objects.failed(exchange):
+        if not await self.objects.send_fault(exchange):
             await send_json(exchange, 200, self._published)
 
-    async def _control(self, exchange: Exchange, what: str) -> None:
-        if what == "calls":
+    async def _control(self, exchange: Exchange, control_name: str) -> None:
+        if control_name == "calls":
             await send_json(exchange, 200, dict(self.calls))
             return
-        data = json.loads(await read_body(exchange, MAX_CONTROL))
-        if what == "faults":
+        data = json.loads(await read_body(exchange, MAX_CONTROL_BYTES))
+        if control_name == "faults":
             self._control_faults(data)
-        elif what == "hosts":
+        elif control_name == "hosts":
             self._control_host(data)
-        elif what == "leaving-servers":
+        elif control_name == "leaving-servers":
             self._leaving_servers = set(data["servers"])
         else:
             raise UserError("not-found", "unknown control")
         await send_json(exchange, 200, {"ok": True})
 
     def _control_faults(self, data: object) -> None:
-        """Take over the switches named in `data`; the others stay."""
+        """Set the fault switches named in `data`; the others keep their values."""
         faults = self.objects.faults
         reader = Reader(data, "faults", ResourceError)
         outage = reader.boolean("outage", faults.down == "busy")
@@ -127,7 +130,7 @@
         faults.lose_answers = reader.integer("lose_answers", faults.lose_answers)
         self._freeze_list = reader.boolean("freeze_list", self._freeze_list)
         reader.finish()
-        self.objects.wake()
+        self.objects.wake_watches()
 
     def _control_host(self, data: object) -> None:
         reader = Reader(data, "host", ResourceError)
@@ -138,13 +141,13 @@
             self._states.pop(host_id, None)
             return
         if reader.has("peer"):
-            known = KnownHost(
+            known_host = KnownHost(
                 host_id,
                 reader.name("region"),
                 reader.name("failure_domain"),
                 reader.address("entry"),
                 reader.address("peer"),
             )
-            self.add_host(known)
+            self.add_host(known_host)
         if host_id in self._hosts:
             self._states[host_id] = state
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,11 +1,11 @@
-"""A TCP relay in front of a host's peer port, which tests can cut."""
+"""A TCP relay in front of a host's peer port, which a test can cut."""
 
 import asyncio
 import dataclasses
 
 
 class Relay:
-    """Passes bytes on until it is cut; a cut drops and refuses connections."""
+    """Forwards bytes; while it is cut, it drops and refuses all connections."""
 
     def __init__(self, listen, target):
         self.listen = listen
@@ -30,12 +30,14 @@
             return
         host, _, port = self.target.rpartition(":")
         try:
-            there = await asyncio.open_connection(host, int(port))
+            target_stream = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, there[1]}
-        await asyncio.gather(self._pump(reader, there[1]), self._pump(there[0], writer))
+        self._writers |= {writer, target_stream[1]}
+        await asyncio.gather(
+            self._pump(reader, target_stream[1]), self._pump(target_stream[0], writer)
+        )
 
     async def _pump(self, reader, writer):
         try:
@@ -54,7 +56,7 @@
 
 
 async def put_relays(layout, ports):
-    """Put a relay before each host's peer port; return them by host id."""
+    """Put a relay in front of each host's peer port; return the relays by host id."""
     relays = {}
     for index, cfg in enumerate(layout.hosts):
         inner = ports.take()
--- a/tests/test_commands_processes.py
+++ b/tests/test_commands_processes.py
@@ -1,4 +1,4 @@
-"""Operators' commands as a user runs them, against real processes."""
+"""The operators' commands, run as subprocesses against real processes."""
 
 import asyncio
 import json
@@ -8,13 +8,13 @@
 from .processes import Processes, small_layout, until
 
 
-async def _run(procs, *words, stdin=None):
-    """Run one command; return its exit status, output and errors."""
+async def _run(procs, *args, stdin=None):
+    """Run one command; return its exit status, standard output and standard error."""
     proc = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "lacewingcross",
-        *words,
+        *args,
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
@@ -25,7 +25,7 @@
 
 
 async def _limit_is(procs, pool, limit):
-    """Tell whether the reported load of a pool names a limit."""
+    """Return whether the reported load of a pool has this limit."""
     _, out, _ = await _run(procs, "status", "-o", "json")
     load = json.loads(out)["loads"].get(pool)
     return load is not None and load["limit"] == limit
@@ -47,9 +47,9 @@
         (item,) = json.loads(out)["items"]
         assert item["spec"] == spec
 
-        raced = {**item, "version": item["version"] - 1}
+        outdated = {**item, "version": item["version"] - 1}
         status, _, err = await _run(
-            procs, "apply", "-f", "-", stdin=json.dumps(raced).encode()
+            procs, "apply", "-f", "-", stdin=json.dumps(outdated).encode()
         )
         assert status == 1
         assert "conflict" in err
@@ -81,7 +81,7 @@
         status, out, _ = await _run(procs, "status", "-o", "json")
         rows = {row["resource"]: row for row in json.loads(out)["resources"]}
         assert rows["ShiftCap/booking"]["in_force"] == "3/3"
-        # Loads are reported each five seconds; the commands so far may take less.
+        # Loads are reported every five seconds; the commands so far may take less.
         await until(lambda: _limit_is(procs, "booking/south", 3.0))
         status, out, _ = await _run(procs, "undrain", "server", "booking-1")
         assert status == 0
@@ -94,16 +94,16 @@
         explained = json.loads(out)
         assert (explained["group"], explained["region"]) == ("south", "south")
         assert explained["entry_hosts"][0].endswith("(south)")
-        for words in (
+        for args in (
             ("explain", "nobody", "--address", "10.2.0.9"),
             ("explain", "booking"),
             ("get", "nonsense"),
             ("delete", "drain", "nothing"),
             ("apply", "-f", str(folder / "missing.json")),
         ):
-            status, _, err = await _run(procs, *words)
-            assert status == 1, words
-            assert err.startswith("error: "), words
+            status, _, err = await _run(procs, *args)
+            assert status == 1, args
+            assert err.startswith("error: "), args
 
         watcher = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -115,7 +115,7 @@
             procs.layout.platform.listen,
             stdout=asyncio.subprocess.PIPE,
         )
-        # The watch shows either the object that is there or the change that makes it.
+        # The watch prints the drain either as an existing object or as a change.
         await _run(procs, "drain", "server", "booking-2")
         async with asyncio.timeout(20):
             line = (await watcher.stdout.readline()).decode()
@@ -131,13 +131,13 @@
         host = procs.layout.hosts[0]
         procs.kill("host-2")
 
-        async def says_why():
+        async def reason_names_host():
             _, out, _ = await _run(procs, "drain", "server", "booking-3")
             _, out, _ = await _run(procs, "status", "-o", "json")
             rows = {row["resource"]: row for row in json.loads(out)["resources"]}
             return "host-2" in rows["Drain/server-booking-3"]["why_not"]
 
-        await until(says_why)
+        await until(reason_names_host)
         return host.host_id
 
 
--- a/tests/test_health_processes.py
+++ b/tests/test_health_processes.py
@@ -1,4 +1,4 @@
-"""Backend servers that lie or fail, and regions that are lost."""
+"""Backend servers with false reports or failures, and the loss of a region."""
 
 import asyncio
 import signal
@@ -25,16 +25,16 @@
         server = procs.layout.backends[0].server_id
         await procs.backend(server, fail_fast=True, lie_health="ok", lie_load=0)
         batches = await asyncio.gather(
-            *(_reads(procs, 40, f"c{num}") for num in range(4))
+            *(_reads(procs, 40, f"c{caller_index}") for caller_index in range(4))
         )
         return [answer for batch in batches for answer in batch]
 
 
 def test_server_that_fails_fast_with_a_low_load_does_not_draw_the_traffic():
-    """One of two servers answers 500 at once and reports health "ok", load 0.
+    """One of two servers answers 500 at once and reports health "ok" and load 0.
 
-    What a user would see: most requests fail, since the broken server always looks
-    the least busy. Its own answers must count for more than what it reports.
+    Guards against most requests failing because the broken server always looks the
+    least busy. Its answers must count for more than its reports.
     """
     answers = asyncio.run(_fail_fast())
     failed = sum(answer.status == 500 for answer in answers)
@@ -65,8 +65,8 @@
 
         await until(shifting)
         callers = [
-            _reads(procs, 1, f"n{num}", deadline_s=0.5, max_tries=1)
-            for num in range(150)
+            _reads(procs, 1, f"n{caller_index}", deadline_s=0.5, max_tries=1)
+            for caller_index in range(150)
         ]
         south = await _reads(procs, 10, "s", "10.2.0.1")
         answers = []
@@ -76,11 +76,12 @@
 
 
 def test_lost_region_is_moved_at_the_cap_and_the_rest_is_refused_as_not_run():
-    """All hosts and backend servers of a region die.
+    """All hosts and backend servers of a region crash.
 
-    What a user would see otherwise: all its callers thrown onto another region at
-    once, or requests that hang. What moved is answered; the rest is told at once
-    that nothing ran and when to come back. Other regions' callers notice nothing.
+    Guards against all its callers moving to another region at once, and against
+    requests that hang. Callers that have moved are answered. The others are refused
+    at once as not run, with a time to retry after. Callers of other regions are not
+    affected.
     """
     answers, south = asyncio.run(_region_lost())
     outcomes = Counter(answer.outcome for answer in answers)
@@ -99,14 +100,17 @@
         await _reads(procs, 5)
         procs.signal(server, signal.SIGSTOP)
         answers = await asyncio.gather(
-            *(_reads(procs, 10, f"c{num}", deadline_s=3.0) for num in range(6))
+            *(
+                _reads(procs, 10, f"c{caller_index}", deadline_s=3.0)
+                for caller_index in range(6)
+            )
         )
         procs.signal(server, signal.SIGCONT)
         return [answer for batch in answers for answer in batch]
 
 
 def test_frozen_server_is_ejected_after_a_few_timeouts():
-    """A backend server freezes: it takes connections and answers nothing."""
+    """A backend server freezes: it accepts connections and does not answer."""
     answers = asyncio.run(_freeze_server())
     answered = sum(answer.outcome == ANSWERED for answer in answers)
     assert answered >= 0.7 * len(answers), Counter(a.outcome for a in answers)
--- a/tests/test_keepers_processes.py
+++ b/tests/test_keepers_processes.py
@@ -1,4 +1,4 @@
-"""Slot keepers that die or freeze, with real processes."""
+"""Slot keepers that crash or freeze, with real processes."""
 
 import asyncio
 import signal
@@ -22,21 +22,22 @@
 async def _disturb_keeper(signum):
     layout = small_layout()
     for index, cfg in enumerate(layout.hosts):
-        # All three hosts in one region, so that its keeper can move.
+        # All three hosts are in one region, so that another can become its keeper.
         layout.hosts[index] = type(cfg)(
             **{**_fields(cfg), "region": "north", "failure_domain": f"north-{index}"}
         )
-    known = tuple(
+    known_hosts = tuple(
         type(item)(**{**_fields(item), "region": "north"})
         for item in layout.platform.hosts
     )
     layout.platform = type(layout.platform)(
-        **{**_fields(layout.platform), "hosts": known}
+        **{**_fields(layout.platform), "hosts": known_hosts}
     )
     async with Processes(layout) as procs:
         stop, answers = asyncio.Event(), []
         tasks = [
-            asyncio.create_task(book(procs, num, stop, answers)) for num in range(9)
+            asyncio.create_task(book(procs, caller_index, stop, answers))
+            for caller_index in range(9)
         ]
         await asyncio.sleep(1.0)
         keeper = await _keeper_of(procs, "north")
@@ -44,7 +45,7 @@
             procs.kill(keeper)
         else:
             procs.signal(keeper, signum)
-        at = len(answers)
+        answers_before = len(answers)
         await asyncio.sleep(RUN_S / 2)
         if signum == signal.SIGSTOP:
             procs.signal(keeper, signal.SIGCONT)
@@ -52,36 +53,36 @@
         stop.set()
         await asyncio.gather(*tasks)
         ledger = await procs.ledgers()
-        return answers, at, Counter(item["request_id"] for item in ledger)
+        return answers, answers_before, Counter(item["request_id"] for item in ledger)
 
 
 def _fields(cfg):
     return {name: getattr(cfg, name) for name in cfg.__slots__}
 
 
-def _check(answers, at, ran):
+def _check(answers, answers_before, run_counts):
     outcomes = Counter(answer.outcome for _, answer in answers)
     for request_id, answer in answers:
-        assert ran[request_id] <= 1, request_id
+        assert run_counts[request_id] <= 1, request_id
         if answer.outcome == NOT_RUN:
-            assert ran[request_id] == 0, (request_id, answer)
-    after = [answer for _, answer in answers[at:]]
+            assert run_counts[request_id] == 0, (request_id, answer)
+    after = [answer for _, answer in answers[answers_before:]]
     assert sum(a.outcome == ANSWERED for a in after) > 100, outcomes
 
 
 def test_killed_keeper_is_replaced_and_nothing_runs_twice():
     """The host that keeps the region's slots is killed under load.
 
-    What a user would see: bookings that wait for ever for a permit, or that run
-    twice when both the old permit and a new one are used.
+    Guards against bookings that wait for a permit without end, and against bookings
+    that run twice because both the old permit and a new one are used.
     """
     _check(*asyncio.run(_disturb_keeper(signal.SIGKILL)))
 
 
 def test_frozen_keeper_is_replaced_and_wakes_harmlessly():
-    """The keeper freezes for three seconds, its leases lapse, and it wakes up.
+    """The keeper freezes for three seconds, its leases expire, and it runs again.
 
-    What a user would see: grants of the past used now, on slots that the successor
-    has given to others.
+    Guards against old grants of the keeper being used on slots that its successor
+    has granted to other requests.
     """
     _check(*asyncio.run(_disturb_keeper(signal.SIGSTOP)))
--- a/tests/test_partitions_processes.py
+++ b/tests/test_partitions_processes.py
@@ -1,4 +1,4 @@
-"""Hosts that lose each other, alone and together with a platform outage."""
+"""Hosts that cannot reach each other, with and without a platform outage."""
 
 import asyncio
 import signal
@@ -25,7 +25,7 @@
                 asyncio.create_task(
                     book(
                         procs,
-                        num,
+                        caller_index,
                         stop,
                         answers,
                         regions=2,
@@ -33,16 +33,16 @@
                         deadline_s=3.0,
                     )
                 )
-                for num in range(6)
+                for caller_index in range(6)
             ]
             await asyncio.sleep(1.0)
             if outage:
                 await procs.faults(outage=True)
             for relay in relays.values():
                 relay.set_cut(True)
-            at = len(answers)
+            answers_before = len(answers)
             await asyncio.sleep(4.0)
-            during = answers[at:]
+            during = answers[answers_before:]
             for relay in relays.values():
                 relay.set_cut(False)
             await procs.faults(outage=False)
@@ -67,18 +67,19 @@
 def test_hosts_that_lose_each_other_serve_their_own_region(outage):
     """All links between hosts are cut for four seconds, also in a platform outage.
 
-    What a user would see: requests that hang because their slot keeper is on the
-    other side, or bookings that run twice because two keepers grant one slot. Each
-    host keeps its own region's slots; backend servers shed what is too much.
+    Guards against requests that hang because their slot keeper cannot be reached,
+    and against bookings that run twice because two keepers grant one slot. Each host
+    keeps the slots of its own region, and backend servers shed what exceeds their
+    slots.
     """
     answers, during, ledger = asyncio.run(_cut(outage))
-    ran = Counter(item["request_id"] for item in ledger)
+    run_counts = Counter(item["request_id"] for item in ledger)
     outcomes = Counter(answer.outcome for _, answer in during)
     assert outcomes[ANSWERED] > 0.8 * len(during), outcomes
     for request_id, answer in answers:
-        assert ran[request_id] <= 1
+        assert run_counts[request_id] <= 1
         if answer.outcome == NOT_RUN:
-            assert ran[request_id] == 0
+            assert run_counts[request_id] == 0
 
 
 async def _frozen_holder():
@@ -88,9 +89,17 @@
         stop, answers = asyncio.Event(), []
         tasks = [
             asyncio.create_task(
-                book(procs, num, stop, answers, regions=2, pause_s=0.02, deadline_s=3.0)
+                book(
+                    procs,
+                    caller_index,
+                    stop,
+                    answers,
+                    regions=2,
+                    pause_s=0.02,
+                    deadline_s=3.0,
+                )
             )
-            for num in range(8)
+            for caller_index in range(8)
         ]
         await asyncio.sleep(1.5)
         procs.signal("host-3", signal.SIGSTOP)
@@ -103,20 +112,20 @@
 
 
 def test_host_that_is_frozen_past_its_leases_wakes_harmlessly():
-    """A host freezes with permits and grants in hand, longer than the lease.
+    """A host that holds permits and grants freezes for longer than their leases.
 
-    What a user would see: its requests started on slots that others use by now, or
-    run twice after being given up elsewhere.
+    Guards against its requests starting on slots that are granted to other requests
+    by then, and against requests that run twice after they timed out elsewhere.
     """
     answers, ledger = asyncio.run(_frozen_holder())
-    ran = Counter(item["request_id"] for item in ledger)
+    run_counts = Counter(item["request_id"] for item in ledger)
     for request_id, answer in answers:
-        assert ran[request_id] <= 1
+        assert run_counts[request_id] <= 1
         if answer.outcome == NOT_RUN:
-            assert ran[request_id] == 0, (request_id, answer)
+            assert run_counts[request_id] == 0, (request_id, answer)
 
 
-async def _replace_everybody():
+async def _replace_all_hosts():
     layout = small_layout()
     async with Processes(layout) as procs:
         applied = await procs.operator.apply(
@@ -142,5 +151,5 @@
 
 
 def test_fleet_whose_hosts_are_all_replaced_serves_again():
-    """Every host dies at once; nothing is left but the platform."""
-    assert asyncio.run(_replace_everybody()) == 3
+    """All hosts crash at once, so only the platform still has the configuration."""
+    assert asyncio.run(_replace_all_hosts()) == 3
