--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -297,7 +297,7 @@
         waiting = node.waiting.get(account)
         if not waiting:
             return
-        decided = node.quotas.ledger.decided(account, at.now)
+        decided = node.quotas.ledger.decide_waiting(account, at.now)
         for _ in range(decided.admitted):
             waiting.popleft()
             self.runs[account].append(self.now)
--- a/lacewingcross/core/account_usage.py
+++ b/lacewingcross/core/account_usage.py
@@ -69,8 +69,8 @@
         while len(self._unpaid_since) > max(0, self.debt):
             self._unpaid_since.popleft()
 
-    def forgive(self, until: float) -> None:
-        """Count requests that were admitted before `until` as paid."""
-        while self._unpaid_since and self._unpaid_since[0] < until:
+    def forgive(self, admitted_before: float) -> None:
+        """Count requests that were admitted before `admitted_before` as paid."""
+        while self._unpaid_since and self._unpaid_since[0] < admitted_before:
             self._unpaid_since.popleft()
             self.paid += 1
--- a/lacewingcross/core/catch_up.py
+++ b/lacewingcross/core/catch_up.py
@@ -27,8 +27,10 @@
         self._asked_at: dict[Kind, float] = {}
         self._behind_since: dict[Kind, float] = {}
 
-    def should_ask(self, kind: Kind, own: int, theirs: int, now: float) -> bool:
-        """Return whether to ask a peer that is complete up to revision `theirs`.
+    def should_ask(
+        self, kind: Kind, own_revision: int, peer_revision: int, now: float
+    ) -> bool:
+        """Return whether to ask a peer that is complete up to revision `peer_revision`.
 
         Parameters
         ----------
@@ -39,11 +41,11 @@
         now : float
             Monotonic time in seconds.
         """
-        if theirs <= own:
+        if peer_revision <= own_revision:
             self._behind_since.pop(kind, None)
             return False
         since = self._behind_since.setdefault(kind, now)
-        if own and now - since < MISSED_PUSH_AFTER_S:
+        if own_revision and now - since < MISSED_PUSH_AFTER_S:
             return False
         return self.may_ask(kind, now)
 
--- a/lacewingcross/core/crashes.py
+++ b/lacewingcross/core/crashes.py
@@ -43,13 +43,13 @@
 
 @dataclass(slots=True)
 class _CrashRecord:
-    """One crash; `at` is when its first report arrived, in seconds.
+    """One crash; `first_report_at` is when its first report arrived, in seconds.
 
     `own` says whether this host has observed the crash itself. `requests` are those
     that the crash counts against.
     """
 
-    at: float
+    first_report_at: float
     own: bool = False
     requests: set[str] = field(default_factory=set)
     # Requests that a server has answered since; a late report of them is ignored.
@@ -174,7 +174,7 @@
         old_servers = [
             server
             for server, record in self._crashes.items()
-            if now - record.at > REMEMBERED_S
+            if now - record.first_report_at > REMEMBERED_S
         ]
         for server in old_servers:
             self._forget(server)
--- a/lacewingcross/core/fleet_shares.py
+++ b/lacewingcross/core/fleet_shares.py
@@ -48,7 +48,7 @@
         entry.info.cores
         for host_id, entry in roster.entries.items()
         if region in ("", entry.info.region)
-        and (not settled or _shares(roster, host_id, entry, now))
+        and (not settled or _has_share(roster, host_id, entry, now))
     )
     share = roster.own.cores / (roster.own.cores + other_cores)
     return share if roster.listed else min(share, 1.0 / ASSUMED_HOSTS)
@@ -66,11 +66,11 @@
     return frozenset(
         host_id
         for host_id, entry in roster.entries.items()
-        if not settled or _shares(roster, host_id, entry, now)
+        if not settled or _has_share(roster, host_id, entry, now)
     ) | {roster.own.host_id}
 
 
-def _shares(roster: Roster, host_id: str, entry: Entry, now: float) -> bool:
+def _has_share(roster: Roster, host_id: str, entry: Entry, now: float) -> bool:
     return host_id in roster.active or now - entry.active_at < FORGET_AFTER_S
 
 
--- a/lacewingcross/core/quarantine.py
+++ b/lacewingcross/core/quarantine.py
@@ -37,7 +37,7 @@
     until: float
     next_trial_at: float
 
-    def refused_for(self, now: float) -> float:
+    def refused_for_s(self, now: float) -> float:
         """Return after how many seconds the caller should retry."""
         due_s = self.next_trial_at - now
         return due_s if due_s > 0 else EARLY_TRIAL_S
--- a/lacewingcross/core/quota.py
+++ b/lacewingcross/core/quota.py
@@ -53,17 +53,17 @@
     def _quota_per_window(self, quota: Quota) -> float:
         return quota.rate * self.window_s + quota.burst
 
-    def max_debt_per_host(self, quota: Quota, holders: int) -> int:
+    def max_debt_per_host(self, quota: Quota, host_count: int) -> int:
         """Return how many unpaid requests each host may run.
 
         Parameters
         ----------
         quota : Quota
             The account's quota.
-        holders : int
+        host_count : int
             Number of hosts among which the debts are divided.
         """
-        return int(self.spare(quota) * DEBT_SHARE / max(1, holders))
+        return int(self.spare(quota) * DEBT_SHARE / max(1, host_count))
 
     def max_credit(self, quota: Quota) -> float:
         """Return how much credit an account without requests may accumulate."""
--- a/lacewingcross/core/quota_holders.py
+++ b/lacewingcross/core/quota_holders.py
@@ -59,19 +59,19 @@
         """Return the number of holders."""
         return len(self.names)
 
-    def mask(self, live: Iterable[str]) -> int:
-        """Return a bit mask of the holders that are in `live`, by index in `names`."""
+    def mask(self, host_ids: Iterable[str]) -> int:
+        """Return a mask of the holders in `host_ids`; bits are indexes in `names`."""
         bits = 0
-        for name in live:
+        for name in host_ids:
             index = self._indexes.get(name)
             if index is not None:
                 bits |= 1 << index
         return bits
 
-    def keeper(self, account: str, mask: int) -> str | None:
-        """Return the keeper of an account if the holders in `mask` are alive."""
+    def keeper(self, account: str, live_mask: int) -> str | None:
+        """Return the keeper of an account if the holders in `live_mask` are alive."""
         for index in self._keeper_order(account):
-            if mask >> index & 1:
+            if live_mask >> index & 1:
                 return self.names[index]
         return None
 
@@ -130,7 +130,7 @@
         "_reported_views",
         "_roster",
         "first_start",
-        "good",
+        "own_share_counts",
         "holders",
     )
 
@@ -138,7 +138,7 @@
         self._roster = roster
         self.first_start = first_start
         self.holders = Holders(())
-        self.good = False
+        self.own_share_counts = False
         # Key of the view that each other host has reported last, by host id.
         self._reported_views: dict[str, str] = {}
         self._last_holder_at = float("-inf")
@@ -156,18 +156,20 @@
         if self._roster.listed and self._listed_at is None:
             self._listed_at = now
         if own.host_id not in self.holders:
-            self.good = False
+            self.own_share_counts = False
             return
         self._last_holder_at = now
-        self.good = self.good or self._may_hold(now)
+        self.own_share_counts = self.own_share_counts or self._may_hold(now)
 
     def _choose(self, others: list[HostInfo]) -> None:
         own = self._roster.own
         names = choose_holders([own, *others])
         if tuple(sorted(names)) != self.holders.names:
             self.holders = Holders(names)
-        displaced = choose_holders(others)
-        self._confirming_hosts = frozenset((*names, *displaced)) - {own.host_id}
+        holders_without_own = choose_holders(others)
+        self._confirming_hosts = frozenset((*names, *holders_without_own)) - {
+            own.host_id
+        }
 
     def _may_hold(self, now: float) -> bool:
         if self._listed_at is None:
--- a/lacewingcross/core/quota_keeper.py
+++ b/lacewingcross/core/quota_keeper.py
@@ -106,11 +106,14 @@
 
 @dataclass(slots=True, frozen=True)
 class _Lease:
-    """Shares lent until a time; `live` is the mask of holders the lender sees alive."""
+    """Shares of quotas that one holder lends until `ends_at`.
+
+    `live_mask` is the mask of the holders that the lender considers alive.
+    """
 
     holders: Holders
-    live: int
-    until: float
+    live_mask: int
+    ends_at: float
 
 
 class QuotaKeeper:
@@ -175,7 +178,7 @@
             del self._views[next(iter(self._views))]
 
     def set_lease(
-        self, host_id: str, key: str, live: int, until: float, now: float
+        self, host_id: str, key: str, live_mask: int, ends_at: float, now: float
     ) -> None:
         """Replace the lease of one lender.
 
@@ -187,9 +190,9 @@
             The lender.
         key : str
             Key of its view of the holders; a view that is unknown here lends nothing.
-        live : int
+        live_mask : int
             Mask of the holders that it sees alive; 0 lends nothing.
-        until : float
+        ends_at : float
             When the lease ends.
         now : float
             Time in seconds.
@@ -197,13 +200,13 @@
         self._expire_leases(now)
         old = self._leases.get(host_id)
         holders = self._views.get(key)
-        if holders is None or not live or host_id not in holders or until <= now:
+        if holders is None or not live_mask or host_id not in holders or ends_at <= now:
             if old is not None:
                 del self._leases[host_id]
                 self._update_lent_shares(now)
             return
-        self._leases[host_id] = _Lease(holders, live, until)
-        if old is None or old.live != live or old.holders is not holders:
+        self._leases[host_id] = _Lease(holders, live_mask, ends_at)
+        if old is None or old.live_mask != live_mask or old.holders is not holders:
             self._update_lent_shares(now)
 
     def end_leases(self, now: float) -> None:
@@ -215,11 +218,11 @@
     def _expire_leases(self, now: float) -> None:
         """End expired leases, crediting each bucket up to the moment of expiry."""
         while self._leases:
-            host_id, lease = min(self._leases.items(), key=lambda item: item[1].until)
-            if lease.until > now:
+            host_id, lease = min(self._leases.items(), key=lambda item: item[1].ends_at)
+            if lease.ends_at > now:
                 return
             del self._leases[host_id]
-            self._update_lent_shares(lease.until)
+            self._update_lent_shares(lease.ends_at)
 
     def _update_lent_shares(self, now: float) -> None:
         for account, bucket in self._buckets.items():
@@ -231,7 +234,7 @@
         return sum(
             1.0 / len(lease.holders)
             for lease in self._leases.values()
-            if lease.holders.keeper(account, lease.live) == self._own_id
+            if lease.holders.keeper(account, lease.live_mask) == self._own_id
         )
 
     def _fill(self, bucket: _Bucket, now: float) -> None:
@@ -307,8 +310,8 @@
         rate = bucket.quota.rate * bucket.lent_share
         if rate <= 0:
             return UNLENT_WAIT_S
-        ahead = bucket.pending_hosts.index(host) + 1
-        return max(0.0, ahead - bucket.level) / rate
+        place_in_queue = bucket.pending_hosts.index(host) + 1
+        return max(0.0, place_in_queue - bucket.level) / rate
 
     def review(self, now: float) -> Iterator[tuple[str, Receipt]]:
         """Pay the charges that credit covers; yield receipts with their host ids."""
--- a/lacewingcross/core/quota_ledger.py
+++ b/lacewingcross/core/quota_ledger.py
@@ -43,17 +43,21 @@
 class Admission:
     """The decision on a request, and the figures that it is based on.
 
-    A refused caller should retry after `retry_after_s`. `debt` is the number of
-    requests that were run and are not paid, `debt_most` its limit. `age_s` is the time
-    since the last receipt for this account. Times are in seconds.
+    A refused caller should retry after `retry_after_s`. `keeper` is the host id of the
+    account's keeper, empty if there is none. `debt` is the number of requests that were
+    run and are not paid, `max_debt` its limit. `receipt_age_s` is the time since the
+    last receipt for this account, infinite before the first. Times are in seconds.
+
+    An admission without a keeper and figures is one for an account without a quota. One
+    that follows on waiting has no figures either.
     """
 
     outcome: Outcome
     retry_after_s: float = 0.0
     keeper: str = ""
     debt: int = 0
-    debt_most: int = 0
-    age_s: float = 0.0
+    max_debt: int = 0
+    receipt_age_s: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -83,12 +87,12 @@
 
     __slots__ = (
         "_bound",
-        "_open",
+        "_unsettled_accounts",
         "_removed_totals",
         "_rng",
         "_usage_by_account",
-        "caller_hosts",
-        "holders",
+        "caller_host_count",
+        "debt_host_count",
     )
 
     def __init__(self, bound: QuotaBound, rng: RandomSource) -> None:
@@ -98,11 +102,11 @@
         # The highest totals (charged, returned) of accounts that were removed.
         self._removed_totals = (0, 0)
         # Accounts with charges that are not yet sent or not yet paid.
-        self._open: set[str] = set()
+        self._unsettled_accounts: set[str] = set()
         # Number of hosts among which debts are divided; 0 allows this host no debt.
-        self.holders = 0
+        self.debt_host_count = 0
         # Number of hosts among which callers choose.
-        self.caller_hosts = 1
+        self.caller_host_count = 1
 
     def configure(self, quotas: dict[str, Quota]) -> None:
         """Apply the quotas of all accounts."""
@@ -116,7 +120,7 @@
 
     def _remove(self, account: str) -> None:
         usage = self._usage_by_account.pop(account)
-        self._open.discard(account)
+        self._unsettled_accounts.discard(account)
         charged, returned = self._removed_totals
         self._removed_totals = (
             max(charged, usage.charged),
@@ -147,9 +151,9 @@
             usage.next_paid_at = float("-inf")
 
     @property
-    def has_open_charges(self) -> bool:
+    def has_unsettled_totals(self) -> bool:
         """Return whether any charges are not yet sent or not yet paid."""
-        return bool(self._open)
+        return bool(self._unsettled_accounts)
 
     def accounts(self) -> Iterator[str]:
         """Return the accounts that have quotas."""
@@ -157,8 +161,8 @@
 
     def _max_debt(self, usage: AccountUsage) -> int:
         return (
-            self._bound.max_debt_per_host(usage.quota, self.holders)
-            if self.holders
+            self._bound.max_debt_per_host(usage.quota, self.debt_host_count)
+            if self.debt_host_count
             else 0
         )
 
@@ -166,7 +170,7 @@
         """Decide on a request.
 
         An admitted request is charged immediately; `cancel` takes the charge back. A
-        waiting request is decided later by `decided`, or abandoned by `give_up`.
+        waiting request is decided later by `decide_waiting`, or abandoned by `give_up`.
         """
         usage = self._usage_by_account.get(account)
         if usage is None:
@@ -175,13 +179,13 @@
         if usage.debt < self._max_debt(usage):
             usage.charged += 1
             usage.note_admitted(now)
-            self._open.add(account)
+            self._unsettled_accounts.add(account)
             return self._admission(usage, Outcome.ADMITTED, now)
         if usage.keeper is None or not self._may_wait(usage, usage.waiting, now):
             return self._admission(usage, Outcome.REFUSED, now)
         usage.charged += 1
         usage.waiting += 1
-        self._open.add(account)
+        self._unsettled_accounts.add(account)
         return self._admission(usage, Outcome.WAITING, now)
 
     def _may_wait(self, usage: AccountUsage, ahead: int, now: float) -> bool:
@@ -195,9 +199,9 @@
 
     def _credit_interval_s(self, usage: AccountUsage) -> float:
         """Return the interval between credits for this host's callers, in seconds."""
-        return self.caller_hosts / usage.quota.rate
+        return self.caller_host_count / usage.quota.rate
 
-    def decided(self, account: str, now: float) -> Decided:
+    def decide_waiting(self, account: str, now: float) -> Decided:
         """Decide on waiting requests as far as the receipts allow."""
         usage = self._usage_by_account.get(account)
         if usage is None:
@@ -228,7 +232,7 @@
 
     def _take_back(self, account: str, usage: AccountUsage) -> None:
         usage.take_back()
-        self._open.add(account)
+        self._unsettled_accounts.add(account)
 
     def refusal(self, account: str, now: float) -> Admission:
         """Return the refusal of a request that was not paid while it waited."""
@@ -258,13 +262,13 @@
         times are as far apart as the credits for this host's callers.
         """
         interval_s = self._credit_interval_s(usage)
-        earliest = max(now, usage.next_paid_at)
-        retry_at = max(earliest, usage.last_retry_at) + interval_s
+        earliest_at = max(now, usage.next_paid_at)
+        retry_at = max(earliest_at, usage.last_retry_at) + interval_s
         if retry_at - now > self._bound.window_s:
             # A caller that waits longer than a window gains nothing by it. The retry
             # times start from the beginning, which reuses those of callers that never
             # retried.
-            retry_at = earliest + interval_s * self._rng.uniform(0.0, 1.0)
+            retry_at = earliest_at + interval_s * self._rng.uniform(0.0, 1.0)
         usage.last_retry_at = retry_at
         return retry_at - now
 
@@ -278,12 +282,12 @@
 
     def due_charges(self, now: float) -> Iterator[tuple[str, Charge]]:
         """Yield the charges that are due, with their keepers, and note them as sent."""
-        for account in sorted(self._open):
+        for account in sorted(self._unsettled_accounts):
             usage = self._usage_by_account[account]
             if usage.keeper is not None and self._is_due(usage, now):
                 yield usage.keeper, self.next_charge(account, now)
             if not usage.open and usage.sent_totals == (usage.charged, usage.returned):
-                self._open.discard(account)
+                self._unsettled_accounts.discard(account)
 
     def next_charge(self, account: str, now: float) -> Charge:
         """Return the current charge for the account's keeper, and note it as sent."""
--- a/lacewingcross/core/quotas.py
+++ b/lacewingcross/core/quotas.py
@@ -48,15 +48,15 @@
     """Leases exchanged with another holder.
 
     `received_ms` is the sender's clock in the newest lease that was received. `sent_at`
-    and `sent_live` are the time and the mask of the last lease that was sent.
+    and `sent_live_mask` are the time and the mask of the last lease that was sent.
     """
 
     incarnation: int = 0
     received_ms: int = 0
     sent_at: float = float("-inf")
-    sent_live: int = 0
+    sent_live_mask: int = 0
     # Mask of the live holders in the last lease that was received.
-    received_live: int = 0
+    received_live_mask: int = 0
     # The newest reading of this host's clock that the other holder has echoed.
     acked_ms: int = 0
     # Since when the other holder is alive, on the clock that counts suspends.
@@ -81,7 +81,7 @@
     __slots__ = (
         "_accounts",
         "_bound",
-        "_live",
+        "_live_mask",
         "_peers",
         "_quotas",
         "_roster",
@@ -102,7 +102,7 @@
         self._accounts: Accounts | None = None
         self._bound = bound
         self._roster = roster
-        self._live = 0
+        self._live_mask = 0
         self._peers: dict[str, _Peer] = {}
         self._quotas: dict[str, Quota] = {}
         self._started_at: float | None = None
@@ -118,7 +118,7 @@
     def busy(self, now: float) -> bool:
         """Return whether messages may soon be due, so that polling has to go on."""
         return self.in_force and (
-            self.watch.sends_leases(now) or self.ledger.has_open_charges
+            self.watch.sends_leases(now) or self.ledger.has_unsettled_totals
         )
 
     def configure(self, accounts: Accounts, at: ClockReading) -> None:
@@ -145,17 +145,17 @@
             self._started_at = at.now
         holders = self.watch.holders
         self.watch.review(at.now)
-        live = self.watch.live_mask(at.now)
-        if live != self._live or self.watch.holders is not holders:
-            self._live = live
+        live_mask = self.watch.live_mask(at.now)
+        if live_mask != self._live_mask or self.watch.holders is not holders:
+            self._live_mask = live_mask
             self._set_keepers()
         self._update_live_since(at.boot)
         self.keeper.remember_view(self.watch.holders)
         self._lend_to_self(at)
-        self.ledger.holders = (
+        self.ledger.debt_host_count = (
             len(self.watch.holders) if self._may_run_unpaid(at.now) else 0
         )
-        self.ledger.caller_hosts = max(1, len(self._roster.active))
+        self.ledger.caller_host_count = max(1, len(self._roster.active))
 
     def _may_run_unpaid(self, now: float) -> bool:
         """Return whether this host may run requests that are not paid for.
@@ -167,26 +167,30 @@
         """
         first = self.watch.first_start
         settled = now - self._started_at >= self._bound.window_s
-        return self.watch.good and (first or settled)
+        return self.watch.own_share_counts and (first or settled)
 
     def _set_keepers(self) -> None:
         holders = self.watch.holders
         for account in self.ledger.accounts():
-            self.ledger.set_keeper(account, holders.keeper(account, self._live))
+            self.ledger.set_keeper(account, holders.keeper(account, self._live_mask))
 
     def _update_live_since(self, boot: float) -> None:
         for index, host_id in enumerate(self.watch.holders.names):
             peer = self._peers.setdefault(host_id, _Peer())
-            if not self._live >> index & 1:
+            if not self._live_mask >> index & 1:
                 peer.live_since = None
             elif peer.live_since is None:
                 peer.live_since = boot
 
     def _lend_to_self(self, at: ClockReading) -> None:
         own = self._roster.own.host_id
-        live = self._live if self.watch.good and not self._roster.out_of_service else 0
+        live_mask = (
+            self._live_mask
+            if self.watch.own_share_counts and not self._roster.out_of_service
+            else 0
+        )
         key = self.watch.holders.key
-        self.keeper.set_lease(own, key, live, at.boot + LEASE_S, at.boot)
+        self.keeper.set_lease(own, key, live_mask, at.boot + LEASE_S, at.boot)
 
     def leave(self, at: ClockReading) -> None:
         """Stop keeping accounts; call before announcing that this host shuts down."""
@@ -204,7 +208,7 @@
         self._charge_own(self.ledger.next_charge(account, at.now), at)
         if admission.outcome is not Outcome.WAITING:
             return admission
-        decided = self.ledger.decided(account, at.now)
+        decided = self.ledger.decide_waiting(account, at.now)
         if decided.admitted:
             return Admission(Outcome.ADMITTED, keeper=admission.keeper)
         if decided.refused:
@@ -228,15 +232,18 @@
         if not self.watch.sends_leases(at.now):
             return
         for index, peer in self._live_peers():
-            live = self._live_mask_for(index, peer, at.boot)
-            if live == peer.sent_live and at.now - peer.sent_at < LEASE_RENEWAL_S:
+            live_mask = self._live_mask_for(index, peer, at.boot)
+            if (
+                live_mask == peer.sent_live_mask
+                and at.now - peer.sent_at < LEASE_RENEWAL_S
+            ):
                 continue
-            peer.sent_live = live
+            peer.sent_live_mask = live_mask
             peer.sent_at = at.now
             sent_ms = int(at.boot * 1000)
             key = self.watch.holders.key
             host_id = self.watch.holders.names[index]
-            yield host_id, msg.QuotaLease(key, live, sent_ms, peer.received_ms)
+            yield host_id, msg.QuotaLease(key, live_mask, sent_ms, peer.received_ms)
 
     def _live_mask_for(self, index: int, peer: _Peer, boot: float) -> int:
         """Return the mask of live holders to send to another holder.
@@ -247,12 +254,12 @@
         acknowledged a lease that was sent after it became alive, or every older lease
         has ended.
         """
-        if not self.watch.good or self._roster.out_of_service:
+        if not self.watch.own_share_counts or self._roster.out_of_service:
             return 0
-        ended = boot - peer.live_since >= LEASE_S
-        if ended or self._all_acknowledged(peer):
-            return self._live
-        return self._live & ~(1 << index)
+        older_leases_ended = boot - peer.live_since >= LEASE_S
+        if older_leases_ended or self._all_acknowledged(peer):
+            return self._live_mask
+        return self._live_mask & ~(1 << index)
 
     def _all_acknowledged(self, newcomer: _Peer) -> bool:
         since_ms = newcomer.live_since * 1000
@@ -265,7 +272,7 @@
         """Yield the other live holders, each with its index in `Holders.names`."""
         own = self._roster.own.host_id
         for index, host_id in enumerate(self.watch.holders.names):
-            if host_id != own and self._live >> index & 1:
+            if host_id != own and self._live_mask >> index & 1:
                 yield index, self._peers[host_id]
 
     def _receipts(self, at: ClockReading) -> Iterator[tuple[str, msg.Message]]:
@@ -307,16 +314,16 @@
             peer.acked_ms = 0
         peer.received_ms = max(peer.received_ms, message.sent_ms)
         peer.acked_ms = max(peer.acked_ms, message.echo_ms)
-        if peer.received_live != message.live:
+        if peer.received_live_mask != message.live:
             # The sender waits for the acknowledgement, so the next lease is due at
             # once.
-            peer.received_live = message.live
+            peer.received_live_mask = message.live
             peer.sent_at = float("-inf")
-        until = message.echo_ms / 1000 + LEASE_S
+        ends_at = message.echo_ms / 1000 + LEASE_S
         # An echo from the future stems from an earlier start of this machine.
-        valid = not self._roster.out_of_service and until <= at.boot + LEASE_S
-        live = message.live if valid else 0
-        self.keeper.set_lease(host_id, message.key, live, until, at.boot)
+        valid = not self._roster.out_of_service and ends_at <= at.boot + LEASE_S
+        live_mask = message.live if valid else 0
+        self.keeper.set_lease(host_id, message.key, live_mask, ends_at, at.boot)
 
     def on_charges(
         self, host: Incarnation, message: msg.QuotaCharges, at: ClockReading
--- a/lacewingcross/core/resources.py
+++ b/lacewingcross/core/resources.py
@@ -105,8 +105,10 @@
 
     def limit(self, region: str) -> float:
         """Return the maximum number of requests in flight in `region`."""
-        slots = float(sum(srv.max_concurrent for srv in self.by_region.get(region, ())))
-        return min(slots, self.region_limits.get(region, slots))
+        max_in_flight = float(
+            sum(srv.max_concurrent for srv in self.by_region.get(region, ()))
+        )
+        return min(max_in_flight, self.region_limits.get(region, max_in_flight))
 
 
 @dataclass(slots=True, frozen=True)
--- a/lacewingcross/core/watch_election.py
+++ b/lacewingcross/core/watch_election.py
@@ -113,10 +113,12 @@
             return False
         if rank == 0:
             return True
-        timeout_s = self._empty_timeout(rank) if empty else silence_timeout(rank, kind)
-        return self._silence(kind, now) > timeout_s
+        timeout_s = (
+            self._empty_timeout_s(rank) if empty else silence_timeout_s(rank, kind)
+        )
+        return self._silence_s(kind, now) > timeout_s
 
-    def _empty_timeout(self, rank: int) -> float:
+    def _empty_timeout_s(self, rank: int) -> float:
         """Return the silence timeout of a host that cannot serve yet, in seconds.
 
         Guards against a power loss of all hosts after which the host of rank 0 restarts
@@ -129,7 +131,7 @@
             MAX_FIRST_START_EMPTY_TIMEOUT_S, FIRST_START_EMPTY_TIMEOUT_S + extra_s
         )
 
-    def _silence(self, kind: Kind, now: float) -> float:
+    def _silence_s(self, kind: Kind, now: float) -> float:
         """Return the time since the last peer update, or else since the start."""
         return now - self._peer_update_at.get(kind, self._started_at)
 
@@ -139,9 +141,9 @@
     return QUARANTINE_WATCH_S if kind is Kind.QUARANTINE else WATCH_WAIT_S
 
 
-def silence_timeout(rank: int, kind: Kind = Kind.CONFIG) -> float:
+def silence_timeout_s(rank: int, kind: Kind = Kind.CONFIG) -> float:
     """Return after what silence a host of this rank watches a kind, in seconds."""
-    timeout = min(
+    timeout_s = min(
         MAX_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_S + (rank - 1) * SILENCE_TIMEOUT_STEP_S
     )
-    return timeout + QUARANTINE_WATCH_S if kind is Kind.QUARANTINE else timeout
+    return timeout_s + QUARANTINE_WATCH_S if kind is Kind.QUARANTINE else timeout_s
--- a/lacewingcross/gateway/crashes.py
+++ b/lacewingcross/gateway/crashes.py
@@ -217,7 +217,7 @@
             "WARNING",
             request=request,
             servers=list(entry.servers),
-            trial_in_s=round(entry.refused_for(self._now()), 1),
+            trial_in_s=round(entry.refused_for_s(self._now()), 1),
         )
 
     def _announce_cleared(self, request: str, source: str) -> None:
--- a/lacewingcross/gateway/quota_admission.py
+++ b/lacewingcross/gateway/quota_admission.py
@@ -118,7 +118,7 @@
         waiters = self._waiters.get(account)
         if not waiters:
             return
-        decided = self._quotas.ledger.decided(account, self._times().now)
+        decided = self._quotas.ledger.decide_waiting(account, self._times().now)
         for _ in range(decided.admitted):
             if not _set_outcome(waiters.popleft(), Outcome.ADMITTED):
                 self._quotas.ledger.cancel(account)
@@ -194,12 +194,12 @@
     def send_due(self, send_to: SendTo) -> None:
         """Send the quota messages that are due now."""
         reading = self._times()
-        was_good = self._quotas.watch.good
+        own_share_counted = self._quotas.watch.own_share_counts
         self._quotas.review(reading)
-        if self._quotas.watch.good != was_good:
+        if self._quotas.watch.own_share_counts != own_share_counted:
             logs.event(
                 "quota-share",
-                good=not was_good,
+                good=not own_share_counted,
                 holders=len(self._quotas.watch.holders),
                 key=self._quotas.watch.holders.key,
             )
--- a/lacewingcross/gateway/repeats.py
+++ b/lacewingcross/gateway/repeats.py
@@ -89,7 +89,7 @@
                 "request-tried", id=self._frame.request_id, request=self.fingerprint
             )
             return 0.0
-        return held.refused_for(now)
+        return held.refused_for_s(now)
 
     def _runs_trial_here(self) -> bool:
         """Return whether this is the one host that runs the request's trial.
--- a/lacewingcross/gateway/request.py
+++ b/lacewingcross/gateway/request.py
@@ -109,8 +109,8 @@
             config=gateway.steering.table.config.version,
             keeper=decision.keeper,
             debt=decision.debt,
-            debt_most=decision.debt_most,
-            age_ms=int(min(9999, 1000 * decision.age_s)),
+            debt_most=decision.max_debt,
+            age_ms=int(min(9999, 1000 * decision.receipt_age_s)),
             retry_after_ms=int(1000 * decision.retry_after_s),
         )
         await self._reply.finish(HostAnswer(429, "over-quota", decision.retry_after_s))
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -256,10 +256,10 @@
         live = [e.info for e in self._roster.entries.values() if e.last_message_at > 0]
         now = max((e.last_message_at for e in self._roster.entries.values()), default=0)
         entries = self._roster.entries
-        recently_heard = [
+        recently_alive = [
             i for i in live if now - entries[i.host_id].last_message_at < 2.0
         ]
-        chosen = active_hosts([self._roster.own, *recently_heard], 0.0)
+        chosen = active_hosts([self._roster.own, *recently_alive], 0.0)
         self.holders = quota_holders.Holders(info.host_id for info in chosen)
         self._confirming_hosts = frozenset()
 
@@ -276,7 +276,7 @@
 
 def test_debts_right_after_a_start_would_break_the_bound(monkeypatch):
     monkeypatch.setattr(
-        quotas.Quotas, "_may_run_unpaid", lambda self, now: self.watch.good
+        quotas.Quotas, "_may_run_unpaid", lambda self, now: self.watch.own_share_counts
     )
     monkeypatch.setattr(quota_keeper, "_Bucket", full_bucket())
     assert bound_broken_by(restart_all_twice)
--- a/tests/test_watch_election.py
+++ b/tests/test_watch_election.py
@@ -7,7 +7,7 @@
     SILENCE_TIMEOUT_S,
     STORE_UNREACHABLE_S,
     WatchElection,
-    silence_timeout,
+    silence_timeout_s,
     watch_wait_s,
 )
 
@@ -35,7 +35,7 @@
 def test_hosts_take_over_one_after_the_other():
     # The watching host loses power. If all others asked the store at the same time,
     # each outage of one host would cost one call per host.
-    assert [silence_timeout(rank) for rank in (1, 2, 3)] == [1.5, 1.6, 1.7]
+    assert [silence_timeout_s(rank) for rank in (1, 2, 3)] == [1.5, 1.6, 1.7]
 
 
 def test_a_partitioned_host_watches_the_store_in_time():
@@ -101,7 +101,7 @@
     # Quarantines hardly ever change; one call per second for them would be a third of
     # all calls. A host that takes over must wait longer than one watch of a live host.
     assert watch_wait_s(Kind.QUARANTINE) == QUARANTINE_WATCH_S
-    assert silence_timeout(1, Kind.QUARANTINE) > QUARANTINE_WATCH_S
+    assert silence_timeout_s(1, Kind.QUARANTINE) > QUARANTINE_WATCH_S
     election = WatchElection()
     election.note_peer_update(Kind.QUARANTINE, 10.0)
     assert not election.should_watch(Kind.QUARANTINE, 1, 10.0 + QUARANTINE_WATCH_S)
