--- a/lacewingcross/core/account_usage.py
+++ b/lacewingcross/core/account_usage.py
@@ -10,11 +10,12 @@
 class AccountUsage:
     """Requests that a host runs for an account, and what is paid of them.
 
-    Of the charged requests, `waiting` are not decided yet. `sent_totals` holds the
-    totals (charged, returned) that were last sent to the keeper, at `sent_at`.
-    `receipt_at` is the time of its last receipt, which also says when it will pay the
-    next open charge: `next_paid_at`. `last_retry_at` is the latest retry time given to
-    a refused caller. Times are monotonic, in seconds.
+    `charged`, `returned` and `paid` are running totals. Of the charged requests,
+    `waiting` are not decided yet. `sent_totals` holds the totals (charged, returned)
+    that were last sent to the keeper, at `sent_at`. `receipt_at` is the time of the
+    keeper's last receipt, which also says when the keeper will pay the next open
+    charge: `next_paid_at`, or -infinity if no charge was open there. `last_retry_at` is
+    the latest retry time given to a refused caller. Times are monotonic, in seconds.
     """
 
     quota: Quota
@@ -24,31 +25,31 @@
     paid: int = 0
     waiting: int = 0
     sent_totals: tuple[int, int] = (0, 0)
-    # The highest total of charges sent to any keeper; `charged` never falls below it.
+    # The highest total `charged` sent to any keeper; `charged` never falls below it.
     max_sent_charged: int = 0
     sent_at: float = float("-inf")
     receipt_at: float = float("-inf")
     next_paid_at: float = float("-inf")
     last_retry_at: float = float("-inf")
-    # Admission times of the unpaid requests, the oldest first.
+    # Admission times of the requests in debt, the oldest first.
     _unpaid_since: deque[float] = field(default_factory=deque)
 
     @property
     def open(self) -> int:
-        """Return the number of requests that are charged and not paid."""
+        """Return the number of requests that are charged, not returned and not paid."""
         return self.charged - self.returned - self.paid
 
     @property
     def debt(self) -> int:
         """Return the number of requests that were run and are not paid.
 
-        It is below 0 if waiting requests are paid already; no other request may use
-        that credit.
+        It is below 0 if waiting requests are paid already but not decided yet; no other
+        request may use that credit.
         """
         return self.open - self.waiting
 
     def note_admitted(self, now: float) -> None:
-        """Note the admission of a request that is charged already."""
+        """Note when a charged request was admitted, unless it is paid already."""
         if self.debt > 0:
             self._unpaid_since.append(now)
 
@@ -64,13 +65,16 @@
             self._unpaid_since.pop()
 
     def pay(self, paid: int) -> None:
-        """Update the total of paid requests; the oldest requests are paid first."""
+        """Raise the total of paid requests to `paid`; the oldest are paid first.
+
+        The total does not fall, and does not exceed the charges that are not returned.
+        """
         self.paid = max(self.paid, min(paid, self.charged - self.returned))
         while len(self._unpaid_since) > max(0, self.debt):
             self._unpaid_since.popleft()
 
     def forgive(self, admitted_before: float) -> None:
-        """Count requests that were admitted before `admitted_before` as paid."""
+        """Count requests in debt that were admitted before this time as paid."""
         while self._unpaid_since and self._unpaid_since[0] < admitted_before:
             self._unpaid_since.popleft()
             self.paid += 1
--- a/lacewingcross/core/catch_up.py
+++ b/lacewingcross/core/catch_up.py
@@ -2,12 +2,12 @@
 
 from .replica import Kind
 
-# A copy that is behind another host's for this time has missed a push, in seconds. One
+# A copy that is behind another host's for this time, in seconds, has missed a push. One
 # push reaches all hosts within a few network round trips (70 ms between regions).
 MISSED_PUSH_AFTER_S = 0.5
-# Minimum time between two requests for one kind, in seconds; the response arrives
-# within it. A host that starts receives the revisions of all its peers at once, and
-# must not ask each of them.
+# Minimum time between two requests for one kind of object, in seconds; the response to
+# the first arrives within this time. A host that starts receives the revisions of all
+# its peers at once, and must not ask each of them.
 MIN_ASK_INTERVAL_S = 0.3
 
 
@@ -30,12 +30,16 @@
     def should_ask(
         self, kind: Kind, own_revision: int, peer_revision: int, now: float
     ) -> bool:
-        """Return whether to ask a peer that is complete up to revision `peer_revision`.
+        """Return whether to ask a peer for changes, and note the request if so.
+
+        A host without a copy (`own_revision` is 0) asks at once; any other host only
+        after its copy has been behind for `MISSED_PUSH_AFTER_S`. In both cases
+        `may_ask` limits the requests.
 
         Parameters
         ----------
         kind : Kind
-            What is compared.
+            Kind of object whose revisions are compared.
         own, theirs : int
             Revisions up to which this host's and the peer's copies are complete.
         now : float
@@ -50,7 +54,10 @@
         return self.may_ask(kind, now)
 
     def may_ask(self, kind: Kind, now: float) -> bool:
-        """Return whether no request for a kind is pending, and note a new one if so."""
+        """Return whether a request for a kind may be sent, and note the request if so.
+
+        It may unless one was sent within `MIN_ASK_INTERVAL_S`.
+        """
         if now - self._asked_at.get(kind, float("-inf")) < MIN_ASK_INTERVAL_S:
             return False
         self._asked_at[kind] = now
--- a/lacewingcross/core/config.py
+++ b/lacewingcross/core/config.py
@@ -28,6 +28,13 @@
 
     A merge keeps the higher version of each key. So entries may arrive in any order,
     repeatedly, and from the platform or any peer.
+
+    `policies`, `caps`, `pools` and `blocks` are by service; `blocks` holds the client
+    groups' address blocks of each policy. `drains`, `plans`, `plan_versions` and
+    `shards` are by name of the object. `tables` holds the shards of each block table,
+    ordered by first address. `rejected` holds the reason for each key whose newest
+    entry is invalid. `revision` is the version up to which this host's entries are
+    complete.
     """
 
     entries: dict[str, Entry] = field(default_factory=dict)
@@ -147,7 +154,9 @@
     def group_of(self, service: str, address: int | None) -> str | None:
         """Return the client group of an address, or the first group if none matches.
 
-        The result is None if the service has no policy.
+        The policy's block table, if it names one, takes precedence over the blocks in
+        the policy itself. Without an address, the result is the first group. It is
+        None if the service has no policy.
         """
         policy = self.policies.get(service)
         if policy is None:
@@ -169,7 +178,7 @@
         return shards[position].group(address) if position >= 0 else ""
 
     def drained_regions(self, service: str) -> frozenset[str]:
-        """Return the regions that planned drains empty for `service`."""
+        """Return the regions that planned drains empty of requests for `service`."""
         return frozenset(
             drain.value
             for drain in self.drains.values()
@@ -177,7 +186,10 @@
         )
 
     def leaving_servers(self, service: str) -> set[str]:
-        """Return the ids of the service's servers that planned drains stop."""
+        """Return the ids of the service's servers that planned drains stop.
+
+        These are drains of a server or a failure domain, see also `drained_regions`.
+        """
         pool = self.pools.get(service)
         if pool is None:
             return set()
--- a/lacewingcross/core/crash_gossip.py
+++ b/lacewingcross/core/crash_gossip.py
@@ -1,8 +1,9 @@
 """The reports of crashed servers that a host still has to send to each other host.
 
 Each report has a sequence number. A stream to another host keeps the number up to which
-everything was sent on it. A new stream starts from the beginning, so a host that was
-partitioned, has just started or lost messages receives all reports that are remembered.
+all reports were sent on it. A new stream starts from the beginning, so a host that was
+partitioned, has just started or lost messages receives all crashes that still count
+against a request.
 """
 
 from collections import deque
@@ -14,7 +15,8 @@
 from .crashes import MAX_CRASHES_KEPT, CrashLedger
 
 # Maximum number of reports that are kept; the oldest are dropped first. Each crash is
-# reported once by each host that had requests at the server, usually one or two hosts.
+# reported once by each host that had requests at the server that crashed, usually one
+# or two hosts.
 MAX_ITEMS_KEPT = 2 * MAX_CRASHES_KEPT
 
 
@@ -22,8 +24,8 @@
 class GossipItem:
     """One report: a server that crashed, or else a request that was answered.
 
-    `sequence` is its sequence number. `source` is the host that sent it, empty if this
-    host observed it itself.
+    `sequence` is the report's sequence number on this host. `source` is the id of the
+    host that sent the report, empty if this host observed the crash or answer itself.
     """
 
     sequence: int
@@ -33,7 +35,7 @@
 
 
 class CrashGossip:
-    """Reports in the order in which they arrived.
+    """The reports that this host has made or received, the oldest first.
 
     Parameters
     ----------
@@ -64,10 +66,12 @@
         self._items.append(GossipItem(self.newest, source, answered=request))
 
     def since(self, sequence: int | None) -> Iterator[GossipItem]:
-        """Return the reports after a sequence number that are still valid.
+        """Return the reports after a sequence number, the oldest first.
 
-        None stands for a new stream and returns all crashes that count against a
-        request. Other crashes only made hosts skip a server for some seconds.
+        Reports of crashes that the ledger has forgotten are left out. None stands for a
+        new stream; for it the result is only the crashes that count against a request.
+        Other crashes only made hosts skip a server for some seconds, and the ledger has
+        already cleared the requests that were answered.
         """
         if sequence is None:
             return (item for item in self._items if self._counts_against_request(item))
@@ -89,12 +93,12 @@
 def should_pass_on(
     item: GossipItem, receiver: str, active: Container[str], *, fresh: bool
 ) -> bool:
-    """Return whether a report should be sent to another host.
+    """Return whether a report should be sent to the host `receiver`.
 
     Active hosts send each other what they observe themselves, so they do not forward
     reports from one active host to another. In a fleet of `n` active hosts each crash
-    costs ``n * n`` messages instead of ``n * n * n``. A new stream (`fresh`) receives
-    everything except the receiver's own reports.
+    costs ``n * n`` messages instead of ``n * n * n``. On a new stream (`fresh`), all
+    reports are sent except those that came from the receiver.
     """
     if item.source == receiver:
         return False
--- a/lacewingcross/core/crashes.py
+++ b/lacewingcross/core/crashes.py
@@ -4,7 +4,7 @@
 caller repeats. Every crash costs the other requests at that server their responses, and
 the server restarts cold: it has handled no object recently. No single host sees enough
 of these crashes, since each repeat may arrive at another host. So hosts send each other
-a report of each server that crashed, with the requests that it was running then.
+a report of each server that crashed, with the requests that the server was running.
 
 A crash also affects harmless requests that were running at the server. They differ from
 the request to blame in that another server responds to them: a response clears a
@@ -21,11 +21,12 @@
 # meet three, it would have to hit each of them within the few tries that its caller
 # makes.
 MAX_CRASHES_PER_REQUEST = 3
-# How long a crash counts against the requests that were running, in seconds. A caller
-# that repeats a request by hand or by schedule does so within minutes.
+# How long a crash counts against the requests that were running at the server, in
+# seconds. A caller that repeats a request by hand or by schedule does so within
+# minutes.
 REMEMBERED_S = 300.0
-# Maximum number of crashes that are remembered, which limits them to some megabytes.
-# The oldest is dropped first.
+# Maximum number of crashes that are remembered, which limits their memory to some
+# megabytes. The oldest crash is dropped first.
 MAX_CRASHES_KEPT = 512
 
 
@@ -33,8 +34,8 @@
 class ServerCrash:
     """A report that one run of a backend server has crashed.
 
-    `requests` holds the fingerprints of requests that were running there. It may be
-    empty, and several hosts may each report the requests that they had sent.
+    `requests` holds the fingerprints of requests that were running at the server. It
+    may be empty, and several hosts may each report the requests that they had sent.
     """
 
     server: Incarnation
@@ -43,16 +44,17 @@
 
 @dataclass(slots=True)
 class _CrashRecord:
-    """One crash; `first_report_at` is when its first report arrived, in seconds.
+    """One crash; `first_report_at` is the monotonic time of its first report.
 
-    `own` says whether this host has observed the crash itself. `requests` are those
-    that the crash counts against.
+    `own` says whether this host has observed the crash itself. `requests` are the
+    requests that the crash counts against.
     """
 
     first_report_at: float
     own: bool = False
     requests: set[str] = field(default_factory=set)
-    # Requests that a server has answered since; a late report of them is ignored.
+    # Requests that were answered or released since; late reports that they were running
+    # are ignored.
     cleared: set[str] = field(default_factory=set)
 
 
@@ -68,7 +70,7 @@
 
     @property
     def has_suspects(self) -> bool:
-        """Return whether any crash counts against a request or one is quarantined."""
+        """Return whether a crash counts against any request, or one is quarantined."""
         return bool(self._crashes_by_request or self.quarantine)
 
     def has_crashed(self, server: Incarnation) -> bool:
@@ -101,7 +103,8 @@
         Returns
         -------
         updated : bool
-            Whether the report contained anything new.
+            Whether the crash was unknown, or the report names requests that the crash
+            did not count against yet.
         quarantined : list of str
             Requests that are quarantined from now on.
         """
@@ -146,9 +149,9 @@
     def answered(self, request: str) -> bool:
         """Clear a request that a server has answered; return whether that was needed.
 
-        Guards against a server that crashes three times under load while a popular
-        request is running there each time. All callers that send the same request would
-        be refused for minutes.
+        Guards against three crashes of servers under load while a popular request is
+        running there each time. All callers that send the same request would be refused
+        for minutes, although servers answer it in between.
         """
         if request not in self._crashes_by_request and request not in self.quarantine:
             return False
@@ -170,7 +173,7 @@
             self.quarantine.add(request, servers, now)
 
     def review(self, now: float) -> list[str]:
-        """Drop old crashes and quarantines; return requests no longer refused."""
+        """Drop old crashes and quarantines; return requests now released."""
         old_servers = [
             server
             for server, record in self._crashes.items()
--- a/lacewingcross/core/fingerprint.py
+++ b/lacewingcross/core/fingerprint.py
@@ -11,10 +11,10 @@
 from hashlib import blake2b
 
 # Maximum number of body bytes that are hashed. Uploads that differ do so long before
-# this point, and hashing this much takes a fraction of a millisecond.
+# this point, and hashing this many bytes takes a fraction of a millisecond.
 MAX_BODY_BYTES = 256 * 1024
-# Ten thousand requests may be remembered at a time. With 64 bits, the probability that
-# any two of them have the same fingerprint is 3 in 10^12.
+# Size of a fingerprint. Ten thousand requests may be remembered at a time. With 64
+# bits, the probability that any two of them have the same fingerprint is 3 in 10^12.
 DIGEST_BYTES = 8
 
 
@@ -53,8 +53,8 @@
     )
     for text in fields:
         data = text.encode("utf-8", "surrogateescape")
-        # The length keeps fields apart: text must not move from one field to the next
-        # without a change of the hash.
+        # The length before each field keeps the fields apart: text must not move from
+        # one field to the next without a change of the hash.
         digest.update(len(data).to_bytes(4, "big"))
         digest.update(data)
     bytes_left = MAX_BODY_BYTES
--- a/lacewingcross/core/fleet_shares.py
+++ b/lacewingcross/core/fleet_shares.py
@@ -3,43 +3,45 @@
 from .rendezvous import ranked
 from .roster import FORGET_AFTER_S, Entry, Roster
 
-# A host that becomes active counts all known hosts for this time, in seconds, which
-# makes its own share small. Until the other active hosts know of it, their shares add
-# up to one without it.
+# A host that becomes active divides limits among all known hosts for this time, in
+# seconds, which makes its own share small. Until the other active hosts know of the new
+# one, their shares add up to one without it.
 SETTLE_S = 2.0
-# Number of hosts of a region that is assumed until the list of hosts has been read. It
-# is half as many again as the most that either user has in a region of few hosts.
+# Until the list of hosts has been read, a limit is assumed to be divided among at least
+# this many hosts. It is about half as many again as the most hosts that either of the
+# two known deployments has in a region of few hosts.
 ASSUMED_HOSTS = 8
 
 
 def region_share(roster: Roster, now: float) -> float:
-    """Return a host's share of its region's processor time, 0 to 1.
+    """Return this host's share of the active hosts' processor time in its region.
 
-    `_share` describes how it is computed.
+    The share is from 0 to 1; `_share` describes how it is computed.
     """
     return _share(roster, now, roster.own.region)
 
 
 def fleet_share(roster: Roster, now: float) -> float:
-    """Return a host's share of all hosts' processor time, 0 to 1.
+    """Return this host's share of the processor time of all active hosts.
 
-    `_share` describes how it is computed.
+    The share is from 0 to 1; `_share` describes how it is computed.
     """
     return _share(roster, now, "")
 
 
 def _share(roster: Roster, now: float, region: str) -> float:
-    """Return a host's share among the active hosts of a region, alive or not.
+    """Return this host's share among the active hosts of a region, alive or not.
 
     The shares are in proportion to processor cores. An empty `region` stands for all
     regions. Only active hosts serve callers, so a standby host has no share. Divided
     among all 195 hosts, the 13 requests per second that a cold server tolerates would
     give no host a whole request. Hosts that were active within the last minute keep
-    their shares, since they may be partitioned and continue to serve.
+    their shares, since they may be partitioned and continue to serve. For `SETTLE_S`
+    after this host has become active, all known hosts count as active.
 
     Guards against a restart of all hosts together: each knows only itself at first, and
-    would take the whole region's share of the requests that a cold server tolerates. So
-    a number of hosts is assumed until the list of hosts has been read.
+    would use all the requests by itself that a cold server tolerates from its region.
+    So the share is at most ``1 / ASSUMED_HOSTS`` until the list of hosts has been read.
     """
     if not roster.is_active:
         return 0.0
@@ -57,8 +59,8 @@
 def serving_hosts(roster: Roster, now: float) -> frozenset[str]:
     """Return the hosts that may send requests to servers, alive or not.
 
-    The hosts are chosen as in `_share`. The result is empty on a standby host, and
-    until the list of hosts has been read.
+    They are this host and the hosts that `_share` counts in all regions. The result is
+    empty on a standby host, and until the list of hosts has been read.
     """
     if not roster.is_active or not roster.listed:
         return frozenset()
@@ -71,17 +73,19 @@
 
 
 def _has_share(roster: Roster, host_id: str, entry: Entry, now: float) -> bool:
+    """Return whether a host is active, or was within `FORGET_AFTER_S`."""
     return host_id in roster.active or now - entry.active_at < FORGET_AFTER_S
 
 
 def rank(roster: Roster, now: float) -> int | None:
-    """Return a host's rank among those that may watch the store, 0 first.
+    """Return this host's rank among the hosts that may watch the store, 0 first.
 
     The rank is None for a host with a live relay, since the relay sends it everything.
-    Hosts that are starting or shutting down, for which the store is unreachable, or
-    that are not alive rank last; they watch the store only if no other host can. Of the
-    others, hosts with more cores come first, because the watching host sends every
-    change to all others.
+    The active hosts, and hosts that are alive and shutting down, are ranked with this
+    host. Hosts that are starting or shutting down, for which the store is unreachable,
+    or that are not alive rank last; they watch the store only if no other host can.
+    Otherwise hosts with more cores come first, because the watching host sends every
+    change to all other hosts.
     """
     if roster.has_live_relay(now):
         return None
--- a/lacewingcross/core/key_claims.py
+++ b/lacewingcross/core/key_claims.py
@@ -10,7 +10,9 @@
 
 
 class KeyClaims:
-    """Sends claims to the host that currently owns the shard of a key.
+    """Makes the messages that claim and release keys, for the keys' current owners.
+
+    Keys are divided into shards; one host at a time owns each shard.
 
     Parameters
     ----------
@@ -27,11 +29,13 @@
         self._keepers = keepers
 
     def ask(self, state: RequestState, now: float) -> SendPeer:
-        """Request the claim of a request's key before the request is sent to a server.
+        """Return the message that claims a request's key, and note it in `state`.
+
+        The request is sent to a server only after the claim has succeeded.
 
         Guards against a caller that received no response and sends the same booking to
-        a second host. Both hosts share only the platform, where the claim succeeds for
-        one of them.
+        a second host: without a claim, both hosts would run it. The two hosts share
+        only the platform, where the claim succeeds for one of them.
         """
         req = state.req
         own = self._view.own.host_id
@@ -44,14 +48,14 @@
         return SendPeer(state.keeper, message)
 
     def owner_moved(self, state: RequestState, now: float) -> bool:
-        """Return whether another host owns the key's shard now."""
+        """Return whether another host owns the key's shard since it was claimed."""
         return self._owner(state, now) != state.keeper
 
     def free(self, state: RequestState, now: float) -> Iterator[Action]:
-        """Release the key of a request that did not run.
+        """Release the key of a request that was claimed and certainly did not run.
 
         Otherwise the caller's retry would be refused as a duplicate of a booking that
-        never ran.
+        never ran. The key of a request that may have run stays claimed.
         """
         if state.key_hash and not state.may_have_run:
             message = msg.Unclaim(state.req.service, state.key_hash, state.claim)
--- a/lacewingcross/core/quarantine.py
+++ b/lacewingcross/core/quarantine.py
@@ -1,25 +1,28 @@
 """Requests that are refused because backend servers crash while they run them.
 
 The request that causes crashes cannot always be distinguished from one that is only
-present each time: a popular request goes to the same servers as a bad one for the same
-object, and each crash interrupts it before it is answered. So a quarantine can be
-wrong, and a trial can end it: a single host of the fleet sends the request once, and a
-response clears the request on all hosts.
+running at the server each time: a popular request goes to the same servers as a bad one
+for the same object, and each crash interrupts the popular request before it is
+answered. So a quarantine can be wrong, and a trial can end it: a single host of the
+fleet sends the request once, and a response clears the request on all hosts.
 """
 
 from dataclasses import dataclass
 
 # Maximum number of quarantined requests; the oldest is dropped first.
 MAX_QUARANTINES_KEPT = 1000
-# How long a request is refused after the last crash that counts against it, in seconds,
-# if no trial shows that it is harmless: its caller has stopped sending it, or it really
-# causes crashes.
+# How long a request is refused after the last crash that counts against it, or after
+# its quarantine was read from the store, in seconds, if no trial shows that it is
+# harmless: its caller has stopped sending it, or it really causes crashes.
 QUARANTINE_S = 3600.0
-# Time to the next trial, in seconds. A server that crashes is missing for some ten
-# seconds, restart included, so a bad request costs less than 2 in 100 of its time.
+# Time to the next trial of a request, in seconds. A server that crashes is missing for
+# some ten seconds, restart included, so the trials of a bad request cost less than 2 in
+# 100 of a server's time.
 TRIAL_INTERVAL_S = 600.0
-# Time to the first trial if several requests were running at the same servers, in
-# seconds. Most of them are harmless, and a server has restarted by then.
+# Time to the first trial if several requests were running at the same servers that
+# crashed, in seconds. Most of these requests are harmless, and a server has restarted
+# by then. It is also the time to the next trial if no server began to run the request,
+# and the retry time of callers while a trial is due.
 EARLY_TRIAL_S = 5.0
 
 
@@ -27,8 +30,9 @@
 class Quarantine:
     """A request that is refused until `until`, except for trials.
 
-    `servers` are the servers that crashed while they ran it. `own` says that this host
-    itself observed one of the crashes. Times are monotonic, in seconds.
+    `servers` are the ids of the servers that crashed while they ran the request. `own`
+    says that this host itself observed one of the crashes. `since` is when this host
+    added the quarantine. Times are monotonic, in seconds.
     """
 
     servers: tuple[str, ...]
@@ -38,7 +42,7 @@
     next_trial_at: float
 
     def refused_for_s(self, now: float) -> float:
-        """Return after how many seconds the caller should retry."""
+        """Return the time after which the caller should retry, in seconds."""
         due_s = self.next_trial_at - now
         return due_s if due_s > 0 else EARLY_TRIAL_S
 
@@ -68,7 +72,7 @@
     def add(
         self, request: str, servers: tuple[str, ...], now: float, *, own: bool = False
     ) -> None:
-        """Quarantine a request that these servers were running when they crashed."""
+        """Quarantine a request that `servers` were running when they crashed."""
         while len(self._by_request) >= MAX_QUARANTINES_KEPT:
             del self._by_request[next(iter(self._by_request))]
         until = now + QUARANTINE_S
@@ -77,12 +81,12 @@
         )
 
     def schedule_early_trials(self, request: str, now: float) -> None:
-        """Schedule an early trial if other quarantined requests have the same servers.
+        """Schedule early trials if other quarantined requests have the same servers.
 
-        The trials of all these requests are moved forward. This must not be called for
-        a quarantine that was read from the store: its request may have failed its trial
-        before this host started, and would crash one more server at each start of a
-        host.
+        The trials of all these requests are moved forward. This method must not be
+        called for a quarantine that was read from the store: its request may have
+        failed its trial before this host started, and would crash one more server at
+        each start of a host.
         """
         quarantine = self._by_request[request]
         same_servers = [
@@ -96,7 +100,10 @@
                 other.next_trial_at = min(other.next_trial_at, soon)
 
     def crashed_again(self, request: str, server_id: str, now: float) -> None:
-        """Note that one more server has crashed while it ran a quarantined request."""
+        """Note that one more server has crashed while it ran a quarantined request.
+
+        The quarantine and the time to the next trial start again.
+        """
         quarantine = self._by_request[request]
         quarantine.servers = (*quarantine.servers, server_id)
         quarantine.until = now + QUARANTINE_S
@@ -108,7 +115,7 @@
         return quarantine is not None and now >= quarantine.next_trial_at
 
     def begin_trial(self, request: str, now: float) -> None:
-        """Note the start of a trial; until the next one the request is refused."""
+        """Note the start of a trial; until the next trial the request is refused."""
         self._by_request[request].next_trial_at = now + TRIAL_INTERVAL_S
 
     def trial_inconclusive(self, request: str, now: float) -> None:
--- a/lacewingcross/core/quota.py
+++ b/lacewingcross/core/quota.py
@@ -6,10 +6,10 @@
 
 from dataclasses import dataclass
 
-# Shares of the margin between the quota and the bound. The first goes to debts:
-# requests that hosts run before the account's keeper has received the charge. The
-# second lets short bursts of small accounts pass at the keeper. The rest (0.1) covers
-# requests that no host counts, because they were in flight when a host was killed.
+# Shares of the margin between the quota and the bound. `DEBT_SHARE` goes to debts:
+# requests that hosts run before the account's keeper has paid for them. `BURST_SHARE`
+# lets short bursts of small accounts pass at the keeper. The rest (0.1) covers requests
+# that no host counts, because they were in flight when a host was killed.
 DEBT_SHARE = 0.6
 BURST_SHARE = 0.3
 
@@ -47,24 +47,27 @@
         return self._quota_per_window(quota) + self.spare(quota)
 
     def spare(self, quota: Quota) -> float:
-        """Return how many more requests the bound allows than the quota itself."""
+        """Return how many more requests per window the bound allows than the quota."""
         return self._quota_per_window(quota) * self.excess + self.slack
 
     def _quota_per_window(self, quota: Quota) -> float:
         return quota.rate * self.window_s + quota.burst
 
     def max_debt_per_host(self, quota: Quota, host_count: int) -> int:
-        """Return how many unpaid requests each host may run.
+        """Return how many unpaid requests of an account each host may run.
 
         Parameters
         ----------
         quota : Quota
             The account's quota.
         host_count : int
-            Number of hosts among which the debts are divided.
+            Number of hosts that share the margin for debts equally.
         """
         return int(self.spare(quota) * DEBT_SHARE / max(1, host_count))
 
     def max_credit(self, quota: Quota) -> float:
-        """Return how much credit an account without requests may accumulate."""
+        """Return how much credit an account without requests may accumulate.
+
+        One unit of credit pays one request.
+        """
         return quota.burst + self.spare(quota) * BURST_SHARE
--- a/lacewingcross/core/quota_holders.py
+++ b/lacewingcross/core/quota_holders.py
@@ -19,28 +19,32 @@
 from .rendezvous import hash64
 from .roster import FORGET_AFTER_S, Roster
 
-# Each holder may run some requests of an account before they are paid for. The debt of
-# the smallest accounts is enough for one request at each of this many hosts.
+# Maximum number of holders. The margin for debts of an account is divided among them;
+# for the smallest quotas the margin is little more than 12 requests (0.6 of a slack of
+# 20), which allows each holder one request before it is paid for.
 MAX_HOLDERS = 12
-# Time in which holders find each other when the whole system starts for the first time,
-# in seconds. No share can have been lent before that.
+# When the whole system starts for the first time, a holder counts its own share this
+# long after it has first read the list of hosts, in seconds. By then the holders have
+# found each other, and before its first start no host can have lent a share.
 FIRST_START_SETTLE_S = 2.0
 
 
 class Holders:
     """The holders in one view of the fleet, and the keeper of each account.
 
+    Two hosts have the same view if they compute the same holders.
+
     Parameters
     ----------
     names : iterable of str
-        Host ids.
+        Host ids of the holders.
 
     Attributes
     ----------
     names : tuple of str
-        Host ids, sorted.
+        Host ids of the holders, sorted.
     key : str
-        Hash of the names; equal on all hosts that have the same view.
+        Key of the view: a hash of `names`, equal on all hosts that have the same view.
     """
 
     __slots__ = ("_indexes", "_keeper_orders", "key", "names")
@@ -69,7 +73,10 @@
         return bits
 
     def keeper(self, account: str, live_mask: int) -> str | None:
-        """Return the keeper of an account if the holders in `live_mask` are alive."""
+        """Return the keeper of an account: the first live holder in its order.
+
+        The result is None if no bit of a holder is set in `live_mask`.
+        """
         for index in self._keeper_order(account):
             if live_mask >> index & 1:
                 return self.names[index]
@@ -93,7 +100,11 @@
 
 
 def choose_holders(hosts: Iterable[HostInfo]) -> list[str]:
-    """Return the ids of the holders: large hosts from all failure domains."""
+    """Return the ids of the hosts that are holders, at most `MAX_HOLDERS`.
+
+    They are the hosts that would be active without load (`needed` is 0): the first
+    large hosts of each failure domain, the largest first.
+    """
     chosen = active_hosts(hosts, 0.0)
     return [info.host_id for info in in_order(chosen)][:MAX_HOLDERS]
 
@@ -104,8 +115,9 @@
     Guards against a host that joins and takes a share while other hosts, for instance
     behind a partition, still compute the holders without it: together they would hold
     more than the whole. So a newcomer's share counts only after every other holder, and
-    every one that the newcomer displaces, has reported a view that includes it. A host
-    that was killed and restarts under the same name has been included all the time.
+    every host that would be a holder without the newcomer, has reported a view with the
+    same key as the newcomer's. A host that was killed and restarts under the same name
+    has been included all the time.
 
     Parameters
     ----------
@@ -117,7 +129,8 @@
     Attributes
     ----------
     good : bool
-        Whether this host's own share counts.
+        Whether this host's own share counts. Once true, it remains so for as long as
+        this host is a holder.
     holders : Holders
         The holders in this host's view.
     """
@@ -139,15 +152,19 @@
         self.first_start = first_start
         self.holders = Holders(())
         self.own_share_counts = False
-        # Key of the view that each other host has reported last, by host id.
+        # `Holders.key` that each other host has reported last, by host id.
         self._reported_views: dict[str, str] = {}
+        # When this host was a holder last.
         self._last_holder_at = float("-inf")
+        # The other hosts from which the holders were computed last.
         self._known_hosts: list[HostInfo] = []
+        # When this host first had the list of hosts.
         self._listed_at: float | None = None
+        # Hosts that have to report this host's view before its own share counts.
         self._confirming_hosts: frozenset[str] = frozenset()
 
     def review(self, now: float) -> None:
-        """Update the holders, and whether the own share counts, from the roster."""
+        """Update `holders` and `own_share_counts` from the roster."""
         own = self._roster.own
         others = [entry.info for entry in self._roster.entries.values()]
         if others != self._known_hosts or not self.holders.names:
@@ -172,6 +189,7 @@
         }
 
     def _may_hold(self, now: float) -> bool:
+        """Return whether this host may begin to count its own share."""
         if self._listed_at is None:
             return False
         if self._roster.was_listed:
@@ -184,15 +202,24 @@
         )
 
     def note_reported_view(self, host_id: str, key: str) -> None:
-        """Note the key of the view that another host has reported."""
+        """Note the hash of holder names (`Holders.key`) that another host computed."""
         self._reported_views[host_id] = key
 
     def sends_leases(self, now: float) -> bool:
-        """Return whether this host is, or was recently, a holder and sends leases."""
+        """Return whether to send leases to the live holders.
+
+        This host sends them while it is a holder and for `FORGET_AFTER_S` after. When
+        its share no longer counts, a lease with an empty mask ends the earlier one.
+        """
         return now - self._last_holder_at < FORGET_AFTER_S
 
     def live_mask(self, now: float) -> int:
-        """Return the mask of the holders that this host can reach."""
+        """Return the mask of the holders that are alive and in service.
+
+        A host that is starting or shutting down, or whose process has ended, is left
+        out. This host counts itself, unless it is out of service. A standby host that
+        is no holder also accepts other hosts' reports that a holder is alive.
+        """
         roster = self._roster
         if roster.is_active or roster.own.host_id in self.holders:
             live = {h for h, entry in roster.entries.items() if entry.live(now)}
@@ -205,5 +232,6 @@
 
     def _serves(self, host_id: str) -> bool:
         entry = self._roster.entries[host_id]
-        # A process that has ended holds no lease, so no host waits for one to expire.
+        # A process that has ended holds no lease any more, so lenders need not wait for
+        # one to expire before they lend the same shares to the next keeper.
         return not (entry.leaving or entry.starting or entry.ended())
--- a/lacewingcross/core/quota_keeper.py
+++ b/lacewingcross/core/quota_keeper.py
@@ -22,17 +22,19 @@
 from .quota_holders import Holders
 
 # Duration of a lease, in seconds. It is shorter than the silence after which a host is
-# considered dead (2 s), so its shares are free again when the next keeper takes over.
+# considered dead (2 s), so the shares lent to a keeper that falls silent are free again
+# when the next keeper takes over.
 LEASE_S = 1.2
-# While no share is lent, hosts are sent this time until the next credit, in seconds.
+# While no share of an account is lent to its keeper, receipts give this time as the
+# wait for the next credit, in seconds.
 UNLENT_WAIT_S = 0.5
 # Number of views of the holders that are remembered. All hosts compute a new view at
 # almost the same time, so leases refer to recent views only.
 MAX_VIEWS_KEPT = 4
-# Charges of a host that has sent none for this time are forgotten, in seconds. There is
-# one record for each account and host.
+# The totals of a host that has sent no charge of an account for this time, in seconds,
+# are forgotten, unless charges are open. There is one record for each account and host.
 CHARGES_KEPT_S = 60.0
-# Interval of the search for such records, in seconds.
+# Interval of the search for records to forget, in seconds.
 CLEANUP_INTERVAL_S = 5.0
 
 Incarnation = tuple[str, int]
@@ -51,7 +53,8 @@
     returned : int
         Charged requests that never ran.
     paid : int
-        Other charged requests that are paid, according to the receipts so far.
+        Other charged requests that are paid, according to the receipts so far, or whose
+        debt the host has forgiven because it is old.
     """
 
     account: str
@@ -64,8 +67,8 @@
 class Receipt:
     """A keeper's response to a charge: the total of paid requests.
 
-    `returned` repeats the total that the keeper has received. `wait_s` is the time in
-    seconds until the host's next charge is paid, 0 if no charge is open.
+    `returned` repeats the total that the keeper has received. `wait_s` is the expected
+    time in seconds until the host's next charge is paid, 0 if no charge is open.
     """
 
     account: str
@@ -76,7 +79,10 @@
 
 @dataclass(slots=True)
 class _HostCharges:
-    """Charges of one host for one account; the totals are those of `Charge`."""
+    """Charges of one host for one account; the totals are those of `Charge`.
+
+    `used_at` is the time of the host's last charge. Open charges are not paid yet.
+    """
 
     charged: int = 0
     returned: int = 0
@@ -180,20 +186,23 @@
     def set_lease(
         self, host_id: str, key: str, live_mask: int, ends_at: float, now: float
     ) -> None:
-        """Replace the lease of one lender.
+        """Replace the lease from one lender to this host.
 
-        It covers the lender's shares of the accounts that this host keeps.
+        The new lease covers the lender's shares of the accounts that this host keeps in
+        the lender's view of the holders.
 
         Parameters
         ----------
         host_id : str
             The lender.
         key : str
-            Key of its view of the holders; a view that is unknown here lends nothing.
+            `Holders.key` of the lender's view; a view that is unknown here lends
+            nothing.
         live_mask : int
-            Mask of the holders that it sees alive; 0 lends nothing.
+            Mask of the holders that the lender considers alive; 0 lends nothing.
         ends_at : float
-            When the lease ends.
+            When the lease ends, by this keeper's clock; a lease that has ended lends
+            nothing.
         now : float
             Time in seconds.
         """
@@ -210,13 +219,16 @@
             self._update_lent_shares(now)
 
     def end_leases(self, now: float) -> None:
-        """End all leases, before the lenders learn that they can lend elsewhere."""
+        """End all leases to this host.
+
+        It is called before the lenders learn that they can lend to another keeper.
+        """
         self._expire_leases(now)
         self._leases.clear()
         self._update_lent_shares(now)
 
     def _expire_leases(self, now: float) -> None:
-        """End expired leases, crediting each bucket up to the moment of expiry."""
+        """End expired leases; each bucket fills up to the moment of their expiry."""
         while self._leases:
             host_id, lease = min(self._leases.items(), key=lambda item: item[1].ends_at)
             if lease.ends_at > now:
@@ -252,8 +264,8 @@
     def charge(self, host: Incarnation, totals: Charge, now: float) -> Receipt | None:
         """Process a host's charge; return the receipt.
 
-        Returns None for an account without a quota here, and for a charge that is older
-        than the last one from the host.
+        The result is None for an account without a quota here, and for a charge with a
+        lower total than the last one from the host, since such a charge is outdated.
         """
         bucket = self._buckets.get(totals.account)
         if bucket is None:
@@ -285,7 +297,10 @@
             self._cap(bucket)
 
     def _pay(self, bucket: _Bucket) -> set[Incarnation]:
-        """Pay charges round robin, one per host; return the hosts that were paid."""
+        """Pay open charges while the credit lasts, round robin, one per host and round.
+
+        Return the hosts of which a charge was paid.
+        """
         paid = set()
         while bucket.pending_hosts:
             host = bucket.pending_hosts[0]
@@ -307,6 +322,7 @@
         return Receipt(account, charges.returned, charges.paid, wait_s)
 
     def _wait_s(self, bucket: _Bucket, host: Incarnation) -> float:
+        """Return the time until a host's next open charge is paid, in seconds."""
         rate = bucket.quota.rate * bucket.lent_share
         if rate <= 0:
             return UNLENT_WAIT_S
@@ -314,7 +330,10 @@
         return max(0.0, place_in_queue - bucket.level) / rate
 
     def review(self, now: float) -> Iterator[tuple[str, Receipt]]:
-        """Pay the charges that credit covers; yield receipts with their host ids."""
+        """Pay the charges that credit covers; yield receipts with their host ids.
+
+        Records of hosts that have sent no charges for long are forgotten.
+        """
         self._expire_leases(now)
         for account, bucket in self._buckets.items():
             if bucket.pending_hosts:
@@ -340,7 +359,10 @@
         return bucket.lent_share if bucket else 0.0
 
     def credit(self, account: str, now: float) -> float:
-        """Return the credit of an account minus its open charges."""
+        """Return the credit of an account minus its open charges.
+
+        The result is infinity for an account without a quota here.
+        """
         bucket = self._buckets.get(account)
         if bucket is None:
             return inf
--- a/lacewingcross/core/quota_ledger.py
+++ b/lacewingcross/core/quota_ledger.py
@@ -3,9 +3,9 @@
 Designed for accounts whose requests arrive at all hosts at the same time, from a few to
 some hundred per second, and have to be admitted or refused without delay. A host runs a
 few requests of each account before the account's keeper has paid for them; these are
-its *debt*. The debts of all hosts together stay within the margin that the bound leaves
-over the quota. So an ordinary request does not wait for another host, and requests
-continue while a keeper is being replaced.
+the host's *debt*. The debts of all hosts together stay within the margin that the bound
+leaves over the quota. So an ordinary request does not wait for another host, and
+requests continue while a keeper is being replaced.
 """
 
 from collections.abc import Iterator
@@ -20,13 +20,13 @@
 # How long a request may wait for its keeper's receipt, in seconds. A response from the
 # farthest region takes 70 ms, and the first one over a new stream three times that.
 MAX_WAIT_S = 0.25
-# Maximum number of requests of one account that wait at a host for a receipt.
+# Maximum number of requests of one account that wait at one host for a receipt.
 MAX_WAITERS = 64
-# Open charges are sent again after this time, in seconds, since a stream that broke may
-# have lost them.
+# Charges that are not paid yet, or returns, are sent again after this time, in seconds,
+# since a stream that broke may have lost the last message.
 RESEND_INTERVAL_S = 0.25
-# A debt counts for the bound's window and this much longer, in seconds, because
-# requests are sent a little after they were admitted.
+# A debt counts for the bound's window and this much longer, in seconds, because a
+# request is sent to a backend server a little after it was admitted.
 DEBT_MARGIN_S = 0.5
 
 
@@ -35,7 +35,7 @@
 
     ADMITTED = "admitted"
     REFUSED = "refused"
-    # The charge is open, and the keeper's receipt will decide.
+    # The request is charged and not decided; the keeper's receipt will decide.
     WAITING = "waiting"
 
 
@@ -44,12 +44,11 @@
     """The decision on a request, and the figures that it is based on.
 
     A refused caller should retry after `retry_after_s`. `keeper` is the host id of the
-    account's keeper, empty if there is none. `debt` is the number of requests that were
-    run and are not paid, `max_debt` its limit. `receipt_age_s` is the time since the
-    last receipt for this account, infinite before the first. Times are in seconds.
-
-    An admission without a keeper and figures is one for an account without a quota. One
-    that follows on waiting has no figures either.
+    account's keeper, empty if there is none. `debt` is the number of requests that this
+    host has run and that are not paid, `max_debt` its limit. `receipt_age_s` is the
+    time since the last receipt for this account, infinite before the first. Times are
+    in seconds. The keeper and the figures are left out for an account without a quota,
+    and the figures for a request that was admitted after it had waited.
     """
 
     outcome: Outcome
@@ -62,9 +61,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Decided:
-    """How many waiting requests are decided.
+    """How many waiting requests of an account are decided.
 
-    The oldest ones are admitted, the newest ones are refused.
+    The oldest of them are admitted, the newest are refused; others continue to wait.
     """
 
     admitted: int
@@ -74,8 +73,8 @@
 class QuotaLedger:
     """Admits requests of accounts on one host.
 
-    Each request is charged to the keeper of its account. The keeper's receipt says how
-    many of the charges it has paid.
+    Each request is charged to the keeper of its account, unless it is refused at once.
+    The keeper's receipt says how many of the charges the keeper has paid.
 
     Parameters
     ----------
@@ -101,15 +100,16 @@
         self._usage_by_account: dict[str, AccountUsage] = {}
         # The highest totals (charged, returned) of accounts that were removed.
         self._removed_totals = (0, 0)
-        # Accounts with charges that are not yet sent or not yet paid.
+        # Accounts with charges or returns not yet sent, or charges not yet paid.
         self._unsettled_accounts: set[str] = set()
-        # Number of hosts among which debts are divided; 0 allows this host no debt.
+        # Number of hosts that share the margin for debts equally; 0 allows this host no
+        # debt.
         self.debt_host_count = 0
-        # Number of hosts among which callers choose.
+        # Number of active hosts, among which callers choose.
         self.caller_host_count = 1
 
     def configure(self, quotas: dict[str, Quota]) -> None:
-        """Apply the quotas of all accounts."""
+        """Apply the quotas of all accounts; an account not in `quotas` has none."""
         for account in self._usage_by_account.keys() - quotas.keys():
             self._remove(account)
         for account, quota in quotas.items():
@@ -142,7 +142,7 @@
         self._bound = bound
 
     def set_keeper(self, account: str, keeper: str | None) -> None:
-        """Change the keeper of an account; all open charges become due for it."""
+        """Change the keeper of an account; all its open charges become due there."""
         usage = self._usage_by_account[account]
         if usage.keeper != keeper:
             usage.keeper = keeper
@@ -152,7 +152,7 @@
 
     @property
     def has_unsettled_totals(self) -> bool:
-        """Return whether any charges are not yet sent or not yet paid."""
+        """Return whether a charge or return is not yet sent, or a charge not paid."""
         return bool(self._unsettled_accounts)
 
     def accounts(self) -> Iterator[str]:
@@ -170,7 +170,9 @@
         """Decide on a request.
 
         An admitted request is charged immediately; `cancel` takes the charge back. A
-        waiting request is decided later by `decide_waiting`, or abandoned by `give_up`.
+        waiting request is also charged; it is decided later by `decide_waiting`, or
+        abandoned by `give_up`. A request of an account without a quota is admitted and
+        not charged.
         """
         usage = self._usage_by_account.get(account)
         if usage is None:
@@ -189,7 +191,11 @@
         return self._admission(usage, Outcome.WAITING, now)
 
     def _may_wait(self, usage: AccountUsage, ahead: int, now: float) -> bool:
-        """Return whether a request with `ahead` others before it is paid in time."""
+        """Return whether a request behind `ahead` other waiting requests may wait.
+
+        It may if it is expected to be paid within `MAX_WAIT_S`. At most `MAX_WAITERS`
+        requests wait.
+        """
         if ahead >= MAX_WAITERS:
             return False
         earliest_s = usage.next_paid_at - now
@@ -198,11 +204,18 @@
         return earliest_s + ahead * self._credit_interval_s(usage) <= MAX_WAIT_S
 
     def _credit_interval_s(self, usage: AccountUsage) -> float:
-        """Return the interval between credits for this host's callers, in seconds."""
+        """Return the average time between two requests that are paid here, in seconds.
+
+        The quota's rate is divided evenly among the hosts that callers use.
+        """
         return self.caller_host_count / usage.quota.rate
 
     def decide_waiting(self, account: str, now: float) -> Decided:
-        """Decide on waiting requests as far as the receipts allow."""
+        """Admit waiting requests that are paid; refuse those not paid in time.
+
+        A request is refused if it is not expected to be paid within `MAX_WAIT_S`, or if
+        too many others wait before it.
+        """
         usage = self._usage_by_account.get(account)
         if usage is None:
             return Decided(0, 0)
@@ -218,14 +231,17 @@
         return Decided(admitted, refused)
 
     def give_up(self, account: str) -> None:
-        """Abandon one waiting request and take its charge back."""
+        """Abandon one waiting request and take its charge back.
+
+        Nothing happens if no request of the account is waiting.
+        """
         usage = self._usage_by_account.get(account)
         if usage is not None and usage.waiting:
             usage.waiting -= 1
             self._take_back(account, usage)
 
     def cancel(self, account: str) -> None:
-        """Take back a request that was admitted and never ran."""
+        """Take back the charge of an admitted request that never ran."""
         usage = self._usage_by_account.get(account)
         if usage is not None and usage.charged - usage.returned > usage.waiting:
             self._take_back(account, usage)
@@ -235,7 +251,11 @@
         self._unsettled_accounts.add(account)
 
     def refusal(self, account: str, now: float) -> Admission:
-        """Return the refusal of a request that was not paid while it waited."""
+        """Return the refusal of a request that was not paid while it waited.
+
+        If the account has lost its quota meanwhile, the caller should retry after one
+        window.
+        """
         usage = self._usage_by_account.get(account)
         if usage is None:
             return Admission(Outcome.REFUSED, self._bound.window_s)
@@ -258,16 +278,17 @@
         """Return after how many seconds a refused caller should retry.
 
         Guards against callers that are refused together, get the same retry time, and
-        are refused together again. Each caller gets a retry time of its own; these
-        times are as far apart as the credits for this host's callers.
+        are refused together again. Each caller gets a retry time of its own. These
+        times are as far apart as the quota's rate, divided evenly among the hosts that
+        callers use, admits requests here.
         """
         interval_s = self._credit_interval_s(usage)
         earliest_at = max(now, usage.next_paid_at)
         retry_at = max(earliest_at, usage.last_retry_at) + interval_s
         if retry_at - now > self._bound.window_s:
-            # A caller that waits longer than a window gains nothing by it. The retry
-            # times start from the beginning, which reuses those of callers that never
-            # retried.
+            # Retry times do not reach beyond one window, since a caller that waits
+            # longer gains nothing. They start again from the earliest one, at random,
+            # and reuse the times of callers that never retried.
             retry_at = earliest_at + interval_s * self._rng.uniform(0.0, 1.0)
         usage.last_retry_at = retry_at
         return retry_at - now
@@ -275,13 +296,17 @@
     def _forgive_old_debt(self, usage: AccountUsage, now: float) -> None:
         """Forgive debts that are older than the bound's window.
 
-        Guards against a time in which no keeper is reachable: without this, a host
-        would run its debt once and then refuse the account from then on.
+        Guards against a time in which no keeper is reachable: if debts were kept, a
+        host would run up to its limit of debt once and refuse the account's requests
+        from then on. A debt older than the window no longer counts against the bound.
         """
         usage.forgive(now - self._bound.window_s - DEBT_MARGIN_S)
 
     def due_charges(self, now: float) -> Iterator[tuple[str, Charge]]:
-        """Yield the charges that are due, with their keepers, and note them as sent."""
+        """Yield the charges that are due, with their keepers, and note them as sent.
+
+        An account with nothing left to send or to be paid is then settled.
+        """
         for account in sorted(self._unsettled_accounts):
             usage = self._usage_by_account[account]
             if usage.keeper is not None and self._is_due(usage, now):
@@ -290,7 +315,7 @@
                 self._unsettled_accounts.discard(account)
 
     def next_charge(self, account: str, now: float) -> Charge:
-        """Return the current charge for the account's keeper, and note it as sent."""
+        """Return the account's current totals for its keeper, and note them as sent."""
         usage = self._usage_by_account[account]
         usage.sent_totals = (usage.charged, usage.returned)
         usage.max_sent_charged = max(usage.max_sent_charged, usage.charged)
@@ -298,12 +323,12 @@
         return Charge(account, usage.charged, usage.returned, usage.paid)
 
     def keeper(self, account: str) -> str | None:
-        """Return the keeper of an account, or None if it is unknown."""
+        """Return the keeper of an account, or None without a quota or a live keeper."""
         usage = self._usage_by_account.get(account)
         return usage.keeper if usage else None
 
     def debt(self, account: str) -> int:
-        """Return how many requests of an account were run and are not paid."""
+        """Return how many requests of an account were run here and are not paid."""
         usage = self._usage_by_account.get(account)
         return max(0, usage.debt) if usage else 0
 
@@ -312,15 +337,16 @@
             return True
         if usage.sent_totals == (usage.charged, usage.returned):
             return False
-        # Small debts are collected into one message; a debt of half the limit or more,
-        # or one with waiting requests, is sent at once.
+        # Small debts are collected into one message. The totals are sent at once if the
+        # debt is half its limit or more, or if requests are waiting.
         return usage.waiting > 0 or 2 * usage.debt >= self._max_debt(usage)
 
     def take_receipt(self, keeper: str, receipt: Receipt, now: float) -> bool:
         """Process a keeper's receipt; return whether it is valid.
 
-        A receipt that does not include all returns yet is ignored, since it may count
-        returned requests as paid.
+        A receipt from a host that is not the account's keeper is ignored. So is one
+        that does not include all returns yet, since it may count returned requests as
+        paid.
         """
         usage = self._usage_by_account.get(receipt.account)
         if (
--- a/lacewingcross/core/quotas.py
+++ b/lacewingcross/core/quotas.py
@@ -3,7 +3,7 @@
 No I/O happens here: messages to other hosts are returned, and messages from them are
 passed in.
 
-- `quota_holders` decides which hosts own shares of the quotas, and why the shares never
+- `quota_holders` decides which hosts own shares of the quotas, so that the shares never
   add up to more than the whole.
 - `quota_keeper` grants credit for the accounts that this host keeps.
 - `quota_ledger` admits requests on this host. Charges are the requests that it has run
@@ -45,10 +45,11 @@
 
 @dataclass(slots=True)
 class _Peer:
-    """Leases exchanged with another holder.
+    """Leases exchanged with another host, which is or was a holder.
 
-    `received_ms` is the sender's clock in the newest lease that was received. `sent_at`
-    and `sent_live_mask` are the time and the mask of the last lease that was sent.
+    `received_ms` is the newest reading of the other host's clock that has arrived here
+    in a lease. `sent_at` is the monotonic time of the last lease that was sent there,
+    and `sent_live_mask` the mask of live holders in it.
     """
 
     incarnation: int = 0
@@ -57,9 +58,10 @@
     sent_live_mask: int = 0
     # Mask of the live holders in the last lease that was received.
     received_live_mask: int = 0
-    # The newest reading of this host's clock that the other holder has echoed.
+    # The newest reading of this host's clock that the other host has echoed.
     acked_ms: int = 0
-    # Since when the other holder is alive, on the clock that counts suspends.
+    # Since when the other host is alive, on the clock that counts suspends; None while
+    # it is not.
     live_since: float | None = None
 
 
@@ -116,13 +118,16 @@
         return bool(self._quotas)
 
     def busy(self, now: float) -> bool:
-        """Return whether messages may soon be due, so that polling has to go on."""
+        """Return whether leases or charges may soon have to be sent.
+
+        If so, `outgoing` must be called again.
+        """
         return self.in_force and (
             self.watch.sends_leases(now) or self.ledger.has_unsettled_totals
         )
 
     def configure(self, accounts: Accounts, at: ClockReading) -> None:
-        """Apply the accounts of the configuration in force."""
+        """Apply the quotas of the accounts in the configuration in force."""
         if accounts is self._accounts:
             return
         self._accounts = accounts
@@ -160,10 +165,11 @@
     def _may_run_unpaid(self, now: float) -> bool:
         """Return whether this host may run requests that are not paid for.
 
-        Guards against a restart of all hosts, twice within a window. The debts of the
-        earlier runs are forgotten, so each restart would allow the full debt again.
-        A host that holds a share therefore waits for one window after its start, except
-        on the first start of the whole system.
+        Guards against a restart of all hosts that happens twice within the bound's
+        window. The debts of the earlier runs are forgotten, so each restart would allow
+        the full debt again. A host whose own share counts therefore waits for one
+        window after its start, except on the first start of the whole system. A host
+        whose own share does not count may run none.
         """
         first = self.watch.first_start
         settled = now - self._started_at >= self._bound.window_s
@@ -183,6 +189,7 @@
                 peer.live_since = boot
 
     def _lend_to_self(self, at: ClockReading) -> None:
+        """Lend this host's own share to itself, for the accounts that it keeps."""
         own = self._roster.own.host_id
         live_mask = (
             self._live_mask
@@ -246,13 +253,16 @@
             yield host_id, msg.QuotaLease(key, live_mask, sent_ms, peer.received_ms)
 
     def _live_mask_for(self, index: int, peer: _Peer, boot: float) -> int:
-        """Return the mask of live holders to send to another holder.
+        """Return the mask of live holders to send to another holder in a lease.
+
+        The mask is 0, which lends nothing, while this host's own share does not count
+        or this host is out of service.
 
-        Guards against lending one share twice. When a holder becomes alive, its
-        accounts may still be lent to another holder that does not know of it yet. So
-        the newcomer gets a mask without itself until all other holders have
-        acknowledged a lease that was sent after it became alive, or every older lease
-        has ended.
+        Guards against lending one share twice. When a holder becomes alive, this host's
+        share of the accounts that it will keep may still be lent to another holder,
+        which does not know of the newcomer yet. So the newcomer gets a mask without
+        itself until all other live holders have acknowledged a lease that was sent
+        after it became alive, or every older lease has ended.
         """
         if not self.watch.own_share_counts or self._roster.out_of_service:
             return 0
@@ -262,6 +272,11 @@
         return self._live_mask & ~(1 << index)
 
     def _all_acknowledged(self, newcomer: _Peer) -> bool:
+        """Return whether all live holders acknowledged leases newer than `newcomer`.
+
+        A holder acknowledges a lease by echoing this host's clock reading in it. The
+        newcomer itself does not have to.
+        """
         since_ms = newcomer.live_since * 1000
         return all(
             peer is newcomer or peer.acked_ms >= since_ms
@@ -315,12 +330,13 @@
         peer.received_ms = max(peer.received_ms, message.sent_ms)
         peer.acked_ms = max(peer.acked_ms, message.echo_ms)
         if peer.received_live_mask != message.live:
-            # The sender waits for the acknowledgement, so the next lease is due at
-            # once.
+            # The sender of the lease waits for an echo of its clock, so this host's
+            # next lease to it, which carries the echo, is due at once.
             peer.received_live_mask = message.live
             peer.sent_at = float("-inf")
         ends_at = message.echo_ms / 1000 + LEASE_S
-        # An echo from the future stems from an earlier start of this machine.
+        # A lease that echoes a reading ahead of this host's clock answers a message
+        # sent before this machine restarted.
         valid = not self._roster.out_of_service and ends_at <= at.boot + LEASE_S
         live_mask = message.live if valid else 0
         self.keeper.set_lease(host_id, message.key, live_mask, ends_at, at.boot)
--- a/lacewingcross/core/replica.py
+++ b/lacewingcross/core/replica.py
@@ -1,8 +1,8 @@
 """Each host's copy of the platform's store.
 
 Changes come from this host's own watch of the store or from peers, in any order and
-more than once. The revision of an object never decreases, so an old version does not
-come back into force, whichever host sends it and however late it arrives.
+more than once. The revision of an object in the copy never decreases, so an old version
+does not come back into force, whichever host sends it and however late it arrives.
 """
 
 from collections.abc import Iterable
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Document:
-    """One object at one revision; `spec` is None for a deleted one."""
+    """One object at one revision; `spec` is None if the object was deleted at it."""
 
     kind: Kind
     name: str
@@ -34,8 +34,8 @@
 class Update:
     """The changes that bring a copy from revision `since` to `as_of`.
 
-    If `whole` is true, `documents` are all that exist at `as_of`, so any other document
-    was deleted.
+    If `whole` is true, `documents` are all objects of the kind that exist at `as_of`,
+    so any other object was deleted.
     """
 
     kind: Kind
@@ -49,6 +49,7 @@
 class _Copy:
     # Revision of the last listing. Deletions up to this revision may be unknown here.
     listed_revision: int = 0
+    # Revision of the store up to which no change is missing here.
     as_of: int = 0
     documents: dict[str, Document] = field(default_factory=dict)
 
@@ -62,7 +63,7 @@
         self._copies = {kind: _Copy() for kind in Kind}
 
     def as_of(self, kind: Kind) -> int:
-        """Return the store's revision up to which nothing of `kind` is missing."""
+        """Return the store's revision up to which no change of `kind` is missing."""
         return self._copies[kind].as_of
 
     def known(self, kind: Kind) -> list[Document]:
@@ -76,17 +77,17 @@
         return known is not None and known.revision >= revision
 
     def get(self, kind: Kind, name: str) -> Document:
-        """Return a known document."""
+        """Return the document of a known object, which may be a deleted one."""
         return self._copies[kind].documents[name]
 
     def update_since(self, kind: Kind, revision: int) -> Update:
         """Return the update for a host that is complete up to `revision`.
 
         Guards against a deletion that this host does not know. A listing shows a
-        deletion only by the absence of the object, so this host learns nothing of an
-        object that it never knew. Another host that did know the object would keep it
-        forever if it received only changes. So a host whose revision is older than the
-        last listing receives all documents.
+        deletion only by the absence of the object, so this host has no record that an
+        object was deleted which it never knew. Another host that did know the object
+        would keep it forever if it received only changes. So a host whose revision is
+        older than the last listing here receives all documents.
         """
         copy = self._copies[kind]
         if revision < copy.listed_revision:
@@ -95,7 +96,7 @@
         return Update(kind, revision, copy.as_of, newer)
 
     def apply(self, update: Update) -> list[Document]:
-        """Apply an update; return the documents that were new."""
+        """Apply an update; return the documents that were new, deletions included."""
         if update.whole:
             return self._apply_whole(update.kind, update.as_of, update.documents)
         return self._apply_changes(update)
@@ -103,9 +104,9 @@
     def _apply_changes(self, update: Update) -> list[Document]:
         """Apply the changes between two revisions.
 
-        The revision `as_of` of the copy increases only if no change between it and the
-        update's `since` can be missing: a host that lost a push must not consider
-        itself up to date.
+        The revision `as_of` of the copy increases only if it is not below the update's
+        `since`, so that no change between the two can be missing: a host that lost a
+        push must not consider itself up to date.
         """
         copy = self._copies[update.kind]
         new_documents = [
@@ -120,8 +121,8 @@
     ) -> list[Document]:
         """Apply a listing of all documents that exist at a revision.
 
-        A document that is missing from the listing was deleted at some revision up to
-        `as_of`, unless it was written later than that.
+        An object that is missing from the listing was deleted at some revision up to
+        `as_of`, unless the document here was written later than that.
         """
         copy = self._copies[kind]
         listed = list(documents)
