--- a/lacewingcross/core/resources.py
+++ b/lacewingcross/core/resources.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientGroup:
-    """Client address blocks with common weights over the regions."""
+    """Client address blocks whose requests are divided among regions by weight."""
 
     name: str
     blocks: tuple[str, ...]
@@ -39,7 +39,13 @@
 
 @dataclass(slots=True, frozen=True)
 class SteeringPolicy:
-    """The regions for each client group of a service, and the handling of requests."""
+    """The regions for each client group of a service, and the handling of requests.
+
+    `failover` are regions to move to, in order of preference. `non_repeatable` are the
+    methods whose requests may run only once. `keyed` says whether idempotency keys of
+    such requests are claimed. `block_table` names a table of client blocks, see
+    `BlockTable`, that takes precedence over the groups' own blocks; empty means none.
+    """
 
     service: str
     groups: tuple[ClientGroup, ...]
@@ -53,7 +59,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ShiftCap:
-    """Maximum fraction of a service's traffic that may move in any window."""
+    """Maximum fraction of a service's traffic that may move in any window.
+
+    Traffic moves when the region changes that receives it. The window is `window_s`
+    seconds long, and the cap applies to each client group.
+    """
 
     service: str
     fraction: float = DEFAULT_CAP_FRACTION
@@ -74,13 +84,16 @@
 
     @property
     def max_concurrent(self) -> int:
-        """Return how many requests the server accepts at once, in slots and queue."""
+        """Return how many requests the server runs and queues at most."""
         return self.slots + self.queue
 
 
 @dataclass(slots=True, frozen=True)
 class BackendPool:
-    """The backend servers of a service, and the declared limits of regions."""
+    """The backend servers of a service, and the declared limits of regions.
+
+    `region_limits` holds maximum numbers of requests in flight, by region.
+    """
 
     service: str
     servers: tuple[BackendServer, ...]
@@ -104,7 +117,11 @@
         return list(self.by_region)
 
     def limit(self, region: str) -> float:
-        """Return the maximum number of requests in flight in `region`."""
+        """Return the maximum number of the service's requests in flight in `region`.
+
+        It is the number that the region's servers accept, or the declared limit of the
+        region if that is lower.
+        """
         max_in_flight = float(
             sum(srv.max_concurrent for srv in self.by_region.get(region, ()))
         )
@@ -113,7 +130,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """A planned stop of one backend server, region, failure domain or entry host."""
+    """A planned stop of one backend server, region, failure domain or entry host.
+
+    `target` is one of ``DRAIN_TARGETS``, and `value` the id or name of what is stopped.
+    The drain applies to one service, or to all services if `service` is empty.
+    """
 
     name: str
     target: str
@@ -125,6 +146,8 @@
 class BlockTable:
     """One shard of a table of client blocks: the addresses from `first` on.
 
+    `index` maps each address to an index in `groups`.
+
     A policy names the table. Its shards are the objects whose names are the table's
     name, a dash and a suffix. Shards keep a large table within the platform's limit for
     one object, and a change rebuilds only one shard.
@@ -141,7 +164,10 @@
         return self.name.rpartition("-")[0]
 
     def group(self, address: int) -> str:
-        """Return the group of an address, or an empty string."""
+        """Return the client group of an IPv4 address, which is given as an integer.
+
+        The result is an empty string if no block with a group contains the address.
+        """
         group_index = self.index.find(address)
         return self.groups[group_index] if group_index < len(self.groups) else ""
 
@@ -161,7 +187,7 @@
     spec : object
         Decoded JSON.
     where : str
-        Path shown in errors.
+        Path of the resource that error messages show.
 
     Returns
     -------
@@ -312,12 +338,12 @@
 
 
 def object_key(kind: str, name: str) -> str:
-    """Return the platform key of a resource."""
+    """Return the key of a resource in the platform's store."""
     return f"{kind}/{name}"
 
 
 def split_key(key: str) -> tuple[str, str]:
-    """Return the kind and the name in a platform key."""
+    """Return the kind and the name in a key of the platform's store."""
     kind, _, name = key.partition("/")
     return kind, name
 
--- a/lacewingcross/core/watch_election.py
+++ b/lacewingcross/core/watch_election.py
@@ -11,9 +11,9 @@
 
 # How long a watch of quarantines waits for a change, in seconds. It is longer than for
 # other kinds, because one call per second would be too much for objects that hardly
-# ever change. New quarantines reach all running hosts without the store, which serves
-# hosts that start. An operator's deletion takes effect at once, since any change ends
-# the watch.
+# ever change. New quarantines reach all running hosts without the store; hosts that
+# start read them from the store. An operator's deletion takes effect at once, since any
+# change ends the watch.
 QUARANTINE_WATCH_S = 10.0
 # How long a watch of other kinds waits for a change, in seconds. Whenever it returns,
 # all hosts receive a message, which shows that the watching host is alive. A longer
@@ -21,28 +21,33 @@
 # within the time in which a change must be in force.
 WATCH_WAIT_S = 1.0
 # Maximum wait of the first watch after a host has begun to watch, in seconds. The other
-# hosts also wait for its message, and must not begin to watch as well.
+# hosts wait for the message that follows this watch, and must not begin to watch as
+# well.
 FIRST_WAIT_S = 0.05
-# Silence timeout of the host of rank 1, in seconds: one watch, and half a second for a
-# slow store (sixty times its usual 4 ms) and a lost packet.
+# Silence timeout of the host of rank 1, the first to replace the watching host, in
+# seconds: one watch, and half a second for a slow store (sixty times its usual 4 ms)
+# and a lost packet.
 SILENCE_TIMEOUT_S = 1.5
-# Each further rank waits this much longer, in seconds, so that one host begins to watch
-# and not all: its message reaches the others within the delay between regions (35 ms).
+# The host of each further rank waits this much longer, in seconds, so that one host
+# begins to watch and not all: the message of that host reaches the others within the
+# delay between regions (35 ms).
 SILENCE_TIMEOUT_STEP_S = 0.1
-# Maximum silence timeout of any host, in seconds. A change made right after the last
-# message is then in force 2.1 s later.
+# Maximum silence timeout of any host, in seconds, for all kinds but quarantines. A
+# change made right after the last message is then in force 2.1 s later.
 MAX_SILENCE_TIMEOUT_S = 2.0
-# Silence timeout of a host that has no objects of a kind yet although it is active, so
-# that callers use it, in seconds. Within this time of its start, a peer that has the
+# Silence timeout of an active host, which callers use, while it has no objects of a
+# kind yet, in seconds. Within this time of the host's start, a peer that has the
 # objects sends them. If a fleet loses power and the host of rank 0 restarts last, the
 # others start to serve this much later.
 EMPTY_TIMEOUT_S = 0.06
-# The same timeout at the first start of the whole system, in seconds. It is longer for
-# each further rank, up to the maximum: no host has any objects, and callers come later.
+# Used in place of `EMPTY_TIMEOUT_S` at the first start of the whole system, for the host
+# of rank 1, in seconds. The timeout is `SILENCE_TIMEOUT_STEP_S` longer for each further
+# rank, up to `MAX_FIRST_START_EMPTY_TIMEOUT_S`: no host has any objects, and callers
+# come later.
 FIRST_START_EMPTY_TIMEOUT_S = 0.4
 MAX_FIRST_START_EMPTY_TIMEOUT_S = 0.8
-# After a failed call, the store counts as unreachable for this host for this time, in
-# seconds. Then the host may try again when its rank allows it.
+# After a failed call of this host, the store counts as unreachable for this host for
+# this time, in seconds. Then the host may try again when its rank allows it.
 STORE_UNREACHABLE_S = 5.0
 
 
@@ -82,7 +87,7 @@
     def store_unreachable(self, now: float) -> bool:
         """Return whether the store is unreachable for this host.
 
-        Other hosts should then watch it instead.
+        Other hosts should then watch the store instead.
         """
         return now - self._failed_at < STORE_UNREACHABLE_S
 
@@ -93,21 +98,22 @@
 
         Guards against a failure of the watching host: it crashes, is partitioned, or
         the store does not respond to it. The other hosts receive no updates and would
-        keep an old configuration. The silence counts from the last update of another
-        host, and not from this host's own reading. So a host that has begun to watch
+        keep an old configuration. So each of them watches the store after its silence
+        timeout. The silence counts from the last update of another host, and not from
+        this host's own reading of the store. So a host that has begun to watch
         continues until another host sends an update again.
 
         Parameters
         ----------
         kind : Kind
-            What is watched.
+            The kind of object to watch.
         rank : int or None
-            This host's rank among those that may watch the store, 0 first; None if a
-            relay sends it everything.
+            This host's rank among the hosts that may watch the store, 0 first; None if
+            a relay sends this host everything.
         now : float
             Monotonic time in seconds.
         empty : bool
-            Whether this host is in use by callers and has no objects of the kind yet.
+            Whether callers use this host and it has no objects of the kind yet.
         """
         if rank is None:
             return False
@@ -119,10 +125,11 @@
         return self._silence_s(kind, now) > timeout_s
 
     def _empty_timeout_s(self, rank: int) -> float:
-        """Return the silence timeout of a host that cannot serve yet, in seconds.
+        """Return the silence timeout of a host without objects, in seconds.
 
         Guards against a power loss of all hosts after which the host of rank 0 restarts
-        last: with the usual timeout, the others would refuse callers for longer.
+        last: with the usual timeout, the others would refuse callers for longer than
+        with this shorter one.
         """
         if not self._first_start:
             return EMPTY_TIMEOUT_S
@@ -132,7 +139,10 @@
         )
 
     def _silence_s(self, kind: Kind, now: float) -> float:
-        """Return the time since the last peer update, or else since the start."""
+        """Return the time since the last update of a kind by a peer, in seconds.
+
+        Before the first such update, it is the time since this host started.
+        """
         return now - self._peer_update_at.get(kind, self._started_at)
 
 
@@ -142,7 +152,10 @@
 
 
 def silence_timeout_s(rank: int, kind: Kind = Kind.CONFIG) -> float:
-    """Return after what silence a host of this rank watches a kind, in seconds."""
+    """Return the silence timeout of a host of rank 1 or more for a kind, in seconds.
+
+    A watch of quarantines is longer, so the timeout is longer by as much.
+    """
     timeout_s = min(
         MAX_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_S + (rank - 1) * SILENCE_TIMEOUT_STEP_S
     )
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -5,14 +5,18 @@
 from lacewingcross.core.rendezvous import owner
 
 STEP_S = 0.1
-# A host counts as connected if neither it nor the store was disturbed for this time, in
-# seconds.
+# A host counts as connected if it is not partitioned, the store is up, and neither the
+# host nor the store was disturbed for this time, in seconds.
 CONNECTED_AFTER_S = 3.0
 BAD = "bad"
 
 
 class Host:
-    """One host: its ledger, its reports, and how many each other host was sent."""
+    """One host: its ledger, and the reports that it sends.
+
+    `sent_up_to` holds the sequence number of the last report sent to each other host.
+    `documents` holds the stored quarantines that the host has read.
+    """
 
     def __init__(self, name, now):
         self.name = name
@@ -35,10 +39,10 @@
 class CrashSimulation:
     """Hosts, a store, and a request that crashes each server that runs it.
 
-    `partitioned` holds hosts that reach no other host. `late` counts requests that
-    reached servers late: sent by a connected host more than `CONNECTED_AFTER_S` after
-    the third crash. `losses` counts how often the last hosts that knew of a crash lost
-    this knowledge.
+    `partitioned` holds hosts that reach no other host and not the store. `late` counts
+    requests that reached servers late: sent by a connected host more than
+    `CONNECTED_AFTER_S` after the third crash. `losses` counts how often the last hosts
+    that knew of a crash lost this knowledge. Unless `guarded`, no request is refused.
     """
 
     def __init__(self, names, *, active=None, guarded=True):
@@ -101,7 +105,10 @@
         return calm and stable
 
     def send(self, name, also_running=()):
-        """Send the bad request to a host, with others at the same server."""
+        """Send the bad request to a host; return whether it reached a server.
+
+        The server crashes while it runs this request and those in `also_running`.
+        """
         host = self.hosts[name]
         if self.guarded and not self._may_send(host):
             return False
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -72,12 +72,12 @@
 
 def test_an_answer_clears_a_request_of_all_earlier_crashes():
     # A popular request is running whenever its server crashes, for whatever reason. The
-    # next server answers it each time, so its callers must not be refused.
+    # next server answers the request each time, so its callers must not be refused.
     ledger = CrashLedger()
     for index in range(10):
         assert ledger.record_crash(crash(index, "popular"), 0.0) == (True, [])
         assert ledger.answered("popular")
-    # A late report of a crash that it was cleared of is ignored.
+    # A late report of a crash that the request was cleared of is ignored.
     assert not ledger.record_crash(crash(3, "popular"), 0.0)[0]
     assert ledger.crash_count("popular") == 0
     assert not ledger.has_suspects
@@ -176,11 +176,13 @@
 
 
 class FaultlessLoad:
-    """Requests at servers that are killed every half second, not by a request.
+    """Requests at servers that are killed, though not by a request.
 
-    A request takes a quarter of a second at its server. If the server is killed, it is
-    sent to another one, up to four times: two tries of its caller, two servers each.
-    Every third request asks for one of five popular objects, always at the same server.
+    One server is killed every half second, and four at once every five seconds. A
+    request takes a quarter of a second at its server. If the server is killed, the
+    request is sent to another server, up to four servers in all: two tries of its
+    caller, two servers each. On average every third request asks for one of five
+    popular objects, each always at one of the five oldest running servers.
     """
 
     def __init__(self, seed, servers=24):
@@ -232,8 +234,8 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_killed_servers_under_load_bring_no_request_into_quarantine(seed):
     # Servers are killed one after the other under full load, sometimes four at once.
-    # Guards against quarantining a request that was running each time: its callers
-    # would be refused for ten minutes.
+    # Guards against quarantining a request that was running at several of the killed
+    # servers: its callers would be refused for ten minutes.
     load = FaultlessLoad(seed)
     load.advance(60.0)
     assert load.quarantined == []
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -19,7 +19,10 @@
 
 
 def load_of(rates, hosts=None):
-    """Return a load of `rates` requests per second, for all hosts or some."""
+    """Return a function that sends load to all hosts, or to `hosts` only.
+
+    `rates` holds the requests per second of each account.
+    """
 
     def load(fleet):
         send_step(fleet, rates, sorted(hosts if hosts is not None else fleet.nodes))
@@ -40,8 +43,8 @@
 @pytest.mark.parametrize("count", [1, 3, 12])
 def test_almost_nothing_is_refused_under_normal_load(count):
     # Callers send five eighths of their quotas, as the users' callers do. If the quotas
-    # of the smallest accounts were divided evenly, each host would have less than one
-    # request.
+    # of the smallest accounts were divided evenly among the hosts, each host would have
+    # less than one request.
     fleet = settled_fleet(count)
     fleet.play(60.0, load_of(times_quota(0.625)))
     sent = sum(map(len, fleet.runs.values())) + sum(fleet.refused.values())
@@ -50,7 +53,8 @@
 
 
 def test_hosts_that_hold_no_share_serve_accounts_too():
-    # Of fifty equal hosts, twelve hold shares; the others charge each request to them.
+    # Of fifty equal hosts, twelve hold shares; the other hosts charge each request to
+    # one of the twelve.
     fleet = settled_fleet(50)
     fleet.play(30.0, load_of(times_quota(0.625)))
     sent = sum(map(len, fleet.runs.values()))
@@ -88,7 +92,7 @@
                 retry_times.append(round(at.now + admission.retry_after_s, 4))
 
     fleet.play(2.0, flood)
-    # If there are more callers than retry times in a window, some times are shared.
+    # If there are more callers than retry times in a window, some callers share one.
     retry_slots = LARGE.rate * fleet.bound.window_s
     assert len(retry_times) > retry_slots
     assert max(Counter(retry_times).values()) <= math.ceil(
@@ -131,7 +135,8 @@
 
 def test_a_fleet_that_restarts_twice_in_a_window_grants_no_credit_twice():
     # All hosts are killed and restart, twice within five seconds, in a flood. No host
-    # knows how much credit was spent; granting it three times would exceed the bound.
+    # knows how much credit was spent before; granting the full credit three times would
+    # exceed the bound.
     fleet = settled_fleet()
     restart_all_twice(fleet)
     assert fleet.excess() <= 0
@@ -154,7 +159,7 @@
 
 
 def keepers_change(fleet):
-    """Partition the keepers from all others and reconnect them, repeatedly."""
+    """Partition one keeper after the other from all other hosts and reconnect it."""
     for account in ("large", "small", "large"):
         node = next(iter(fleet.nodes.values()))
         keeper = node.quotas.ledger.keeper(account)
@@ -173,8 +178,8 @@
 
 def test_a_suspended_keeper_does_not_use_shares_lent_to_others_since():
     # A keeper is suspended for four seconds, during which its monotonic clock stops.
-    # The shares that it was lent are now lent to others and must not count for it as
-    # well.
+    # The shares that it was lent are now lent to other hosts and must not count for the
+    # suspended keeper as well.
     fleet = settled_fleet()
     flood_through(fleet, 3.0)
     keeper = next(iter(fleet.nodes.values())).quotas.ledger.keeper("large")
@@ -216,8 +221,8 @@
 
 
 def test_a_keeper_that_crashes_affects_few_callers():
-    # Its port refuses connections, so the next keeper takes over at once. Until leases
-    # arrive there, hosts run requests of the account as debt.
+    # The crashed keeper's port refuses connections, so the next keeper takes over at
+    # once. Until leases arrive there, hosts run requests of the account as debt.
     fleet = settled_fleet(12)
     rates = times_quota(0.625)
     fleet.play(5.0, load_of(rates))
@@ -229,8 +234,8 @@
 
 def test_an_account_that_loses_its_quota_and_gets_it_back_is_served():
     # Operators remove an account's quota and set it again. A keeper that has seen only
-    # the last version still has the host's old totals. It would ignore totals that
-    # restart at 0 as outdated, and pay nothing for a minute.
+    # the last version still has the other hosts' old totals. It would ignore totals
+    # that restart at 0 as outdated, and pay nothing for a minute.
     fleet = settled_fleet()
     fleet.play(10.0, load_of(times_quota(0.625)))
     keeper = next(iter(fleet.nodes.values())).quotas.ledger.keeper("large")
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -29,7 +29,7 @@
 
 
 def test_a_lost_push_is_not_counted_as_seen():
-    # The push of revisions 5 to 8 is lost with its stream; the one of 8 to 10 arrives.
+    # The push of revisions 5 to 8 is lost with its stream; the push of 8 to 10 arrives.
     # A host that considered itself complete at 10 would send requests to a server that
     # shut down at 6.
     replica = Replica()
@@ -42,7 +42,8 @@
 
 
 def test_a_listing_shows_deletions_by_absence_only():
-    # The store drops its history while a server shuts down, so no event reports this.
+    # The store drops its history while a server shuts down, so no event reports the
+    # deletion of the server.
     replica = Replica()
     replica.apply(listing(5, server("a", 3), server("b", 4)))
     new_documents = replica.apply(listing(9, server("b", 4)))
@@ -75,7 +76,8 @@
 def test_a_late_push_does_not_bring_back_an_object_that_a_listing_did_not_show():
     # Server "a" registers at revision 2 and shuts down at 3. A host that has just
     # started lists the store at 3, which does not contain "a"; then an older push of
-    # revision 2 arrives from a peer. The host would send requests to "a" forever.
+    # revision 2 arrives from a peer. If the host applied this push, it would send
+    # requests to "a" forever.
     replica = Replica()
     replica.apply(listing(3))
     assert replica.apply(changes(0, 2, server("a", 2))) == []
--- a/tests/test_watch_election.py
+++ b/tests/test_watch_election.py
@@ -33,14 +33,15 @@
 
 
 def test_hosts_take_over_one_after_the_other():
-    # The watching host loses power. If all others asked the store at the same time,
-    # each outage of one host would cost one call per host.
+    # The watching host loses power. If all other hosts began to watch the store at the
+    # same time, each outage of one host would cost one call per host.
     assert [silence_timeout_s(rank) for rank in (1, 2, 3)] == [1.5, 1.6, 1.7]
 
 
 def test_a_partitioned_host_watches_the_store_in_time():
     # The last update came just before an operator's change, then the host was
-    # partitioned. It has to read the change before the time limit for changes is over.
+    # partitioned. The host has to read the change from the store before the time limit
+    # for changes is over.
     election = WatchElection()
     election.note_peer_update(Kind.CONFIG, 10.0)
     for rank in (1, 5, 4500):
@@ -65,7 +66,7 @@
 
 def test_a_host_that_cannot_serve_yet_reads_the_store_soon():
     # All hosts lose power, and the host of rank 0 restarts last. With the usual
-    # timeout, the others refused callers for another 1.5 s.
+    # timeout, the other hosts would refuse callers for another 1.5 s.
     election = WatchElection(10.0)
     assert not election.should_watch(Kind.CONFIG, 5, 10.0, empty=True)
     assert election.should_watch(Kind.CONFIG, 5, 10.1, empty=True)
@@ -99,7 +100,8 @@
 
 def test_quarantines_are_watched_with_few_calls():
     # Quarantines hardly ever change; one call per second for them would be a third of
-    # all calls. A host that takes over must wait longer than one watch of a live host.
+    # all calls. A host must wait longer than one watch of the live watching host before
+    # it takes over.
     assert watch_wait_s(Kind.QUARANTINE) == QUARANTINE_WATCH_S
     assert silence_timeout_s(1, Kind.QUARANTINE) > QUARANTINE_WATCH_S
     election = WatchElection()
