--- a/lacewingcross/core/quota_holders.py
+++ b/lacewingcross/core/quota_holders.py
@@ -8,8 +8,8 @@
 host. So no share counts twice, however the fleet is partitioned.
 
 The holders are computed from the list of hosts and not from the hosts that are alive.
-So all hosts compute the same holders, and no host takes over the share of one that is
-only unreachable.
+So all hosts with the same list compute the same holders, and no host takes over the
+share of a holder that is only unreachable.
 """
 
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 MAX_HOLDERS = 12
 # When the whole system starts for the first time, a holder counts its own share this
 # long after it has first read the list of hosts, in seconds. By then the holders have
-# found each other, and before its first start no host can have lent a share.
+# found each other, and no host can have lent a share before the first start.
 FIRST_START_SETTLE_S = 2.0
 
 
@@ -128,11 +128,11 @@
 
     Attributes
     ----------
-    good : bool
-        Whether this host's own share counts. Once true, it remains so for as long as
-        this host is a holder.
     holders : Holders
         The holders in this host's view.
+    own_share_counts : bool
+        Whether this host's own share counts. Once true, it remains so for as long as
+        this host is a holder.
     """
 
     __slots__ = (
@@ -143,8 +143,8 @@
         "_reported_views",
         "_roster",
         "first_start",
-        "own_share_counts",
         "holders",
+        "own_share_counts",
     )
 
     def __init__(self, roster: Roster, *, first_start: bool) -> None:
@@ -209,7 +209,8 @@
         """Return whether to send leases to the live holders.
 
         This host sends them while it is a holder and for `FORGET_AFTER_S` after. When
-        its share no longer counts, a lease with an empty mask ends the earlier one.
+        its own share no longer counts, a lease with an empty mask ends the lease sent
+        before.
         """
         return now - self._last_holder_at < FORGET_AFTER_S
 
--- a/lacewingcross/core/quotas.py
+++ b/lacewingcross/core/quotas.py
@@ -145,7 +145,7 @@
         self.ledger.set_bound(bound)
 
     def review(self, at: ClockReading) -> None:
-        """Update the holders, the live hosts, and how much this host may run unpaid."""
+        """Update the holders, their live mask, and the debt allowed to this host."""
         if self._started_at is None:
             self._started_at = at.now
         holders = self.watch.holders
@@ -259,10 +259,10 @@
         or this host is out of service.
 
         Guards against lending one share twice. When a holder becomes alive, this host's
-        share of the accounts that it will keep may still be lent to another holder,
-        which does not know of the newcomer yet. So the newcomer gets a mask without
-        itself until all other live holders have acknowledged a lease that was sent
-        after it became alive, or every older lease has ended.
+        share of the accounts that the newcomer will keep may still be lent to another
+        holder, which does not know of the newcomer yet. So the newcomer gets a mask
+        without itself until all other live holders have acknowledged a lease that was
+        sent after the newcomer became alive, or every older lease has ended.
         """
         if not self.watch.own_share_counts or self._roster.out_of_service:
             return 0
@@ -272,10 +272,10 @@
         return self._live_mask & ~(1 << index)
 
     def _all_acknowledged(self, newcomer: _Peer) -> bool:
-        """Return whether all live holders acknowledged leases newer than `newcomer`.
+        """Return whether all other live holders know that `newcomer` is alive.
 
-        A holder acknowledges a lease by echoing this host's clock reading in it. The
-        newcomer itself does not have to.
+        A holder knows it once it has echoed a reading of this host's clock that was
+        sent in a lease after the newcomer became alive.
         """
         since_ms = newcomer.live_since * 1000
         return all(
--- a/lacewingcross/core/watch_election.py
+++ b/lacewingcross/core/watch_election.py
@@ -40,10 +40,10 @@
 # objects sends them. If a fleet loses power and the host of rank 0 restarts last, the
 # others start to serve this much later.
 EMPTY_TIMEOUT_S = 0.06
-# Used in place of `EMPTY_TIMEOUT_S` at the first start of the whole system, for the host
-# of rank 1, in seconds. The timeout is `SILENCE_TIMEOUT_STEP_S` longer for each further
-# rank, up to `MAX_FIRST_START_EMPTY_TIMEOUT_S`: no host has any objects, and callers
-# come later.
+# Used in place of `EMPTY_TIMEOUT_S` at the first start of the whole system, for the
+# host of rank 1, in seconds. The timeout is `SILENCE_TIMEOUT_STEP_S` longer for each
+# further rank, up to `MAX_FIRST_START_EMPTY_TIMEOUT_S`: no host has any objects, and
+# callers come later.
 FIRST_START_EMPTY_TIMEOUT_S = 0.4
 MAX_FIRST_START_EMPTY_TIMEOUT_S = 0.8
 # After a failed call of this host, the store counts as unreachable for this host for
