--- a/lacewingcross/core/accounts.py
+++ b/lacewingcross/core/accounts.py
@@ -16,11 +16,12 @@
     name : str
         Name, which is passed on to backend servers.
     rank : int or None
-        Rank of its requests, 0 first; None means that the route's rank applies.
+        Rank of the account's requests, 0 first; None means that the route's rank
+        applies.
     home_regions : frozenset of str
-        Regions that may serve it; empty means all.
+        Regions that may serve the account's requests; empty means all.
     quota : Quota or None
-        Limit of its requests; None means no limit.
+        Limit of the account's requests; None means no limit.
     """
 
     name: str
@@ -70,5 +71,5 @@
         return bool(self.by_name)
 
     def holder(self, key: str) -> ClientAccount | None:
-        """Return the account that holds a key."""
+        """Return the account that an API key belongs to, or None."""
         return self._by_key.get(key)
--- a/lacewingcross/core/config.py
+++ b/lacewingcross/core/config.py
@@ -34,7 +34,7 @@
     `shards` are by name of the object. `tables` holds the shards of each block table,
     ordered by first address. `rejected` holds the reason for each key whose newest
     entry is invalid. `revision` is the version up to which this host's entries are
-    complete.
+    complete; `complete` says whether there is such a version yet.
     """
 
     entries: dict[str, Entry] = field(default_factory=dict)
--- a/lacewingcross/core/quota_keeper.py
+++ b/lacewingcross/core/quota_keeper.py
@@ -2,9 +2,10 @@
 
 A keeper has one token bucket of credit for each account that it keeps. The bucket fills
 at the share of the account's rate that holders have lent to the keeper, and its size is
-the same share of the credit that an account without requests may accumulate. Hosts run requests
-first and charge them here; a charge that the bucket cannot pay waits. Hosts are served
-round robin, so a flood of charges from one host does not delay those of other hosts.
+the same share of the credit that an account without requests may accumulate. Hosts run
+requests first and charge them here; a charge that the bucket cannot pay waits. Hosts
+are served round robin, so a flood of charges from one host does not delay those of
+other hosts.
 
 A share is lent by a lease. The lease ends by the keeper's own clock, and is counted
 from the newest reading of that clock that the lender had received, which is before the
--- a/lacewingcross/core/quota_ledger.py
+++ b/lacewingcross/core/quota_ledger.py
@@ -86,9 +86,9 @@
 
     __slots__ = (
         "_bound",
-        "_unsettled_accounts",
         "_removed_totals",
         "_rng",
+        "_unsettled_accounts",
         "_usage_by_account",
         "caller_host_count",
         "debt_host_count",
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -95,14 +95,14 @@
         self.store_up = up
 
     def is_connected(self, name):
-        calm = (
+        host_undisturbed = (
             self.now - self.disturbed_at[name] > CONNECTED_AFTER_S
             and name not in self.partitioned
         )
-        stable = (
+        store_undisturbed = (
             self.store_up and self.now - self.store_disturbed_at > CONNECTED_AFTER_S
         )
-        return calm and stable
+        return host_undisturbed and store_undisturbed
 
     def send(self, name, also_running=()):
         """Send the bad request to a host; return whether it reached a server.
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -50,7 +50,8 @@
 
 
 def test_home_regions_without_a_common_one_allow_no_region():
-    # An empty set of regions means all of them; here it must not.
+    # An empty set of regions means all regions, so a route and an account without a
+    # common region must be told apart from it.
     far = ClientAccount("a", home_regions=frozenset(("sureste",)))
     assert terms_for(route("r", homes=("norte",)), far).no_common_region
 
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,7 @@
-"""Two requests have the same fingerprint exactly if a server would do the same work."""
+"""Two requests have the same fingerprint if they would be the same work for a server.
+
+Of a body, only the first `MAX_BODY_BYTES` bytes count.
+"""
 
 from hypothesis import given
 from hypothesis import strategies as st
