--- a/lacewingcross/core/account_usage.py
+++ b/lacewingcross/core/account_usage.py
@@ -14,8 +14,9 @@
     `waiting` are not decided yet. `sent_totals` holds the totals (charged, returned)
     that were last sent to the keeper, at `sent_at`. `receipt_at` is the time of the
     keeper's last receipt, which also says when the keeper will pay the next open
-    charge: `next_paid_at`, or -infinity if no charge was open there. `last_retry_at` is
-    the latest retry time given to a refused caller. Times are monotonic, in seconds.
+    charge: `next_paid_at`, or -infinity if no charge has to wait at the keeper.
+    `last_retry_at` is the latest retry time given to a refused caller. Times are
+    monotonic, in seconds.
     """
 
     quota: Quota
--- a/lacewingcross/core/key_claims.py
+++ b/lacewingcross/core/key_claims.py
@@ -48,7 +48,7 @@
         return SendPeer(state.keeper, message)
 
     def owner_moved(self, state: RequestState, now: float) -> bool:
-        """Return whether another host owns the key's shard since it was claimed."""
+        """Return whether the owner of the key's shard has changed since `ask`."""
         return self._owner(state, now) != state.keeper
 
     def free(self, state: RequestState, now: float) -> Iterator[Action]:
--- a/lacewingcross/core/resources.py
+++ b/lacewingcross/core/resources.py
@@ -133,7 +133,8 @@
     """A planned stop of one backend server, region, failure domain or entry host.
 
     `target` is one of ``DRAIN_TARGETS``, and `value` the id or name of what is stopped.
-    The drain applies to one service, or to all services if `service` is empty.
+    The drain applies to one service, or to all services if `service` is empty; the
+    drain of an entry host applies to all services in any case.
     """
 
     name: str
