--- a/lacewingcross/core/actions.py
+++ b/lacewingcross/core/actions.py
@@ -20,7 +20,24 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Send an attempt of a request to a backend server."""
+    """Send an attempt of a request to a backend server.
+
+    Attributes
+    ----------
+    attempt : int
+        Number of the attempt within the request, from 1.
+    address : str
+        Address of the server.
+    remaining_s : float
+        Time to the request's deadline in seconds.
+    start_within_s : float
+        If more than this many seconds have passed when a connection is ready, the
+        attempt ends as not sent, because the permit's lease may be over.
+    cross_region : bool
+        Whether the server is in another region than this host.
+    repeatable : bool
+        Whether running the request twice does no harm.
+    """
 
     request_id: str
     attempt: int
@@ -43,7 +60,7 @@
     outcome : {"not-run", "unknown"}
         Whether it is proved that the request did not run.
     reason : str
-        Stable reason code, also the name of a counter.
+        Stable reason code, also the last part of a counter's name.
     retry_after_s : float
         Time in seconds after which the caller may retry; 0 if a retry makes no sense.
     """
@@ -64,7 +81,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop an attempt, close its connection and report `ending` for it."""
+    """Stop attempt number `attempt`, close its connection and report `ending`."""
 
     request_id: str
     attempt: int
@@ -73,7 +90,10 @@
 
 @dataclass(slots=True, frozen=True)
 class CreateObject:
-    """Create an object in the platform; fails if the object exists."""
+    """Create an object in the platform; conflicts if the object exists.
+
+    The result is reported by an `events.WriteEnded` with the same `call_id`.
+    """
 
     call_id: int
     key: str
@@ -82,7 +102,10 @@
 
 @dataclass(slots=True, frozen=True)
 class UpdateObject:
-    """Replace an object in the platform if the stored version is still `if_version`."""
+    """Replace an object in the platform if the stored version is still `if_version`.
+
+    The result is reported by an `events.WriteEnded` with the same `call_id`.
+    """
 
     call_id: int
     key: str
@@ -99,7 +122,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadObjects:
-    """Read all objects of a kind."""
+    """Read all objects of a kind, for an `events.ObjectsLoaded` with the `call_id`."""
 
     call_id: int
     kind: str
--- a/lacewingcross/core/active.py
+++ b/lacewingcross/core/active.py
@@ -1,6 +1,7 @@
 """Selects the active hosts: the entry hosts that look-ups name to callers.
 
-There are as many active hosts as the load needs, the largest first.
+There are as many active hosts as are needed when all slots of the known servers are
+busy, the largest first. The number does not follow the current load.
 
 Designed for fleets of a few large hosts and many small ones, in which a tenth of the
 hosts could carry all requests. Callers choose at random among the hosts that they are
@@ -28,29 +29,32 @@
 # Target latency assumed for a service that no route names.
 DEFAULT_TARGET_S = 1.0
 # Multiple of the processor time that requests take when all slots of all servers are
-# busy. Twice that time leaves the hosts half idle under this load, and tolerates the
+# busy. A multiple of 2 leaves the hosts half idle under this load, and tolerates the
 # loss of one region of three.
 HEADROOM = 2.0
-# Fraction of a region's processor time at which no smaller host becomes active, even if
-# the servers could take more load: the smaller hosts would be overloaded before the
-# large ones.
+# Once the active hosts have this fraction of their region's processor time, no host
+# smaller than the last one becomes active, even if the servers could take more load:
+# the smaller hosts would be overloaded before the large ones.
 MAX_ACTIVE_FRACTION = 0.5
 # Minimum number of active hosts in each failure domain, where the domain has that many
 # large hosts. When a domain is lost, the active hosts of the other domains are already
 # known and warm.
 MIN_ACTIVE_PER_DOMAIN = 2
 # A host is large if it has at least this fraction of the processor time of the largest
-# host of its region. Other hosts become active only if the load needs them.
+# host of its region. Other hosts become active only if the large ones have too little
+# processor time for `cores_needed`.
 LARGE_HOST_FRACTION = 0.5
 
 
 def cores_needed(config: Configuration | None, servers: Iterable[Server]) -> float:
-    """Return the processor time that entry hosts need for all requests of the servers.
+    """Return the processor time that entry hosts should have for the servers' requests.
 
     The request rate of the servers is highest when all slots run requests for objects
     that the server has handled recently (warm requests); these take a fraction of the
-    target latency. All hosts know the same servers, so they compute the same value, and
-    it does not change with the load. It is 0 while no configuration or server is known.
+    target latency. The result is `HEADROOM` times the processor time that entry hosts
+    spend on requests at this rate. All hosts know the same servers, so they compute the
+    same value, and it does not change with the load. It is 0 while no configuration or
+    server is known.
 
     Parameters
     ----------
@@ -92,7 +96,8 @@
     hosts : iterable of HostInfo
         Hosts that may be active.
     needed : float
-        Processor time that all regions together need, in cores.
+        Processor time that all regions together need, in cores; each region needs an
+        equal share of it.
     """
     by_region: dict[str, list[HostInfo]] = {}
     for info in hosts:
@@ -106,7 +111,7 @@
 
 
 def _active_in_region(hosts: list[HostInfo], needed: float) -> list[HostInfo]:
-    """Return the first hosts by size that together carry the load.
+    """Return the first hosts of a region by size that together have enough cores.
 
     Callers choose among `n` hosts at random, so each gets the same share of requests.
     Together the hosts therefore carry `n` times what the smallest of them can.
@@ -125,8 +130,8 @@
         if count >= min_count and count * info.cores >= needed:
             return order[:count]
         if total_cores >= max_cores:
-            # From here on only hosts of this size are added, so that under load all
-            # hosts of a fleet of equal sizes are active.
+            # From here on only hosts of this size are added, so that all hosts of a
+            # fleet of equal sizes can be active.
             min_cores = info.cores
     return order
 
@@ -144,7 +149,10 @@
 
 
 def _min_active(order: list[HostInfo]) -> int:
-    """Return how many of the first hosts cover `MIN_ACTIVE_PER_DOMAIN` everywhere."""
+    """Return how many of the first hosts include the minimum of each failure domain.
+
+    The minimum is `MIN_ACTIVE_PER_DOMAIN`, or all large hosts of a domain with fewer.
+    """
     if not order:
         return 0
     min_large_cores = order[0].cores * LARGE_HOST_FRACTION
--- a/lacewingcross/core/events.py
+++ b/lacewingcross/core/events.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Time has passed."""
+    """Time has passed; drivers send this event at short intervals."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,10 +56,14 @@
 class WriteEnded:
     """A conditional write ended; `outcome` is ``ok``, ``conflict`` or ``unavailable``.
 
+    After ``unavailable`` the write may or may not have taken effect.
+
     Attributes
     ----------
     version : int
         Version of the object in the platform; 0 if unknown.
+    text : str
+        Not used; always empty.
     """
 
     call_id: int
@@ -79,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ObjectsLoaded:
-    """All objects of a kind were read; `objects` is None if they could not be."""
+    """Reading all objects of a kind ended; `objects` is None if it failed."""
 
     call_id: int
     objects: list[StoredSpec] | None
@@ -99,6 +103,8 @@
         Client address as a number, which determines the client group.
     key : str
         Idempotency key, empty if none.
+    repeatable : bool or None
+        Whether running the request twice does no harm; None if the method decides.
     """
 
     request_id: str
@@ -120,7 +126,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FirstByteWritten:
-    """The first byte of an attempt was written to a connection."""
+    """The first byte of attempt number `attempt` is about to be written."""
 
     request_id: str
     attempt: int
@@ -128,7 +134,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HeadForwarded:
-    """The head of the response was forwarded to the caller."""
+    """The response head of attempt number `attempt` is about to be forwarded."""
 
     request_id: str
     attempt: int
@@ -136,7 +142,17 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt ended."""
+    """Attempt number `attempt` of a request ended.
+
+    Attributes
+    ----------
+    service_s : float
+        Time in seconds since the attempt started, counted as its service time.
+    status : int
+        HTTP status of the response; 0 if there was none.
+    body_replayable : bool
+        Whether the whole request body read so far can be sent again.
+    """
 
     request_id: str
     attempt: int
--- a/lacewingcross/core/lookup.py
+++ b/lacewingcross/core/lookup.py
@@ -12,13 +12,18 @@
 
 # Maximum number of entry hosts in an answer.
 MAX_HOSTS = 4
-# Largest deviation of an answer's lifetime from the policy's, as a fraction.
+# Largest deviation of an answer's lifetime from the policy's lifetime, as a fraction of
+# the latter.
 MAX_JITTER = 0.3
 
 
 @dataclass(slots=True, frozen=True)
 class LookupAnswer:
-    """Entry hosts in order of preference, and how many seconds to use them."""
+    """Entry hosts in order of preference, and for how long to use them.
+
+    `region` is empty if the plan gives none, `ttl_s` is the lifetime of the answer in
+    seconds, and `revision` is that of the configuration.
+    """
 
     service: str
     region: str
@@ -29,7 +34,11 @@
 
 @dataclass(slots=True, frozen=True)
 class LookupRefusal:
-    """HTTP status and reason of a look-up that cannot be answered."""
+    """HTTP status and reason of a look-up that cannot be answered.
+
+    `retry_after_s` is the time in seconds after which the caller may retry; 0 if a
+    retry makes no sense.
+    """
 
     status: int
     reason: str
@@ -48,9 +57,12 @@
 ) -> LookupAnswer | LookupRefusal:
     """Return the entry hosts for a caller.
 
-    The region comes from the plan in force, as it does for requests, so that a request
-    to a host in the answer is not sent on to another region. The lifetime is jittered,
-    so that the refreshes of callers do not synchronise.
+    The region comes from the same plan as for requests, so that a host of this region
+    does not send the request on to another region. If the region has fewer than
+    `MAX_HOSTS` live hosts, or the plan gives none, hosts of other regions complete the
+    answer. The lifetime is jittered, so that the refreshes of callers do not
+    synchronise. The look-up is refused while the configuration is incomplete, for an
+    unknown service, and without a live host.
     """
     if not config.complete:
         return LookupRefusal(503, "no-config", rng.uniform(0.2, 0.6))
--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -1,7 +1,7 @@
 """Which entry hosts are live, leaving or down, from the platform's list and heartbeats.
 
-A host sends heartbeats only to its neighbours (see `neighbours`); the platform's list
-decides for the other hosts.
+A host sends heartbeats only to its neighbours (see `neighbours`). For the other hosts
+the platform's list decides, except for `RETRUST_S` after a broken connection.
 """
 
 from collections.abc import Iterator
@@ -28,8 +28,9 @@
 class HostInfo:
     """An entry host as the platform's list describes it.
 
-    `cores` is the processor time that the host gets, in seconds of an ordinary core per
-    second.
+    `entry` is the address for callers, `peer` the address for other entry hosts, and
+    `listed` the host's state in the list. `cores` is the processor time that the host
+    gets, in seconds of an ordinary core per second.
     """
 
     host_id: str
@@ -61,7 +62,24 @@
 
 @dataclass(slots=True)
 class HostState:
-    """State of one entry host, from the list and from its heartbeats."""
+    """State of one other entry host, from the list and from its heartbeats.
+
+    Attributes
+    ----------
+    reported_state, revision, behind, leaving, loads
+        From the host's last heartbeat, see `messages.Heartbeat`.
+    incarnation : int
+        From the host's last `messages.Hello`; it identifies a run of the process.
+    broken : bool
+        Whether the last connection to the host broke or was refused, and neither a
+        hello nor a heartbeat of the host has arrived since.
+    drained : bool
+        Whether operators drain the host.
+    heartbeat_s : float
+        Interval between heartbeats in seconds.
+    neighbour : bool
+        Whether this host and the other one send each other heartbeats.
+    """
 
     info: HostInfo
     first_seen: float
@@ -160,7 +178,10 @@
         self._neighbours = [st for st in self._states.values() if st.neighbour]
 
     def due_heartbeats(self, now: float, *, all_now: bool) -> list[HostState]:
-        """Return the neighbours with a heartbeat due, and schedule their next one."""
+        """Return the neighbours to send a heartbeat to, and schedule the next one.
+
+        With `all_now`, these are all neighbours, else those with a heartbeat due.
+        """
         due = [
             state
             for state in self._neighbours
@@ -171,7 +192,7 @@
         return due
 
     def on_heartbeat(self, host_id: str, heartbeat: Heartbeat, now: float) -> None:
-        """Record a heartbeat of a host."""
+        """Record a heartbeat of a member; unknown hosts are ignored."""
         state = self._states.get(host_id)
         if state is None:
             return
@@ -202,7 +223,7 @@
         state.broken = False
 
     def learn(self, hosts: list[HostInfo], now: float) -> None:
-        """Add hosts that a peer knows, for when the platform cannot be reached."""
+        """Add hosts that another host knows, for when the platform is unreachable."""
         known = len(self._states)
         for info in hosts:
             new = info.host_id != self.own.host_id and info.host_id not in self._states
@@ -248,9 +269,10 @@
         return no_heartbeat_yet and now - state.first_seen <= LIST_GRACE_S
 
     def silence(self, host_id: str, now: float) -> float:
-        """Return the seconds since the last heartbeat of a host; 0 for this host.
+        """Return the seconds since the last heartbeat of a host.
 
-        Counts from when the host became known if it has not sent one yet.
+        The time counts from when the host became known if that is later. It is 0 for
+        this host and infinite for an unknown one.
         """
         if host_id == self.own.host_id:
             return 0.0
@@ -260,7 +282,10 @@
         return now - max(state.last_heartbeat, state.first_seen)
 
     def state_of(self, host_id: str, now: float) -> str:
-        """Return live, leaving or down."""
+        """Return the state of a host: `LIVE`, `LEAVING` or `DOWN`.
+
+        An unknown host is down.
+        """
         if host_id == self.own.host_id:
             return self.own_state
         state = self._states.get(host_id)
@@ -283,7 +308,7 @@
         yield from self._states.values()
 
     def info(self, host_id: str) -> HostInfo | None:
-        """Return a member by id."""
+        """Return a member by id, or None."""
         if host_id == self.own.host_id:
             return self.own
         state = self._states.get(host_id)
@@ -348,7 +373,10 @@
 
 
 class _Groups:
-    """Members by state, valid from `made_at` until `valid_until`."""
+    """Members by state, valid from `made_at` until `valid_until`.
+
+    `by_region` and `by_domain` contain the live members only.
+    """
 
     __slots__ = (
         "by_domain",
@@ -370,7 +398,7 @@
         self.by_region: dict[str, list[HostInfo]] = {}
 
     def add(self, info: HostInfo, state: str) -> None:
-        """Add a member to the groups of its state."""
+        """Add a member to the groups of its state; a member that is down has none."""
         if state == LIVE:
             self.live.append(info)
             self.by_region.setdefault(info.region, []).append(info)
--- a/lacewingcross/core/messages.py
+++ b/lacewingcross/core/messages.py
@@ -12,11 +12,14 @@
 # of the sender.
 MAX_FLOAT = 1e15
 BoundedFloat = Annotated[float, Meta(ge=-MAX_FLOAT, le=MAX_FLOAT)]
-# A backend server runs and queues about ten requests at a time.
+# Maximum number of fingerprints in a `ServerEnded`. A backend server runs and queues
+# only about ten requests at a time.
 MAX_REQUESTS_PER_MESSAGE = 256
-# A sender with more accounts sends further messages.
+# Maximum number of accounts in a `QuotaCharges` or `QuotaReceipts`. A sender with more
+# accounts sends further messages.
 MAX_ACCOUNTS_PER_MESSAGE = 256
-# A sender with more servers sends further messages.
+# Maximum number of servers in a `ServerLimits` or `ServersLeaving`. A sender with more
+# servers sends further messages.
 MAX_SERVERS_PER_MESSAGE = 256
 # A running total, a bit mask or a time in milliseconds. Larger values are errors of the
 # sender.
@@ -31,7 +34,10 @@
 
 
 class Hello(_Message, tag=1):
-    """First message on a connection: the sending host and its incarnation."""
+    """First message on a connection: the sending host and its incarnation.
+
+    `entry` is the host's address for callers, `peer` its address for other hosts.
+    """
 
     host_id: str
     incarnation: int
@@ -47,10 +53,10 @@
     """Liveness, state and the highest configuration version of the sender.
 
     `behind` is the number of buckets that the sender's shift cap still keeps from
-    moving to their planned region. `leaving` gives the requests in flight at each
-    leaving backend server whose slots the sender keeps, as ``service/server``. `loads`
-    gives, for each ``service/region`` whose slots the sender keeps, the requests in
-    flight, the queued requests and the limit.
+    moving to their planned region. `leaving` holds, for each leaving backend server
+    whose slots the sender keeps, ``service/server`` and the number of permits in use.
+    `loads` holds, for each ``service/region`` whose slots the sender keeps, that name,
+    the numbers of permits in use and of queued requests, and the limit in slots.
     """
 
     state: str
@@ -67,13 +73,16 @@
 
 
 class ConfigPull(_Message, tag=3):
-    """Requests every configuration entry above a version."""
+    """Requests every configuration entry whose version is higher than `above`."""
 
     above: int
 
 
 class ConfigPush(_Message, tag=4):
-    """Configuration entries: key, version and JSON text (empty when deleted)."""
+    """Configuration entries: key, version and JSON text (empty when deleted).
+
+    If `complete`, the receiver has every entry up to `revision` after this message.
+    """
 
     revision: int
     entries: list[tuple[str, int, str]]
@@ -81,7 +90,11 @@
 
 
 class Acquire(_Message, tag=5):
-    """Requests a permit from a slot keeper."""
+    """Requests a permit from a slot keeper.
+
+    `remaining_s` is the time to the request's deadline. `exclude` holds the ids of the
+    servers where the request failed or could not start before.
+    """
 
     service: str
     region: str
@@ -91,7 +104,10 @@
 
 
 class Grant(_Message, tag=6):
-    """Grants a permit: the lease of one slot of one backend server."""
+    """Grants a permit: the lease of one slot of one backend server.
+
+    `permit` is the id of the permit, and `lease_s` the length of the lease.
+    """
 
     service: str
     region: str
@@ -102,7 +118,7 @@
 
 
 class Denied(_Message, tag=7):
-    """Refuses a permit, with the time after which the sender may ask again."""
+    """Refuses a permit, with the time after which the caller may retry."""
 
     service: str
     region: str
@@ -123,7 +139,11 @@
 
 
 class Reuse(_Message, tag=15):
-    """Passes a permit on to another waiting request of the same host."""
+    """Passes a permit on to another waiting request of the same host.
+
+    `service_s` is the service time of the request that has used the permit so far, and
+    `request_id` the request that uses the permit from now on.
+    """
 
     service: str
     region: str
@@ -134,7 +154,10 @@
 
 
 class Renew(_Message, tag=9):
-    """Renews the leases of permits whose requests still run."""
+    """Renews the leases of permits whose requests still run.
+
+    `held` holds pairs of a server id and a permit id.
+    """
 
     service: str
     region: str
@@ -150,7 +173,10 @@
 
 
 class HeldQuery(_Message, tag=11):
-    """Asks, as a new keeper, which slots the receiver's requests occupy."""
+    """Asks, as a new keeper, which slots the receiver's requests occupy.
+
+    `term` identifies the new keeper.
+    """
 
     service: str
     region: str
@@ -158,7 +184,10 @@
 
 
 class HeldReport(_Message, tag=12):
-    """Answers a `HeldQuery`: backend servers and the number of slots held at each."""
+    """Answers a `HeldQuery`: pairs of a server id and the id of a permit in use.
+
+    `term` is copied from the query.
+    """
 
     service: str
     region: str
@@ -167,7 +196,10 @@
 
 
 class Claim(_Message, tag=16):
-    """Asks the owner of an idempotency key's shard to claim the key."""
+    """Asks the owner of an idempotency key's shard to claim the key.
+
+    `claim` is the id of the claim, the same each time the request sends it.
+    """
 
     service: str
     request_id: str
@@ -185,7 +217,7 @@
 
 
 class Unclaim(_Message, tag=18):
-    """Gives up the claim of a key whose request is proved not to have run."""
+    """Gives up claim `claim` of a key whose request is proved not to have run."""
 
     service: str
     key_hash: str
@@ -193,7 +225,11 @@
 
 
 class RegionLoad(_Message, tag=13):
-    """Load of one service in one region, sent by its slot keeper to the planner."""
+    """Load of one service in one region, sent by its slot keeper to the planner.
+
+    `in_flight` is the number of permits in use, `queued` the number of queued requests,
+    `limit` the number of usable slots, and `demand_rate` the requests per second.
+    """
 
     service: str
     region: str
@@ -213,8 +249,8 @@
     numbers of requests in flight. If `whole`, it covers all servers, and a server that
     is missing has no requests; otherwise it covers the servers whose number has changed
     since the last message. `handled` holds pairs of a server id and a key that the
-    server has handled for the first time since the last message. `counts` and `handled`
-    are sent to active hosts only.
+    server has handled for the first time since the last message. Only active hosts are
+    sent `counts` and `handled`.
     """
 
     leaving: bool
@@ -282,9 +318,9 @@
     """Lends the sender's quota shares to the receiver, for the accounts it keeps.
 
     `key` identifies the sender's view of the quota holders. `live` is a bit mask of the
-    holders that the sender can reach; 0 lends nothing. `sent_ms` is the sender's
-    clock, `echo_ms` the receiver's clock in the last message that the sender received
-    from it. The lease runs from `echo_ms`.
+    holders that the sender can reach; 0 lends nothing. `sent_ms` is the sender's clock,
+    `echo_ms` the receiver's clock in the last lease that the sender received from the
+    receiver. The lease runs from `echo_ms`.
     """
 
     key: str
@@ -296,8 +332,8 @@
 class QuotaCharges(_Message, tag=26):
     """Charges of the sender to the accounts that the receiver keeps.
 
-    A charge is a request run. Each item is the account and the totals of the charges
-    made, returned and paid since the sender started.
+    One charge is one request that the sender has run. Each item is the account and the
+    totals of the charges made, returned and paid since the sender started.
     """
 
     items: Annotated[
--- a/lacewingcross/core/named_hosts.py
+++ b/lacewingcross/core/named_hosts.py
@@ -6,7 +6,7 @@
 from .rendezvous import ranked
 from .roster import Roster
 
-# Maximum number of hosts in an answer; callers take a longer answer for a failure.
+# Maximum number of hosts in an answer; callers treat a longer answer as a failure.
 MAX_NAMED_HOSTS = 64
 
 
@@ -17,8 +17,23 @@
 
     Callers are sent to the active hosts of their own region. If none of these is alive,
     callers are sent to the regions to which their requests are bound, or to any region
-    if the requests are not bound. If there are more than `MAX_NAMED_HOSTS` hosts, each
-    domain of callers gets a different selection of them, and always the same one.
+    if the requests are not bound. If no active host at all can serve, all live hosts
+    are considered instead, and if none of these is in such a region, the answer is this
+    host. If there are more than `MAX_NAMED_HOSTS` hosts, each failure domain of callers
+    gets a different selection of them, and always the same one.
+
+    Parameters
+    ----------
+    roster : Roster
+        The known hosts.
+    region : str
+        Region of the callers.
+    homes : frozenset of str
+        Regions to which the callers' requests are bound; empty if they are not bound.
+    now : float
+        Monotonic time in seconds.
+    domain : str
+        Failure domain of the callers.
     """
     serving = list(_serving(roster, now)) or roster.live(now)
     in_homes = [info for info in serving if info.region in homes]
--- a/lacewingcross/core/node.py
+++ b/lacewingcross/core/node.py
@@ -36,7 +36,7 @@
 from .slew import EffectivePlan
 from .view import View
 
-# Shortest interval between two requests to peers for newer configuration.
+# Shortest interval between two requests to other hosts for newer configuration.
 PULL_INTERVAL_S = 0.3
 # Interval at which the core checks for due heartbeats and reviews the slot keepers.
 REVIEW_INTERVAL_S = 0.4
@@ -134,11 +134,15 @@
         )
 
     def idle(self) -> bool:
-        """Return whether no request is left on this host."""
+        """Return whether no caller's request is open on this host."""
         return not self.requests.requests
 
     def busy(self) -> bool:
-        """Return whether requests or claims wait here, so that ticks are urgent."""
+        """Return whether ticks are urgent.
+
+        They are while a caller's request is open here, a request waits for a permit of
+        a keeper on this host, or a claim or a freed key waits to be written.
+        """
         queued = any(keeper.queue for keeper in self.keepers.keepers.values())
         return queued or self.claims.busy() or not self.idle()
 
@@ -154,10 +158,11 @@
                 yield action
 
     def _note_membership(self, now: float) -> None:
-        """Start a new epoch when the live hosts have changed."""
+        """Start a new epoch if the live hosts have changed."""
         live = self.view.members.live(now)
         if live is not self._last_live:
-            # `Membership` returns the same list object while its members are the same.
+            # `Membership` returns the same list object while the live and leaving hosts
+            # are the same.
             self._last_live = live
             self.epoch += 1
 
@@ -280,9 +285,9 @@
             self._review_due = True
         own = self.view.config.revision
         if heartbeat.revision > own and now - self._pulled_at > PULL_INTERVAL_S:
-            # The peer has newer configuration: the platform is down or slow for this
-            # host. Entries carry versions, so an entry from a peer never replaces a
-            # newer one.
+            # The other host has newer configuration: the platform is down or slow for
+            # this host. Entries carry versions, so an entry from another host never
+            # replaces a newer one.
             self._pulled_at = now
             yield Count("config.pulls")
             yield SendPeer(host_id, msg.ConfigPull(own))
--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -23,34 +23,35 @@
 # unreachable one again until `RELAY_RETRY_AFTER_S` after it was chosen.
 RELAY_ANSWER_TIMEOUT_S = 1.0
 RELAY_RETRY_AFTER_S = 5.0
-# A host that is no longer active goes on sending its requests in flight for this long:
-# callers keep a look-up answer that names it for up to three times its lifetime of
-# 1.5 s, and their last requests take a few seconds more.
+# A host that is no longer active goes on sending counts of its requests in flight to
+# the active hosts for this long: callers keep a look-up answer that names the host for
+# up to three times the answer's lifetime of 1.5 s, and their last requests take a few
+# seconds more.
 LINGER_S = 10.0
 # Interval at which changed counts of requests in flight are sent to all active hosts.
 # Requests take about 70 ms at a warm server (one that has handled the object recently),
 # so older counts say little.
 COUNTS_INTERVAL_S = 0.03
-# Up to this many active hosts are sent counts at that interval. With more of them the
-# interval grows in proportion, so that the messages that each host sends and receives
-# in a second are bounded.
+# Maximum number of active hosts at which counts of requests in flight are sent every
+# `COUNTS_INTERVAL_S`. With more active hosts the interval grows in proportion, so that
+# the messages that each host sends and receives in a second are bounded.
 MAX_FULL_RATE_HOSTS = 8
-# Number of active hosts that send their full view of the other hosts to each active
-# host. If a host is silent for the receiver, the receiver learns from many places
-# whether other hosts still receive messages from it.
+# Number of active hosts that send their full view to each active host in a large fleet.
+# A full view names all hosts from which its sender receives messages. If the receiver
+# gets no messages from some host, these views show whether other hosts still do.
 FULL_VIEW_SENDERS = 12
-# In a fleet of up to this many active hosts, all of them receive changes directly from
-# the host that watches the store.
+# In a fleet of up to this many active hosts, each of them receives changes directly
+# from the host that watches the store.
 MAX_DIRECT_RECEIVERS = 24
 
 
 def counts_interval_s(roster: Roster) -> float:
-    """Return the interval at which a host sends its requests in flight, in seconds."""
+    """Return the interval in seconds at which a host sends its requests in flight."""
     return COUNTS_INTERVAL_S * max(1.0, len(roster.active) / MAX_FULL_RATE_HOSTS)
 
 
 def full_view_peers(roster: Roster) -> frozenset[str]:
-    """Return the active hosts that this one sends its full view of other hosts to.
+    """Return the ids of the active hosts that this host sends its full view to.
 
     Designed for the start of a fleet of 300 hosts of equal size, which are all active.
     If each host sent its full view to every other one whenever another host became
@@ -68,14 +69,14 @@
 
 
 def first_hops(roster: Roster, now: float) -> frozenset[str]:
-    """Return the active hosts that the host that watches the store sends changes to.
-
-    Designed for a fleet of 100 hosts of equal size and 1,000 servers. If one host sent
-    each change to all others, it would send ten times as much as the others do. It
-    sends the change to a few hosts instead, and each of these passes the change on to
-    the hosts in its group on the ring. If such a host crashes before it has done so,
-    the hosts of its group find from `Alive` messages that they are behind and pull
-    the change.
+    """Return the ids of the active hosts that the watching host sends changes to.
+
+    Designed for a fleet of 100 hosts of equal size and 1,000 servers. If the host that
+    watches the store sent each change to all others, it would send ten times as much as
+    the others do. It sends the change to one host of each group on the ring instead,
+    and each of these passes the change on to the other hosts of its group. If such a
+    host crashes before it has done so, the hosts of its group find from `Alive`
+    messages that they are behind and pull the change.
     """
     if len(roster.active) <= MAX_DIRECT_RECEIVERS:
         return frozenset(roster.active)
@@ -86,7 +87,10 @@
 
 
 def next_hops(roster: Roster) -> frozenset[str]:
-    """Return the active hosts that this host passes changes on to."""
+    """Return the ids of the active hosts that this host passes changes on to.
+
+    In a fleet of up to `MAX_DIRECT_RECEIVERS` active hosts there are none.
+    """
     own = roster.own.host_id
     if len(roster.active) <= MAX_DIRECT_RECEIVERS:
         return frozenset()
@@ -108,7 +112,7 @@
 
 
 def _ring(roster: Roster) -> list[str]:
-    """Return the active hosts in an order that is the same for all hosts."""
+    """Return the ids of the active hosts in an order that is the same on all hosts."""
     return sorted(roster.active, key=_ring_position)
 
 
@@ -124,8 +128,9 @@
 
     A standby host is sent the active hosts, also by other standby hosts. Guards against
     a wrong view at the start of a host: if the larger hosts were still missing from the
-    list that the host has read, it considers itself or another small host active. Any
-    host that it sends messages to corrects this view.
+    list that the host has read, it considers itself or another small host active. Every
+    host that it sends messages to answers with the active hosts and so corrects this
+    view.
 
     Active hosts report to each other the hosts that send them messages. Receivers in
     `full_view_receivers` are sent all of these, the other receivers only the standby
@@ -142,7 +147,12 @@
 
 
 def subscriptions(roster: Roster, now: float) -> set[str]:
-    """Return the hosts from which a host requests updates."""
+    """Return the ids of the hosts from which a host requests updates.
+
+    A standby host requests them from its relays, which this call may choose; any other
+    host requests them from the active hosts. An active host, and one that knows no
+    other active host, also requests them from lost active hosts.
+    """
     if not roster.is_active and now - roster.last_active_at > LINGER_S:
         return set(_relays(roster, now))
     peers = set(roster.active) - {roster.own.host_id}
@@ -152,11 +162,12 @@
 
 
 def _lost_active(roster: Roster, now: float) -> Iterator[str]:
-    """Yield recently active hosts that have fallen silent.
+    """Yield the ids of recently active hosts that have fallen silent.
 
     Guards against a lasting split after a network partition. Each side considers the
     hosts of the other side dead, and no host would connect to them again when the
-    partition has healed.
+    partition has healed. Hosts go on connecting to lost hosts until `FORGET_AFTER_S`
+    after these were last active.
     """
     for host_id, entry in roster.entries.items():
         if now - entry.active_at < FORGET_AFTER_S and not entry.live(now):
@@ -164,10 +175,11 @@
 
 
 def _relays(roster: Roster, now: float) -> list[str]:
-    """Return the active hosts to use as relays.
+    """Choose the active hosts to use as relays and return their ids.
 
-    Hosts of the own region come first, in two failure domains if it has two. Records
-    when each relay was first chosen, so that one that never answers is skipped.
+    Hosts of the own region come first, in two failure domains if the region has two.
+    The time at which a relay was first chosen is recorded, so that a relay that never
+    answers is skipped.
     """
     own = roster.own
     known = (roster.entries.get(host_id) for host_id in roster.active)
@@ -187,10 +199,12 @@
 
 
 def _second_relay(order: list[Entry]) -> list[Entry]:
-    """Return the second relay, of another failure domain in the region if there is one.
+    """Return the second relay in a list, which is empty if there is none.
 
-    Guards against the loss of a failure domain. A host with both relays in that domain
-    would receive no updates until the relays' silence timeout.
+    The relay is of another failure domain in the first relay's region if there is such
+    a host. Guards against the loss of a failure domain. A host with both relays in that
+    domain would receive no updates until the relays' silence timeout; a relay in
+    another domain goes on sending them.
     """
     if len(order) < RELAYS:
         return order[1:]
--- a/lacewingcross/core/roster.py
+++ b/lacewingcross/core/roster.py
@@ -2,12 +2,14 @@
 
 Each host writes its own entry to the store when it starts. Whether a host is alive is
 judged only by the messages on the streams between hosts, never by the store, which may
-be unreachable.
+be unreachable. There is one exception: when the active hosts are chosen, a host that
+was just listed is presumed alive for `PRESUMED_ALIVE_S`.
 
 Active hosts (see `active`) exchange messages with each other. Each standby host
-exchanges messages with two active hosts only, its *relays*: the relays send it all
-changes and report to the other active hosts that it is alive. The traffic of a standby
-host is therefore the same in a fleet of any size.
+exchanges messages with two active hosts only, its *relays*: the relays send it every
+change to the objects in the store (`messages.StoreChanges`) and report to the other
+active hosts that it is alive. The traffic of a standby host is therefore the same in a
+fleet of any size.
 """
 
 from dataclasses import dataclass
@@ -23,9 +25,9 @@
 # Silence timeout after which this host stops connecting to another host and forgets it.
 # A host that comes back writes its entry to the store again.
 FORGET_AFTER_S = 60.0
-# A host that is listed in the store or by another host, but has not yet sent a message,
-# is presumed alive for this long: when a fleet starts, all hosts are listed at once,
-# before any of them has sent a message.
+# When the active hosts are chosen, a host that is listed in the store or by another
+# host, but has not yet sent a message, is presumed alive for this long: when a fleet
+# starts, all hosts are listed at once, before any of them has sent a message.
 PRESUMED_ALIVE_S = 2.0
 # When all relays of a host fall silent together, the hosts that they reported last stay
 # valid for this long after the relays' last message. The host finds other relays among
@@ -37,10 +39,14 @@
 class Entry:
     """One other entry host.
 
-    `subscribes` means that the host requested updates from this one. `active_at` is the
-    last time at which it was among the active hosts, `relay_chosen_at` the time at
-    which it was first chosen as a relay, and `refused_at` the time at which no process
-    listened at its peer address.
+    `known_since` is the time at which the host, or new data of it, was first listed or
+    received. `leaving`, `starting`, `store_unreachable` and `subscribes` are from the
+    host's last message, see `messages.Alive`; `subscribes` means that the host
+    requested updates from this one. `active_at` is the last time at which the host was
+    among the active hosts, `relay_chosen_at` the time at which it was first chosen as a
+    relay and had not answered yet, and `refused_at` the last time at which no process
+    listened at its peer address. All times are in seconds on this host's monotonic
+    clock.
     """
 
     info: HostInfo
@@ -64,7 +70,7 @@
         return self.refused_at > self.last_message_at
 
     def last_contact_at(self) -> float:
-        """Return when the host sent its last message, or was first listed."""
+        """Return when the host's last message arrived or it was listed, if later."""
         return max(self.last_message_at, self.known_since)
 
 
@@ -89,6 +95,19 @@
     ----------
     own : HostInfo
         This host.
+
+    Attributes
+    ----------
+    listed : bool
+        Whether this host has read the store's list of hosts.
+    was_listed : bool
+        Whether this host found its own entry in the store's list at its start. If so,
+        the other hosts already know it as a holder of quotas.
+    active : dict of str to HostInfo
+        The active hosts by id, as far as this host knows them.
+    active_since, last_active_at : float
+        When this host last became active, and when it was last active and not starting,
+        in seconds on the monotonic clock.
     """
 
     __slots__ = (
@@ -110,13 +129,12 @@
         self.own = own
         self.leaving = False
         self.listed = False
-        # Whether this host found its own entry in the store's list at its start. If so,
-        # the other hosts have counted it all along.
         self.was_listed = False
         self.starting = True
         self.store_unreachable = False
         self.entries: dict[str, Entry] = {}
-        # Processor time that callers' requests need, see `active.cores_needed`.
+        # Processor time needed for callers' requests, see `active.cores_needed`.
+        # Infinite until it is computed, so that all hosts may be active until then.
         self.needed = float("inf")
         self.active: dict[str, HostInfo] = {own.host_id: own}
         self.active_since = float("-inf")
@@ -128,7 +146,8 @@
         """Return whether callers should use other hosts.
 
         Guards against naming a host to callers when it has just started and has not yet
-        read the configuration. It could only refuse their requests.
+        read the configuration. It could only refuse their requests. It counts as
+        starting until it has read the configuration.
         """
         return self.leaving or self.starting
 
@@ -138,7 +157,10 @@
         return self.own.host_id in self.active
 
     def learn(self, info: HostInfo, now: float) -> bool:
-        """Add a host from the store or another host; return whether it is new."""
+        """Add or update a listed or reported host; return whether this changed it.
+
+        The host itself and a host that is alive are never changed.
+        """
         if info.host_id == self.own.host_id:
             return False
         known = self.entries.get(info.host_id)
@@ -161,7 +183,11 @@
         store_unreachable: bool = False,
         subscribes: bool = True,
     ) -> bool:
-        """Record a message of a host about itself; return whether its state changed."""
+        """Record a message of a host about itself; return whether its state changed.
+
+        The state consists of whether the host is alive, leaving, starting and
+        subscribes.
+        """
         known = self.entries.get(info.host_id)
         if known is None or known.info != info:
             known = Entry(info, now)
@@ -178,16 +204,21 @@
     def take_peer_view(self, sender: str, view: PeerView, now: float) -> None:
         """Replace the hosts that another host reports as alive.
 
-        Guards against an unknown host: a host without an entry in the store starts
-        while the store is unreachable. Only the hosts that it sends messages to would
-        know it.
+        Guards against a host that most others do not know: a host without an entry in
+        the store starts while the store is unreachable. Without the reports, only the
+        hosts that it sends messages to would know it; with them, these hosts name it to
+        all others.
         """
         self._peer_views[sender] = view
         for info in view.hosts.values():
             self.learn(info, now)
 
     def forget_silent(self, now: float) -> list[str]:
-        """Remove hosts silent for `FORGET_AFTER_S` and not alive; return their ids."""
+        """Remove hosts that this host and its peers find silent; return their ids.
+
+        Such a host has sent this host no message for `FORGET_AFTER_S`, and no live peer
+        reports it as alive.
+        """
         live = self.live_ids(now)
         forgotten = [
             host_id
@@ -200,10 +231,10 @@
         return forgotten
 
     def live_ids(self, now: float) -> set[str]:
-        """Return the other hosts that are alive.
+        """Return the ids of the other hosts that are alive.
 
-        A host is alive if this host, or another host that sends messages to this one,
-        has received a message from it within the silence timeout.
+        A host is alive if it has sent this host a message within the silence timeout,
+        or if the last `PeerView` of a host that has done so contains it.
         """
         direct = {host_id for host_id, e in self.entries.items() if e.live(now)}
         live = set(direct)
@@ -242,7 +273,10 @@
         return before != self.active.keys()
 
     def _choose_active(self, live: set[str], now: float) -> dict[str, HostInfo]:
-        """Choose the active hosts from the hosts that this host itself knows."""
+        """Choose the active hosts from the hosts that this host itself knows.
+
+        If no other host is alive, the hosts that relays reported last are candidates.
+        """
         known = live or self._reported_active_ids(live, now)
         candidates = [
             entry.info
@@ -263,10 +297,11 @@
         }
 
     def _reported_active_ids(self, live: set[str], now: float) -> set[str]:
-        """Return the active hosts as relays report them, or reported them last.
+        """Return the ids of active hosts as relays report them, or reported them last.
 
         Guards against the loss of all relays of a host at once. The host would consider
-        itself the only one left and be named to callers.
+        itself the only one left and be named to callers. The last reports stay valid
+        for `PEER_VIEW_VALID_S`, in which the host finds other relays.
         """
         views = self._recent_peer_views(now, SILENT_AFTER_S)
         views = [view for view in views if view.active] or self._recent_peer_views(
@@ -298,6 +333,6 @@
         return any(view.active for view in self._recent_peer_views(now, SILENT_AFTER_S))
 
     def reported_starting(self, now: float) -> set[str]:
-        """Return the hosts that other hosts report as unable to serve yet."""
+        """Return the ids of hosts that other hosts report as unable to serve yet."""
         views = self._recent_peer_views(now, SILENT_AFTER_S)
         return {host_id for view in views for host_id in view.starting}
--- a/lacewingcross/core/view.py
+++ b/lacewingcross/core/view.py
@@ -52,9 +52,10 @@
         return candidates or self.members.live(now)
 
     def _choose_owner(self, key: str, candidates: list[HostInfo], now: float) -> str:
-        """Choose an owner by rendezvous hashing and cache it.
+        """Choose the owner of `key` by rendezvous hashing and cache it.
 
-        Without candidates the owner is this host.
+        Without candidates the owner is this host. The cache is emptied when the live or
+        leaving hosts change.
         """
         chosen = owner(key, [info.host_id for info in candidates])
         result = chosen or self.own.host_id
@@ -62,7 +63,7 @@
         return result
 
     def owner_among_live(self, key: str, now: float) -> str:
-        """Return the live host that owns `key`."""
+        """Return the live host that owns `key`, or this host if none is live."""
         known = self.members.derived(now).get(key)
         return known or self._choose_owner(key, self.members.live(now), now)
 
@@ -93,11 +94,17 @@
         return self.own.host_id in chosen or len(chosen) < RELAYS
 
     def behind(self) -> int:
-        """Return the number of buckets that differ from the plan, over all services."""
+        """Return how many buckets have another region here than in the plan.
+
+        The number is the sum over all services.
+        """
         return sum(plan.behind() for plan in self.plans.values())
 
     def region_of(self, service: str, address: int | None, caller: str) -> str | None:
-        """Return the region in force for a caller, or None without a plan."""
+        """Return the region that a caller's bucket has on this host now.
+
+        It may lag behind the plan. The result is None without a plan or a client group.
+        """
         group = self.config.group_of(service, address)
         plan = self.plans.get(service)
         if plan is None or group is None:
@@ -105,7 +112,11 @@
         return plan.region(group, bucket_of(service, caller))
 
     def leaving_servers(self, service: str) -> set[str]:
-        """Return the servers that are drained, listed as leaving, or announce it."""
+        """Return the ids of the backend servers that are leaving.
+
+        These are the drained servers of the service, and the servers of any service
+        that are listed as leaving or announced that they are draining.
+        """
         drained = self.config.leaving_servers(service)
         return drained | self.announced_leaving | set(self.listed_leaving)
 
@@ -116,6 +127,6 @@
             yield from pool.by_region.get(region, ())
 
     def server(self, service: str, server_id: str) -> BackendServer | None:
-        """Return a declared backend server."""
+        """Return a declared backend server, or None."""
         pool: BackendPool | None = self.config.pools.get(service)
         return pool.by_id.get(server_id) if pool is not None else None
