--- a/lacewingcross/core/blocks.py
+++ b/lacewingcross/core/blocks.py
@@ -1,4 +1,4 @@
-"""Client address blocks in packed arrays, to look up the group of an address."""
+"""Client address blocks in packed arrays, to look up an address's client group."""
 
 import sys
 from array import array
@@ -14,7 +14,8 @@
 class BlockIndex:
     """Sorted starts of blocks, each with a 16-bit group index (6 bytes a block).
 
-    A block reaches to the start of the next one.
+    A block reaches to the start of the next one. Addresses outside of all networks form
+    blocks with the index `NO_GROUP`.
 
     Parameters
     ----------
@@ -36,7 +37,11 @@
         self._flatten(sorted(spans, key=lambda span: (span[0], -span[1])))
 
     def _flatten(self, spans: list[tuple[int, int, int]]) -> None:
-        """Append the starts of nested spans, each with the innermost span's group."""
+        """Append the starts of nested spans, each with the innermost span's group.
+
+        A span is (first address, address after the last, group index); spans are sorted
+        with the outer one first.
+        """
         open_spans: list[tuple[int, int]] = []
         self._append(0, NO_GROUP)
         for start, end, group in spans:
--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -22,14 +22,22 @@
 from .rendezvous import hash64
 from .view import View
 
+# Number of shards of each service.
 SHARDS = 4
+# Number of claims in the head of a shard above which they move to a segment.
 MAX_HEAD_CLAIMS = 400
+# Time after which a segment is dropped, counted from when this host first saw it.
 SEGMENT_TTL_S = 3600.0
+# Minimum time between the starts of two batches of a shard.
 MIN_BATCH_INTERVAL_S = 0.03
+# Minimum time between the starts of two reads of a shard.
 LOAD_RETRY_INTERVAL_S = 0.5
+# Time after its last use at which a shard is removed from memory.
 UNUSED_SHARD_TTL_S = 30.0
+# Time after which a claim that is not being written is refused.
 MAX_CLAIM_WAIT_S = 2.5
 HEAD = "head"
+# Call ids of plans and reports start at other bases, so that all ids differ.
 CALL_ID_BASE = 1 << 45
 KIND_PREFIX = "Claims"
 
@@ -60,7 +68,10 @@
 
 @dataclass(slots=True)
 class PendingClaim:
-    """A claim that has not been written yet."""
+    """A claim that has not been written yet.
+
+    `host_id` is the host that sent the claim, and `claim` the id of the claim.
+    """
 
     host_id: str
     request_id: str
@@ -81,17 +92,30 @@
 
     Attributes
     ----------
+    index : int
+        Index of the shard within the service.
+    loaded, loading_since : bool, float
+        Whether the fields hold the stored claims, and when the last read started.
+    head_version : int
+        Version of the head in the platform; 0 if there is no head.
     head, freed : dict of str to str
         Claims in the head, and claims in segments that have been freed since, by the
         hash of the key.
+    segments : dict of str to dict
+        Claims in each segment by the hash of the key, the oldest segment first.
     first_seen : dict of str to float
         When this host first saw each segment, in seconds on the monotonic clock.
     waiting : list of PendingClaim
         Claims for the next batch.
     freeing : dict of str to str
         Claims that the next batch frees, by the hash of the key.
+    batch : Batch or None
+        The batch being written.
     call_id : int
         The platform call under way, 0 for none.
+    written_at, used_at : float
+        When the last batch was started, and when a claim or a freed key last arrived,
+        in seconds on the monotonic clock.
     """
 
     service: str
@@ -133,10 +157,12 @@
 
 @dataclass(slots=True)
 class Batch:
-    """The content of one write of the head; it replaces the shard's on success.
+    """The content of one write of the head.
 
-    `new_segment` names the segment that takes the claims of the old head, if the batch
-    makes one.
+    If the write succeeds, `head`, `freed` and `segments` replace the shard's fields of
+    these names. `items` are the claims that the batch adds, and `freeing` those that it
+    frees, by the hash of the key. `new_segment` names the segment that takes the claims
+    of the old head, if the batch makes one.
     """
 
     items: list[PendingClaim]
@@ -148,11 +174,11 @@
 
 
 class ClaimKeeper:
-    """Decides claims for the shards that this host is asked for.
+    """Decides the claims that hosts, this one included, send to this host.
 
     Rendezvous hashing makes one host the owner of a shard, so that claims come in
-    batches and writes do not conflict. A host that is asked decides the claim even if
-    it is not the owner: ownership saves writes and is not needed for safety.
+    batches and writes do not conflict. A host that gets a claim decides it even if the
+    host is not the owner: ownership saves writes and is not needed for safety.
 
     Parameters
     ----------
@@ -173,11 +199,17 @@
         return self._view.owner_among_live(f"claims/{service}/{shard_index}", now)
 
     def busy(self) -> bool:
-        """Return whether a claim or a freed key is still to be written."""
+        """Return whether a claim or a freed key waits for the next batch.
+
+        The batch being written does not count, since the end of its write is an event.
+        """
         return any(shard.waiting or shard.freeing for shard in self.shards.values())
 
     def on_claim(self, host_id: str, claim: msg.Claim, now: float) -> Iterator[Action]:
-        """Queue a claim, or answer it immediately if its key is claimed."""
+        """Queue a claim, or answer it immediately if its key is known to be claimed.
+
+        While a call is under way or the shard is not loaded, every claim is queued.
+        """
         shard = self._shard(claim.service, claim.key_hash, now)
         item = PendingClaim(host_id, claim.request_id, claim.key_hash, claim.claim, now)
         if shard.loaded and not shard.call_id and shard.holder(claim.key_hash):
@@ -187,7 +219,10 @@
         yield from self._advance(shard, now)
 
     def on_unclaim(self, unclaim: msg.Unclaim, now: float) -> Iterator[Action]:
-        """Free the key of a request that is proved not to have run."""
+        """Withdraw a request's claim and queue its key to be freed.
+
+        The request is proved not to have run.
+        """
         shard = self._shard(unclaim.service, unclaim.key_hash, now)
         shard.waiting = [it for it in shard.waiting if it.claim != unclaim.claim]
         shard.freeing[unclaim.key_hash] = unclaim.claim
@@ -209,7 +244,7 @@
         return SendPeer(item.host_id, message)
 
     def owns_call(self, call_id: int) -> bool:
-        """Return whether a platform call was made for claims."""
+        """Return whether a platform call is under way for claims."""
         return call_id in self._calls
 
     def _new_call(self, shard: Shard) -> int:
@@ -224,7 +259,11 @@
         return shard
 
     def _advance(self, shard: Shard, now: float) -> Iterator[Action]:
-        """Read the shard if it is not loaded, else write the next batch."""
+        """Read the shard if it is not loaded, else write the next batch.
+
+        Nothing happens while a call of the shard is under way, without a claim or a
+        freed key to write, or before the minimum interval has passed.
+        """
         if shard.call_id or not (shard.waiting or shard.freeing):
             return
         if not shard.loaded:
@@ -308,8 +347,8 @@
         batch = shard.batch
         yield Count(f"claims.write-{ended.outcome}")
         if batch.new_segment and batch.new_segment not in batch.segments:
-            # The segment copies the head under a name made of the head's version. A
-            # conflict means that an earlier attempt has already written the same copy.
+            # The segment is a copy of the head under a name made of the head's version.
+            # A conflict means that an earlier attempt has already written this copy.
             if ended.outcome in ("ok", "conflict"):
                 batch.segments[batch.new_segment] = shard.head
                 batch.head = {it.key_hash: it.claim for it in batch.items}
@@ -320,7 +359,8 @@
             yield from self._advance(shard, now)
             return
         # Another owner has written the head first, or the outcome of the write is
-        # unknown. Nothing is answered or written until the shard has been read again.
+        # unknown. No claim of the batch is answered, and no batch is written, until the
+        # shard has been read again.
         shard.batch = None
         shard.waiting = batch.items + shard.waiting
         shard.freeing = {**batch.freeing, **shard.freeing}
@@ -345,7 +385,10 @@
             yield DeleteObject(f"{shard.kind}/{name}")
 
     def loaded(self, event: ObjectsLoaded, now: float) -> Iterator[Action]:
-        """Replace a shard by what was read from the platform."""
+        """Replace a shard by what was read from the platform.
+
+        If the shard could not be read whole, all claims that wait are refused.
+        """
         shard = self._end_call(event.call_id)
         if event.objects is None or not _read_objects(shard, event.objects, now):
             yield Count("claims.load-failed")
@@ -357,8 +400,8 @@
         )
         held = [item for item in shard.waiting if shard.holder(item.key_hash)]
         for item in held:
-            # If the item's own claim is there, its write took effect although the
-            # outcome was unknown.
+            # If the shard now holds the item's own claim, the write of that claim took
+            # effect although its outcome was unknown.
             shard.waiting.remove(item)
             yield self._answer(shard, item, self._outcome(shard, item))
         yield from self._advance(shard, now)
@@ -366,7 +409,7 @@
     def _refuse_waiting(
         self, shard: Shard, items: list[PendingClaim]
     ) -> Iterator[Action]:
-        """Answer claims that cannot be decided because the platform does not respond.
+        """Refuse claims that cannot be decided because the platform does not respond.
 
         A write of such a claim may still have taken effect. Its key is queued to be
         freed, so that the caller's next attempt does not find the key taken.
@@ -377,7 +420,10 @@
             yield self._answer(shard, item, UNAVAILABLE)
 
     def tick(self, now: float) -> Iterator[Action]:
-        """Write queued claims; refuse those that have waited too long."""
+        """Write queued claims; refuse those that have waited too long.
+
+        Shards that have not been used for `UNUSED_SHARD_TTL_S` are removed from memory.
+        """
         for shard in self.shards.values():
             overdue = [
                 it for it in shard.waiting if now - it.received_at > MAX_CLAIM_WAIT_S
@@ -389,7 +435,8 @@
                 and not shard.call_id
                 and now - shard.used_at > UNUSED_SHARD_TTL_S
             ):
-                # The claims take no memory until the shard is read for its next use.
+                # The claims of the shard take no memory until its next use, for which
+                # it is read again.
                 shard.unload()
                 shard.head = {}
                 shard.segments = {}
--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -14,13 +14,19 @@
 from .randomness import RandomSource
 from .servers import ANSWERED, ServerTable
 
+# Time for which a permit is valid after it was granted or last renewed.
 LEASE_S = 5.0
+# Maximum time for which a new keeper waits for the reports of held permits.
 RECOVERY_S = 1.0
+# Defaults of `KeeperPolicy`.
 ACCEPT_QUANTILE = 0.9
 QUEUE_WAIT_FRACTION = 0.5
+# Minimum retry time before the jitter, and maximum retry time after it.
 MIN_RETRY_AFTER_S = 0.5
 MAX_RETRY_AFTER_S = 30.0
+# Weight of the latest rate in the decaying mean of arriving requests per second.
 DEMAND_GAIN = 0.2
+# A permit id consists of the keeper's term and a sequence number of this many bits.
 PERMIT_SEQUENCE_BITS = 24
 
 
@@ -28,8 +34,8 @@
 class QueuedRequest:
     """A request in the queue that all hosts share.
 
-    `exclude` holds the backend servers to skip, where the request failed or could not
-    start before.
+    `exclude` holds the ids of the backend servers to skip, where the request failed or
+    could not start before.
     """
 
     host_id: str
@@ -41,7 +47,10 @@
 
 @dataclass(slots=True)
 class Permit:
-    """The right of a host to use one slot of a backend server until `expires`."""
+    """The right of a host to use one slot of a backend server until `expires`.
+
+    `request_id` is empty if the permit was adopted from a host's report or renewal.
+    """
 
     host_id: str
     server_id: str
@@ -92,6 +101,13 @@
         Source of the jitter in retry times.
     policy : KeeperPolicy, optional
         Admission settings.
+
+    Attributes
+    ----------
+    limit : float
+        Slots of the region that the configuration allows to use at a time.
+    demand_rate : float
+        Decaying mean of the requests that arrive per second.
     """
 
     __slots__ = (
@@ -139,12 +155,19 @@
         self._rate_window_start = 0.0
 
     def start(self, holders: list[str], now: float) -> Iterator[Reply]:
-        """Ask every live host which slots its requests occupy.
+        """Ask all hosts that are not down which slots their requests occupy.
 
         Guards against overload after a crash of the predecessor: its permits are still
         in use, and granting their slots again would overfill the backend servers, which
-        then shed requests. No slot is granted until each host has answered, or until
-        `RECOVERY_S` has passed for one that cannot answer.
+        then shed requests. No slot is granted until each host has answered or is
+        reported down, or until `RECOVERY_S` has passed for one that cannot answer.
+
+        Parameters
+        ----------
+        holders : list of str
+            Ids of these hosts, leaving ones included.
+        now : float
+            Monotonic time in seconds.
         """
         self._rate_window_start = now
         self._awaited_hosts = set(holders)
@@ -160,7 +183,10 @@
     def on_held(
         self, host_id: str, report: msg.HeldReport, now: float
     ) -> Iterator[Reply]:
-        """Adopt the permits that a host reports as held."""
+        """Adopt the permits that a host reports as held.
+
+        A report for another term is ignored.
+        """
         if report.term != self.term:
             return
         for server_id, permit_id in report.held:
@@ -170,10 +196,10 @@
         yield from self.dispatch(now)
 
     def host_down(self, host_id: str, now: float) -> Iterator[Reply]:
-        """Drop the queued requests of a host that is down; its permits expire.
+        """Drop the queued requests of a host that is considered down.
 
-        The host's connections to backend servers broke with it, but its requests may
-        still run there, so their slots stay taken until the leases end.
+        If the host has crashed, its connections to backend servers are closed, but its
+        requests may still run there, so their slots stay taken until the leases end.
         """
         self.queue = deque(item for item in self.queue if item.host_id != host_id)
         self._awaited_hosts.discard(host_id)
@@ -182,7 +208,11 @@
     def acquire(
         self, host_id: str, message: msg.Acquire, now: float
     ) -> Iterator[Reply]:
-        """Grant a permit, or queue the request, or refuse it if it would be late."""
+        """Grant a permit, or queue the request, or refuse it.
+
+        A request is refused if it would be late, or if the region has no usable slot.
+        One that is queued already stays in its place.
+        """
         if self._is_queued(host_id, message.request_id):
             # The host asks again because it cannot know that its first message arrived.
             # The reply to the first one is enough; queueing the request again would
@@ -236,6 +266,7 @@
     def _refusal_reason(
         self, item: QueuedRequest, remaining_s: float, now: float
     ) -> str:
+        """Return why not to queue a request, or an empty string."""
         capacity = self._capacity(now)
         if capacity < 1:
             return "" if self.recovering(now) else "no-capacity"
@@ -250,7 +281,10 @@
         return ""
 
     def expected_wait(self, waiting: int, capacity: float) -> float:
-        """Return the time in seconds until `waiting` queued requests have started."""
+        """Return the expected wait in seconds of a request behind `waiting` others.
+
+        `capacity` is the number of slots that the queue shares.
+        """
         return (waiting + 1) * self.service_times.mean_s / max(1.0, capacity)
 
     def _min_remaining_s(self) -> float:
@@ -267,10 +301,11 @@
         return Reply(item.host_id, denied)
 
     def retry_after(self, now: float) -> float:
-        """Return after how many seconds to retry: backlog times overload, jittered.
+        """Return the jittered time in seconds after which a refused caller may retry.
 
-        Without the jitter all refused callers of an hourly surge would return at the
-        same moment and find the queue full again.
+        It is the expected wait times the overload, which is the demand divided by the
+        capacity. Without the jitter all refused callers of an hourly surge would return
+        at the same moment and find the queue full again.
         """
         capacity = max(1.0, self._capacity(now))
         backlog = self.expected_wait(len(self.queue), capacity)
@@ -279,7 +314,10 @@
         return min(MAX_RETRY_AFTER_S, base * self._rng.uniform(0.5, 1.5))
 
     def dispatch(self, now: float) -> Iterator[Reply]:
-        """Grant free slots from the queue's head; refuse what would be late."""
+        """Refuse late requests at the queue's head, then grant free slots in order.
+
+        A request keeps its place if only servers that it excludes have a free slot.
+        """
         yield from self._refuse_late_at_head(now)
         if self.recovering(now):
             return
@@ -315,10 +353,11 @@
             yield self._denied(self.queue.popleft(), "deadline", now)
 
     def _refuse_late(self, now: float) -> Iterator[Reply]:
-        """Refuse requests that would miss their deadline in the whole queue.
+        """Refuse all queued requests that would miss their deadline.
 
-        Deadlines differ, so such a request may be queued behind others. This runs once
-        a tick, since a pass over the whole queue costs more than a grant.
+        Deadlines differ, so such a request may be queued behind requests with later
+        deadlines. This runs once a tick, since a pass over the whole queue costs more
+        than a grant.
         """
         min_remaining_s = self._min_remaining_s() if self.policy.accept_test else 0.0
         late = [item for item in self.queue if item.deadline - now < min_remaining_s]
@@ -363,7 +402,11 @@
         yield from self.dispatch(now)
 
     def reuse(self, host_id: str, message: msg.Reuse, now: float) -> None:
-        """Record that a host uses a permit for another of its waiting requests."""
+        """Record that a host uses a permit for another of its waiting requests.
+
+        The request that used the permit before was answered. The other request leaves
+        the queue, and the lease is renewed.
+        """
         self.service_times.add(message.service_s)
         self.servers.record_result(message.server_id, ANSWERED, now)
         self.withdraw(host_id, message.request_id)
@@ -374,8 +417,9 @@
     def renew(self, host_id: str, held: list[tuple[str, int]], now: float) -> None:
         """Extend the leases of running requests; adopt unknown permits.
 
-        A lease can expire while the process of its host is paused. The request may
-        still run, so a renewal of an expired permit takes its slot again.
+        `held` holds pairs of a server id and a permit id. A lease can expire while the
+        process of its host is paused. The request may still run, so a renewal of an
+        expired permit takes its slot again.
         """
         for server_id, permit_id in held:
             permit = self.permits.get(permit_id)
@@ -392,7 +436,10 @@
                 return
 
     def tick(self, now: float) -> Iterator[Reply]:
-        """End expired leases, update the demand rate and grant free slots."""
+        """End expired leases, refuse late requests and grant free slots.
+
+        The demand rate is updated in between.
+        """
         expired = [
             permit_id
             for permit_id, permit in self.permits.items()
@@ -414,7 +461,11 @@
         self._rate_window_start = now
 
     def load(self, now: float) -> msg.RegionLoad:
-        """Return the region's load for the planner; the limit counts usable slots."""
+        """Return the region's load for the planner.
+
+        The requests in flight are the permits in use, and the limit counts only slots
+        of usable servers.
+        """
         return msg.RegionLoad(
             self.service,
             self.region,
--- a/lacewingcross/core/keeper_set.py
+++ b/lacewingcross/core/keeper_set.py
@@ -8,6 +8,8 @@
 from .membership import DOWN
 from .view import View
 
+# The period of load reports is the larger of this time and of
+# `LOAD_REPORT_S_PER_REGION` for each region of the service that has most.
 MIN_LOAD_REPORT_PERIOD_S = 0.5
 LOAD_REPORT_S_PER_REGION = 0.03
 
@@ -35,7 +37,10 @@
         self.keepers: dict[KeeperKey, SlotKeeper] = {}
 
     def review(self, now: float) -> Iterator[Action]:
-        """Start the keepers that this host should run and stop all others."""
+        """Start the keepers that this host should run and stop all others.
+
+        The servers, the leaving servers and the limits of all keepers are updated.
+        """
         view = self._view
         own = view.own.host_id
         wanted: set[KeeperKey] = set()
@@ -58,7 +63,7 @@
         view = self._view
         self._term_count += 1
         # The term is unique over hosts and incarnations: the incarnation is random,
-        # and the low bits count the terms of this host.
+        # and the low eight bits count the terms of this host, modulo 256.
         term = (view.incarnation << 8) + self._term_count % 256
         keeper = SlotKeeper(*key, term, view.rng, self._policy)
         self.keepers[key] = keeper
@@ -86,7 +91,11 @@
     def on_message(
         self, host_id: str, message: msg.Message, now: float
     ) -> Iterator[Action]:
-        """Pass a message to its keeper; refuse permits if this host does not run it."""
+        """Pass a message to its keeper.
+
+        If this host does not run the keeper, a request for a permit is refused and any
+        other message is ignored.
+        """
         keeper = self.keepers.get((message.service, message.region))
         if keeper is None:
             if isinstance(message, msg.Acquire):
@@ -111,7 +120,7 @@
         )
 
     def host_down(self, host_id: str, now: float) -> Iterator[Action]:
-        """Report to every keeper that a host is down."""
+        """Report to every keeper that the connection to a host broke."""
         for keeper in self.keepers.values():
             yield from self._send(keeper.host_down(host_id, now))
 
@@ -129,7 +138,10 @@
             yield from self._send(keeper.dispatch(now))
 
     def leaving(self) -> list[tuple[str, int]]:
-        """Return the requests in flight at each leaving backend server."""
+        """Return name and permits in use of each leaving backend server.
+
+        The name is ``service/server``.
+        """
         return [
             (f"{service}/{server_id}", state.granted)
             for (service, _), keeper in self.keepers.items()
@@ -138,7 +150,10 @@
         ]
 
     def loads(self, now: float) -> list[tuple[str, int, int, float]]:
-        """Return name, in flight, queued and limit of each service and region kept."""
+        """Return name, permits in use, queued requests and limit for each keeper.
+
+        The name is ``service/region``, and the limit is in slots.
+        """
         loads = (keeper.load(now) for keeper in self.keepers.values())
         return [
             (f"{load.service}/{load.region}", load.in_flight, load.queued, load.limit)
@@ -146,10 +161,11 @@
         ]
 
     def _report_period_s(self) -> float:
-        """Return the time between load reports, which grows with the regions.
+        """Return the time between load reports in seconds.
 
-        All keepers of a service report to one planner, and its share of the control
-        traffic limits how many reports it can receive in a second.
+        It grows with the number of regions of the service that has most. All keepers of
+        a service report to one planner, and its share of the control traffic limits how
+        many reports it can receive in a second.
         """
         pools = self._view.config.pools.values()
         regions = max((len(pool.by_region) for pool in pools), default=0)
--- a/lacewingcross/core/plan.py
+++ b/lacewingcross/core/plan.py
@@ -17,13 +17,16 @@
 
 
 def bucket_of(service: str, caller: str) -> int:
-    """Return the bucket of a caller, the same on every host."""
+    """Return the index of a caller's bucket, the same on every host."""
     return hash64(service, caller) % BUCKETS
 
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """An entry of the ledger: how many buckets of each group were moved, and why."""
+    """An entry of the ledger: how many buckets of each group were moved, and why.
+
+    `moved` holds the number of moved buckets by group.
+    """
 
     move_id: str
     moved: dict[str, int]
@@ -129,7 +132,8 @@
     Returns
     -------
     counts : Counter
-        Sums to `BUCKETS`; empty when no weight is above zero.
+        Number of buckets by the keys of `weights`. The numbers add up to `BUCKETS`;
+        empty when no weight is above zero.
     """
     total = sum(weight for weight in weights.values() if weight > 0)
     if total <= 0:
@@ -152,7 +156,16 @@
 def move_towards(
     table: list[str], target: Mapping[str, int], budget: int
 ) -> tuple[list[str], int]:
-    """Move at most `budget` buckets so that the counts come closer to `target`.
+    """Return a table with at most `budget` buckets moved, closer to `target`.
+
+    Parameters
+    ----------
+    table : list of str
+        The region of each bucket.
+    target : mapping of str to int
+        Wanted number of buckets in each region.
+    budget : int
+        Maximum number of buckets to move.
 
     Returns
     -------
--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -1,7 +1,7 @@
 """The planner of a service: moves buckets of callers between regions.
 
-A step moves no more buckets than the shift cap allows within its window, and no more
-than the receiving regions have room for.
+A step moves no more buckets of a client group than the shift cap allows within its
+window, and no more than the receiving regions have room for.
 """
 
 import math
@@ -20,15 +20,25 @@
 )
 from .resources import BackendPool, ClientGroup, ShiftCap, SteeringPolicy
 
+# Age after which the load report of a region is no longer used.
 MAX_REPORT_AGE_S = 4.0
+# Weight of the latest load report in the decaying mean of a region's demand.
 DEMAND_MEAN_GAIN = 0.3
+# Utilisation above which buckets move away from a region.
 HOT_UTILISATION = 0.95
+# Utilisation below which a region may receive buckets of a hot region.
 COOL_UTILISATION = 0.7
+# Maximum utilisation at which a region may receive buckets by a change of policy.
 RETURN_UTILISATION = 0.6
+# Fraction of a region's limit up to which a step may fill the region.
 MAX_FILL_FRACTION = 0.85
+# Time after a step from which load reports are taken to show it.
 SETTLE_S = 1.0
+# Time for which a region has to report no usable server until it is considered lost.
 REGION_LOST_S = 2.0
+# Maximum number of buckets of a client group that a step moves away from a hot region.
 HEADROOM_STEP_BUCKETS = 20
+# Number of moves in the ledger at which no further bucket is moved.
 MAX_LEDGER_MOVES = 500
 
 
@@ -46,7 +56,8 @@
         Decaying mean of the demand in slots. A single reading of a pool of a few slots
         jumps between idle and full, and on its own would shift traffic needlessly.
     zero_since : float or None
-        Since when the reported limit is zero; None while it is above zero.
+        Since when the reported limit is zero, on the same clock; None while the limit
+        is above zero.
     """
 
     load: msg.RegionLoad
@@ -55,7 +66,7 @@
     zero_since: float | None = None
 
     def demand(self) -> float:
-        """Return the slots in use or asked for: the larger of mean and last reading."""
+        """Return the slots in use or requested: the larger of mean and latest value."""
         return max(self.mean, _demand(self.load))
 
     def utilisation(self) -> float:
@@ -110,7 +121,9 @@
     regions : dict of str to RegionView
         The last load report of each region.
     hold_reason : str
-        Why the last step held back a move; empty if it held back none.
+        Why the last step held back a move: ``stale``, ``receiver-busy``,
+        ``no-headroom`` or ``ledger-full``. Empty if it held back none, or if only the
+        cap or the room of the receiving regions held it back.
     """
 
     service: str
@@ -152,7 +165,7 @@
         self.regions[load.region] = RegionView(load, now, mean, zero_since)
 
     def lost(self, now: float) -> frozenset[str]:
-        """Return the regions whose keeper has reported no usable server for a while.
+        """Return the regions without a usable server for `REGION_LOST_S`, by reports.
 
         A region without fresh reports is not considered lost: missing reports prove
         nothing, and no traffic is moved because of them.
@@ -166,7 +179,7 @@
         )
 
     def counted_moves(self, plan: Plan, cap: ShiftCap, now: float) -> tuple[Move, ...]:
-        """Return the moves that still count against the cap."""
+        """Return the moves of the ledger that still count against the cap."""
         return tuple(
             move
             for move in plan.ledger
@@ -174,12 +187,15 @@
         )
 
     def budget(self, moves: tuple[Move, ...], cap: ShiftCap, group: str) -> int:
-        """Return how many buckets of `group` may still move in this window."""
+        """Return how many buckets of `group` may still move in this window.
+
+        `moves` are the moves that count against the cap.
+        """
         spent = sum(move.moved.get(group, 0) for move in moves)
         return max(0, math.floor(cap.fraction * BUCKETS + 1e-9) - spent)
 
     def step(self, plan: Plan | None, inputs: PlannerInput, now: float) -> Step | None:
-        """Return the next plan, or None if nothing should change."""
+        """Return the next plan, or None if nothing should change or may move now."""
         if plan is None:
             return self._first_plan(inputs)
         self.hold_reason = ""
@@ -231,7 +247,11 @@
         moved: dict[str, int],
         cause: str,
     ) -> Step | None:
-        """Return a step to the new tables, or None if the ledger has no room."""
+        """Return a step to the new tables, or None if the ledger has no room.
+
+        A step that moves no bucket, since it only adds or removes client groups, needs
+        no room in the ledger.
+        """
         if not moved:
             return Step(Plan(self.service, tables, moves), cause)
         if len(moves) >= MAX_LEDGER_MOVES:
@@ -249,17 +269,22 @@
         return Step(Plan(self.service, tables), "first")
 
     def _initial_table(self, group: ClientGroup, inputs: PlannerInput) -> list[str]:
+        """Return a group's first table.
+
+        It does not avoid drained and lost regions; later steps empty these.
+        """
         return fresh_table(self._base_counts(group, inputs, frozenset()))
 
     def _base_counts(
         self, group: ClientGroup, inputs: PlannerInput, avoid: frozenset[str]
     ) -> Counter[str]:
-        """Return the wanted buckets of each region, none in the avoided regions.
+        """Return the wanted number of buckets in each region, outside of `avoid`.
 
-        They are split by the group's weights. If no region with a weight is left, all
-        go to the first failover region that is left, else they are split by the limits
-        of the regions that are left. If there are none, all go to the first region by
-        name of the group's weights.
+        The buckets are split by the group's weights. If no region with a weight is
+        left, all buckets go to the first failover region that is left, else they are
+        split by the limits of the regions that are left. If no region with a limit is
+        left either, all buckets go to the first region by name of the group's weights,
+        even if it is in `avoid`.
         """
         usable = [reg for reg in inputs.pool.regions() if reg not in avoid]
         weights = {
@@ -287,7 +312,12 @@
         inputs: PlannerInput,
         now: float,
     ) -> tuple[Counter[str], str]:
-        """Return the wanted buckets of each region for this step, and the cause."""
+        """Return the wanted number of buckets in each region, and the cause.
+
+        The first rule that applies decides: drained and lost regions are emptied, a hot
+        region is relieved, or the buckets follow the policy if the receiving regions
+        have room.
+        """
         avoid = inputs.drained | inputs.lost
         base = self._base_counts(group, inputs, avoid)
         if avoid & set(current):
@@ -303,7 +333,11 @@
     def _empty_regions(
         self, current: Counter[str], base: Counter[str], avoid: frozenset[str]
     ) -> Counter[str]:
-        """Empty the avoided regions; buckets in other regions stay where they are."""
+        """Return the counts with the avoided regions emptied in proportion to `base`.
+
+        The buckets in other regions stay where they are. The remainder of the division
+        goes to the region that gains most.
+        """
         leaving = sum(current[region] for region in avoid)
         target = Counter({reg: num for reg, num in current.items() if reg not in avoid})
         gains = apportion(base)
@@ -321,7 +355,11 @@
         return view
 
     def _hottest_region(self, current: Counter[str], now: float) -> str | None:
-        """Return the hottest region of the group, judged by fresh reports only."""
+        """Return the region with the highest utilisation above `HOT_UTILISATION`.
+
+        The result is None if there is none. Only fresh reports of regions that have
+        buckets of the group count.
+        """
         hottest = None
         utilisation = HOT_UTILISATION
         for region in current:
@@ -334,7 +372,11 @@
     def _relieve_hot(
         self, current: Counter[str], hot: str, inputs: PlannerInput, now: float
     ) -> Counter[str]:
-        """Move a few buckets from the hot region to the coolest one."""
+        """Return the counts after a small step from the hot region to the coolest one.
+
+        If no region is below `COOL_UTILISATION`, the counts stay and `hold_reason` is
+        set.
+        """
         coolest = None
         utilisation = COOL_UTILISATION
         for region in inputs.pool.regions():
@@ -356,7 +398,10 @@
     def _receivers_have_room(
         self, current: Counter[str], base: Counter[str], now: float
     ) -> bool:
-        """Return whether every region that would gain buckets has room for them."""
+        """Return whether every region that would gain buckets is known to have room.
+
+        If not, `hold_reason` is set.
+        """
         for region, count in base.items():
             if count <= current[region]:
                 continue
@@ -369,12 +414,13 @@
     def _room_in_buckets(
         self, plan: Plan, inputs: PlannerInput, now: float
     ) -> dict[str, float]:
-        """Return how many buckets each region could take without overload.
+        """Return how many buckets each region can take up to `MAX_FILL_FRACTION`.
 
-        Guards against a step into room that is already taken, because the load reports
-        are stale or do not show an earlier step yet. A region without a fresh report,
-        or whose report is not at least `SETTLE_S` later than the last step, is given no
-        buckets.
+        The number is negative for a region that is fuller. Guards against a step into
+        room that is already taken, because the load reports are stale or do not show an
+        earlier step yet; the region would be overloaded. A region without a fresh
+        report, or whose report was received less than `SETTLE_S` after this host first
+        saw the last move, is given no buckets.
         """
         buckets = plan.region_buckets()
         demand = 0.0
--- a/lacewingcross/core/planner_set.py
+++ b/lacewingcross/core/planner_set.py
@@ -1,4 +1,7 @@
-"""The planners of this host: all are updated, those it owns write their plans."""
+"""The planners of this host, one for each service.
+
+All are kept up to date; only the planners of services that this host owns write plans.
+"""
 
 from collections.abc import Iterator
 
@@ -10,9 +13,13 @@
 from .resources import PLAN, object_key
 from .view import View
 
+# The period of steps is the larger of this time and of `STEP_S_PER_GROUP` for each
+# group of the service that has most.
 MIN_STEP_PERIOD_S = 1.0
 STEP_S_PER_GROUP = 0.04
+# Time after which a write without a result no longer holds back the next step.
 WRITE_TIMEOUT_S = 10.0
+# Call ids of claims and reports start at other bases, so that all ids differ.
 CALL_ID_BASE = 1 << 40
 
 
@@ -53,23 +60,32 @@
         return planner
 
     def owns_call(self, call_id: int) -> bool:
-        """Return whether a write was made by a planner."""
+        """Return whether a call is a planner's write that has not ended."""
         return call_id in self._calls
 
     def write_ended(self, ended: WriteEnded) -> Iterator[Action]:
-        """Record the end of a plan write; the new plan arrives by the watch."""
+        """Record the end of a plan write.
+
+        The new plan arrives with the configuration, from the platform or another host.
+        """
         service, _ = self._calls.pop(ended.call_id)
         yield Count(f"plan.write-{ended.outcome}")
         yield Log("plan-written", {"service": service, "outcome": ended.outcome})
 
     def _step_period_s(self) -> float:
-        """Return the time between steps, which grows with the groups of a service."""
+        """Return the time between steps in seconds.
+
+        It grows with the number of groups of the service that has most.
+        """
         policies = self._view.config.policies.values()
         groups = max((len(policy.groups) for policy in policies), default=0)
         return max(MIN_STEP_PERIOD_S, STEP_S_PER_GROUP * groups)
 
     def tick(self, now: float) -> Iterator[Action]:
-        """Plan each service that this host owns, once in each step period."""
+        """Plan each service that this host owns, once in each step period.
+
+        Nothing is planned while the configuration is incomplete.
+        """
         if (
             now - self._stepped_at < self._step_period_s()
             or not self._view.config.complete
@@ -99,6 +115,7 @@
             yield from self._write(service, step, now)
 
     def _has_open_write(self, service: str, now: float) -> bool:
+        """Return whether a plan write is under way, for `WRITE_TIMEOUT_S` at most."""
         return any(
             name == service and now - written_at < WRITE_TIMEOUT_S
             for name, written_at in self._calls.values()
--- a/lacewingcross/core/reports.py
+++ b/lacewingcross/core/reports.py
@@ -1,4 +1,8 @@
-"""Status reports for operators: what is in force on a failure domain's hosts."""
+"""Status reports for operators on the hosts of one failure domain.
+
+A report has the states and configuration revisions of the hosts, leaving servers,
+loads, the last refusals and rejected configuration.
+"""
 
 from collections.abc import Iterator
 
@@ -18,7 +22,7 @@
 
 
 class Reporter:
-    """Writes the status of all hosts of this host's failure domain to the platform.
+    """Writes the report on all hosts of this host's failure domain to the platform.
 
     With thousands of hosts, a write of each host for each heartbeat would exceed the
     write rate of the platform, which is the object store that all hosts share. So one
@@ -59,11 +63,14 @@
         self._loads_refreshed_at = float("-inf")
 
     def owns_call(self, call_id: int) -> bool:
-        """Return whether a write was made by the reporter."""
+        """Return whether a call is the reporter's write that has not ended."""
         return call_id == self._call_id != 0
 
     def write_ended(self, ended: WriteEnded) -> None:
-        """Record the version for the next conditional update."""
+        """Record the version for the next conditional update.
+
+        After a failed write the report is written again even if it has not changed.
+        """
         self._call_id = 0
         if ended.outcome in ("ok", "conflict"):
             self._version = ended.version or None
@@ -71,7 +78,10 @@
             self._last_spec = None
 
     def tick(self, now: float) -> Iterator[Action]:
-        """Write the report after a change, or if the last write is long ago."""
+        """Write the report after a change, or if the last write is long ago.
+
+        Only the host that rendezvous hashing chooses for the failure domain writes it.
+        """
         own = self._view.own
         elapsed_s = now - self._written_at
         if self._call_id or elapsed_s < MIN_WRITE_PERIOD_S:
@@ -94,7 +104,10 @@
             yield UpdateObject(self._call_id, key, spec, self._version)
 
     def _refresh_loads(self, now: float) -> None:
-        """Refresh the loads at a low rate only, since they change all the time."""
+        """Refresh the loads every `LOAD_REFRESH_PERIOD_S`.
+
+        The loads change all the time, and each change would lead to a write.
+        """
         if now - self._loads_refreshed_at < LOAD_REFRESH_PERIOD_S:
             return
         self._loads_refreshed_at = now
@@ -109,7 +122,7 @@
         }
 
     def _write_period_s(self, now: float) -> float:
-        """Return the shortest time between two writes.
+        """Return the shortest time between two writes in seconds.
 
         Every failure domain writes after every change. The time grows with the number
         of failure domains, so that all of them stay within the platform's write rate.
--- a/lacewingcross/core/request_state.py
+++ b/lacewingcross/core/request_state.py
@@ -18,7 +18,11 @@
 
 @dataclass(slots=True)
 class HeldPermit:
-    """A permit for a slot of a backend server, used by one request at a time."""
+    """A permit for a slot of a backend server, used by one request at a time.
+
+    `keeper` is the host that gets the release, and `reuses` the number of times that
+    the permit was passed on to another request.
+    """
 
     permit_id: int
     server_id: str
@@ -35,8 +39,21 @@
     deadline, give_up_at : float
         When the caller times out, and the earlier time at which a request without an
         attempt under way is refused, in seconds on the monotonic clock.
+    region : str
+        Region whose slots the request uses.
+    repeatable : bool
+        Whether running the request twice does no harm.
+    keeper : str
+        Host that was asked last: the keeper of the region's slots, or in the phase
+        `CLAIM` the owner of the key's shard.
+    asked_at, ask_again_at, resume_at : float
+        When the claim or the permit was last requested anew, when the request for the
+        permit is repeated, and when the phase `PAUSE` is over, in seconds on the
+        monotonic clock.
+    attempt, attempts : Attempt or None, int
+        The current or last attempt, and the number of attempts so far.
     exclude : set of str
-        Backend servers to avoid in further attempts.
+        Ids of the backend servers to avoid in further attempts.
     key_hash, claim : str
         Hash of the idempotency key and id of its claim; empty without a claim.
     may_have_run : bool
--- a/lacewingcross/core/requests.py
+++ b/lacewingcross/core/requests.py
@@ -28,10 +28,17 @@
 from .waiting_requests import WaitingRequests
 
 LEASE_RENEWAL_PERIOD_S = 1.0
+# Silence of a keeper after which a waiting request uses this host's fixed share. An
+# attempt without a new grant, by the fixed share or a reused permit, must start within
+# this time as well.
 KEEPER_SILENCE_TIMEOUT_S = 0.9
+# Time after which a permit is requested again when the host asked was not the keeper.
 NOT_KEEPER_RETRY_DELAY_S = 0.05
+# Time without an answer after which a claim or a request for a permit is sent again.
 REPEAT_ASK_AFTER_S = 2.0
+# Number of times in a row that a permit is passed on to another request.
 MAX_REUSES = 3
+# Service time above which a permit is released and not passed on.
 MAX_REUSE_SERVICE_TIME_S = 1.0
 # A refusal sent at the deadline would arrive after the caller has timed out, and the
 # caller could not know that nothing ran. Refusals are sent earlier, by the smaller of
@@ -40,6 +47,7 @@
 REFUSAL_MARGIN_FRACTION = 0.1
 # An attempt must start within this fraction of its permit's lease.
 LEASE_START_FRACTION = 0.5
+# Range of the random retry time of refusals that no keeper has made.
 RETRY_AFTER_RANGE_S = (0.5, 2.0)
 
 _RELEASE_RESULTS = {
@@ -67,6 +75,13 @@
         Shared state.
     claims : ClaimKeeper
         Finds the host that owns each shard of idempotency keys.
+
+    Attributes
+    ----------
+    requests : dict of str to RequestState
+        The open requests by id.
+    last_refusals : dict of str to str
+        Reason of the last refusal of an open request, by service.
     """
 
     __slots__ = (
@@ -96,7 +111,7 @@
         return self.requests.get(state.req.request_id) is state
 
     def arrived(self, req: RequestArrived, now: float) -> Iterator[Action]:
-        """Open a request, or refuse it immediately."""
+        """Open a request and ask for a claim or a permit, or refuse it immediately."""
         view = self._view
         if not view.config.complete:
             yield from self._refuse_on_arrival(req, 503, "no-config")
@@ -144,9 +159,9 @@
         return state
 
     def _review_claim(self, state: RequestState, now: float) -> Iterator[Action]:
-        """Send the claim again if the shard's owner changed or its answer may be lost.
+        """Send the claim again if the shard's owner changed or the answer may be lost.
 
-        The claim keeps its id, so that a repeated claim is not taken for a duplicate.
+        The claim keeps its id, so that a repeated claim is not considered a duplicate.
         """
         if (
             self._key_claims.owner_moved(state, now)
@@ -164,8 +179,9 @@
         if ended.outcome == CLAIMED:
             yield from self._request_permit(state, now)
         elif ended.outcome == TAKEN:
-            # The request that holds the key may have run. This copy did not, but the
-            # outcome "not run" would invite the caller to book again under a new key.
+            # The request that holds the key may have run. This copy of it did not, but
+            # the outcome "not run" would invite the caller to book again under a new
+            # key.
             state.key_hash = ""
             yield from self._finish(state, 409, UNKNOWN, "duplicate-key", now)
         else:
@@ -245,7 +261,11 @@
         )
 
     def denied(self, host_id: str, denial: msg.Denied, now: float) -> Iterator[Action]:
-        """Refuse the request as the keeper did, or look for the right keeper."""
+        """Refuse the request as the keeper did, or ask again after a short pause.
+
+        The pause is for a denial by a host that is not the keeper; the request then
+        goes to the host that should be the keeper by that time.
+        """
         state = self.requests.get(denial.request_id)
         if state is None or state.phase is not Phase.PERMIT:
             return
@@ -275,7 +295,9 @@
     def _next_for_permit(
         self, state: RequestState, ended: AttemptEnded, now: float
     ) -> RequestState | None:
-        """Return the oldest waiting request that can use the permit next, or None.
+        """Take the oldest waiting request out of its queue if it can use the permit.
+
+        The result is None if the permit must be released instead.
 
         A slot is idle while its permit is released to the keeper and granted again. At
         a service time of 20 ms that costs several percent of the pool's capacity.
@@ -312,7 +334,10 @@
         yield from self._start(successor, KEEPER_SILENCE_TIMEOUT_S, now)
 
     def held(self, service: str, region: str) -> list[tuple[str, int]]:
-        """Return backend server and permit of every slot in use."""
+        """Return (server id, permit id) of each permit that this host's requests hold.
+
+        Only permits for the service and the region are included.
+        """
         return [
             (state.held.server_id, state.held.permit_id)
             for state in self.requests.values()
@@ -322,7 +347,10 @@
         ]
 
     def first_byte(self, request_id: str, attempt_number: int) -> None:
-        """Record that the backend server may run the request from now on."""
+        """Record that the backend server may run the request from now on.
+
+        Here and in `head_forwarded`, an attempt that is not the current one is ignored.
+        """
         attempt = self._attempt(request_id, attempt_number)
         if attempt is not None:
             attempt.first_byte_written()
@@ -344,7 +372,7 @@
         return state.attempt
 
     def attempt_ended(self, ended: AttemptEnded, now: float) -> Iterator[Action]:
-        """Free the permit, then decide: done, retry, refuse, unknown or abort."""
+        """Release the permit or pass it on, then act on the verdict on the request."""
         state = self.requests.get(ended.request_id)
         attempt = self._attempt(ended.request_id, ended.attempt)
         if state is None or attempt is None:
@@ -401,7 +429,7 @@
 
         Guards against a false "not run": the first attempt of a read loses its
         response and the second attempt is refused. "Not run" would be true of the
-        second attempt, but not of the request.
+        second attempt, but not of the request. The outcome is "unknown" instead.
         """
         self.last_refusals[state.req.service] = reason
         if state.may_have_run:
@@ -429,7 +457,10 @@
         self.requests.pop(state.req.request_id, None)
 
     def cancelled(self, request_id: str, now: float) -> Iterator[Action]:
-        """Stop a request whose caller has disconnected, as far as it can be stopped."""
+        """Stop a request whose caller has disconnected.
+
+        A request with an attempt under way ends when the cancelled attempt does.
+        """
         state = self.requests.get(request_id)
         if state is None:
             return
@@ -448,7 +479,7 @@
         yield SendPeer(state.keeper, withdrawal)
 
     def tick(self, now: float) -> Iterator[Action]:
-        """End overdue requests, follow keeper changes and renew leases."""
+        """End overdue requests, ask again where necessary and renew leases."""
         yield from self._end_overdue(now)
         self._waiting.sweep()
         for state in list(self.requests.values()):
@@ -489,7 +520,12 @@
         yield from self._refuse(state, "deadline", self._retry_after_s(), now)
 
     def _review_permit_wait(self, state: RequestState, now: float) -> Iterator[Action]:
-        """Ask the new keeper after a change; use the fixed share if it is silent."""
+        """Ask for the permit again, or use the fixed share.
+
+        After a change of keeper, the new keeper is asked. Without a reply for
+        `REPEAT_ASK_AFTER_S`, the same keeper is asked again. The fixed share is used if
+        the keeper is silent.
+        """
         view = self._view
         keeper = view.keeper_of(state.req.service, state.region, now)
         if keeper != state.keeper:
@@ -498,8 +534,8 @@
             yield from self._request_permit(state, now)
             return
         if now >= state.ask_again_at:
-            # The message to the keeper or its reply may have been lost with a
-            # connection. The keeper recognises a repeated one by its request id.
+            # The message to the keeper or the keeper's reply may have been lost with a
+            # connection. The keeper recognises a repeated message by its request id.
             yield Count("retries.ask-again")
             yield self._send_acquire(state, now)
             return
@@ -508,7 +544,10 @@
             yield from self._use_fixed_share(state, now)
 
     def _use_fixed_share(self, state: RequestState, now: float) -> Iterator[Action]:
-        """Start without a keeper's permit, within this host's fixed share."""
+        """Start an attempt without a keeper's permit, if the fixed share has room.
+
+        The fixed share is this host's share of the region's slots, see `FixedShare`.
+        """
         in_use = self.held(state.req.service, state.region)
         held = self._fixed_share.take(state, in_use, now)
         if held is None:
--- a/lacewingcross/core/servers.py
+++ b/lacewingcross/core/servers.py
@@ -5,12 +5,19 @@
 
 from .resources import BackendServer
 
+# Length of the slow start, in which a server's slots grow from one to all.
 RAMP_S = 5.0
+# Number of failures in a row that ejects a server.
 FAILURES_TO_EJECT = 3
+# Weight of the latest result in a server's failure rate.
 FAILURE_GAIN = 0.1
+# Length of the first ejection of a server; each further ejection doubles it.
 EJECTION_BASE_S = 1.0
 MAX_EJECTION_S = 30.0
+# Maximum fraction of the pool that is ejected for failed responses at a time.
 MAX_EJECTED_FRACTION = 0.5
+# The back-off is twice this time after one shed request; each further one in a row
+# doubles it.
 SHED_BACKOFF_BASE_S = 0.02
 MAX_SHED_BACKOFF_S = 1.0
 
@@ -27,12 +34,22 @@
 
     Attributes
     ----------
-    ramp_started_at : float
-        Start of the slow start, in seconds on the monotonic clock.
+    ramp_started_at, ramp_s : float
+        Start of the slow start, in seconds on the monotonic clock, and its length.
     granted : int
-        Permits in use.
+        Number of permits in use.
+    leaving : bool
+        Whether the server gets no new requests because it is drained or leaving.
+    failure_rate : float
+        Decaying fraction of the attempts that failed, from 0 to 1.
+    consecutive_failures, ejections, consecutive_sheds : int
+        Number of failures since the last answered request, of ejections so far, and of
+        shed requests since the last answered request.
+    ejected_until, backoff_until : float
+        End of the last ejection, and of the last back-off after a shed request.
     probing : bool
-        Whether the server gets one slot to test it after an ejection.
+        Whether the server was given a request to test it after an ejection, and has not
+        answered one since; it gets one slot.
     unreachable : bool
         Whether the server accepted no connection when it was last tried, by a request
         or by a health probe.
@@ -53,7 +70,11 @@
     backoff_until: float = 0.0
 
     def capacity(self, now: float) -> int:
-        """Return the slots that may be used at `now`, fewer during a slow start."""
+        """Return the slots that may be used at `now`, in use or not.
+
+        There are fewer during a slow start, and one while the server is tested after an
+        ejection.
+        """
         slots = self.declared.max_concurrent
         if self.probing or self.on_probation:
             return 1
@@ -64,21 +85,27 @@
 
     @property
     def on_probation(self) -> bool:
-        """Return whether it was ever ejected and has failed since its last response."""
+        """Return whether the server was ever ejected and last failed.
+
+        It last failed if a request has failed since it last answered one.
+        """
         return self.ejections > 0 and self.consecutive_failures > 0
 
     def usable(self, now: float) -> bool:
-        """Return whether the server may be given new requests at `now`."""
+        """Return whether the server is neither leaving, unreachable nor ejected.
+
+        A usable server may still be without a free slot, or in a back-off.
+        """
         return not (self.leaving or self.unreachable) and now >= self.ejected_until
 
     def free_slots(self, now: float) -> int:
-        """Return how many permits could be granted at `now`."""
+        """Return how many permits could be granted at `now`; none if not above 0."""
         if not self.usable(now) or now < self.backoff_until:
             return 0
         return self.capacity(now) - self.granted
 
     def score(self, now: float) -> float:
-        """Return the cost of choosing the server; full and failing ones cost more.
+        """Return the cost of choosing the server; full and failing servers cost more.
 
         The failure rate counts so that a server that fails fast, and so always looks
         idle, does not attract the traffic of the whole pool.
@@ -89,7 +116,11 @@
 
 @dataclass(slots=True)
 class ServerTable:
-    """The backend servers of one service in one region."""
+    """The backend servers of one service in one region.
+
+    `ramp_s` is the length of the slow start in seconds, and `started` whether servers
+    have been declared before.
+    """
 
     ramp_s: float = RAMP_S
     states: dict[str, ServerState] = field(default_factory=dict)
@@ -101,8 +132,8 @@
         """Update the table to the declared pool and the set of leaving servers.
 
         Servers of the first declaration are considered warm, which means that their
-        caches are filled. Those that are added or return later start slowly, since
-        their caches are cold.
+        caches are filled. A server that is added later, is no longer leaving, or has a
+        new address starts slowly, since its caches are cold.
         """
         declared = {server.server_id: server for server in servers}
         for server_id in [key for key in self.states if key not in declared]:
@@ -125,12 +156,15 @@
         state.leaving = leaving
 
     def total_capacity(self, now: float) -> int:
-        """Return the usable slots of all servers at `now`."""
+        """Return the slots of all usable servers at `now`, in use or not."""
         usable = (state for state in self.states.values() if state.usable(now))
         return sum(state.capacity(now) for state in usable)
 
     def pick(self, now: float, exclude: frozenset[str]) -> ServerState | None:
-        """Return the cheapest server with a free slot, or None."""
+        """Return the cheapest server with a free slot outside of `exclude`, or None.
+
+        If it is on probation, it is marked as probing.
+        """
         best = None
         best_score = 0.0
         for server_id, state in self.states.items():
@@ -163,8 +197,8 @@
     def record_reachable(self, server_id: str, now: float) -> None:
         """Record that a health probe reached a server that accepted no connection.
 
-        The probe only makes the server usable again. Its failures count until it
-        responds to a request.
+        The server becomes usable again and starts slowly. Its failures are not reset
+        until it answers a request; until then it gets one slot, since it was ejected.
         """
         state = self.states.get(server_id)
         if state is not None and state.unreachable:
@@ -185,8 +219,9 @@
 
     def _record_shed(self, state: ServerState, now: float) -> None:
         # A server sheds a request if another keeper uses slots that this one counts as
-        # free, such as while hosts disagree on who keeps the region. A back-off leaves
-        # the slots to that keeper; another request now would only be shed as well.
+        # free, such as while hosts disagree on which host keeps the region's slots. A
+        # back-off leaves the slots to that keeper; another request now would only be
+        # shed as well.
         state.consecutive_sheds += 1
         backoff_s = SHED_BACKOFF_BASE_S * 2 ** min(state.consecutive_sheds, 10)
         state.backoff_until = now + min(MAX_SHED_BACKOFF_S, backoff_s)
@@ -205,13 +240,13 @@
         return True
 
     def _may_eject(self, now: float) -> bool:
-        """Return whether one more server of the pool may be ejected for failures.
+        """Return whether one more server may be ejected for failed responses.
 
         Guards against ejecting all servers when the requests themselves or the hosts'
         network are at fault and every server appears to fail: all requests would then
         be refused. At most `MAX_EJECTED_FRACTION` of the pool is ejected for failed
         responses. Servers that accept no connection are not counted as ejected and may
-        all be left out, since nothing can run there.
+        all be excluded, since no request can run there.
         """
         reachable_states = [st for st in self.states.values() if not st.unreachable]
         ejected = sum(1 for st in reachable_states if now < st.ejected_until)
