--- a/lacewingcross/core/servers.py
+++ b/lacewingcross/core/servers.py
@@ -85,9 +85,9 @@
 
     @property
     def on_probation(self) -> bool:
-        """Return whether the server was ever ejected and last failed.
+        """Return whether failures limit the server to one slot.
 
-        It last failed if a request has failed since it last answered one.
+        They do if it was ever ejected and has failed since its last answered request.
         """
         return self.ejections > 0 and self.consecutive_failures > 0
 
