--- a/lacewingcross/core/active.py
+++ b/lacewingcross/core/active.py
@@ -88,21 +88,21 @@
     return {service: sum(times) / len(times) for service, times in targets_s.items()}
 
 
-def active_hosts(hosts: Iterable[HostInfo], needed: float) -> list[HostInfo]:
+def active_hosts(hosts: Iterable[HostInfo], needed_cores: float) -> list[HostInfo]:
     """Return the active hosts of all regions.
 
     Parameters
     ----------
     hosts : iterable of HostInfo
         Hosts that may be active.
-    needed : float
+    needed_cores : float
         Processor time that all regions together need, in cores; each region needs an
         equal share of it.
     """
     by_region: dict[str, list[HostInfo]] = {}
     for info in hosts:
         by_region.setdefault(info.region, []).append(info)
-    needed_per_region = needed / max(1, len(by_region))
+    needed_per_region = needed_cores / max(1, len(by_region))
     return [
         info
         for region_hosts in by_region.values()
@@ -110,7 +110,7 @@
     ]
 
 
-def _active_in_region(hosts: list[HostInfo], needed: float) -> list[HostInfo]:
+def _active_in_region(hosts: list[HostInfo], needed_cores: float) -> list[HostInfo]:
     """Return the first hosts of a region by size that together have enough cores.
 
     Callers choose among `n` hosts at random, so each gets the same share of requests.
@@ -127,7 +127,7 @@
         if info.cores < min_cores:
             return order[: count - 1]
         total_cores += info.cores
-        if count >= min_count and count * info.cores >= needed:
+        if count >= min_count and count * info.cores >= needed_cores:
             return order[:count]
         if total_cores >= max_cores:
             # From here on only hosts of this size are added, so that all hosts of a
--- a/lacewingcross/core/roster.py
+++ b/lacewingcross/core/roster.py
@@ -114,11 +114,11 @@
         "_peer_views",
         "active",
         "active_since",
+        "cores_needed",
         "entries",
         "last_active_at",
         "leaving",
         "listed",
-        "needed",
         "own",
         "starting",
         "store_unreachable",
@@ -135,7 +135,7 @@
         self.entries: dict[str, Entry] = {}
         # Processor time needed for callers' requests, see `active.cores_needed`.
         # Infinite until it is computed, so that all hosts may be active until then.
-        self.needed = float("inf")
+        self.cores_needed = float("inf")
         self.active: dict[str, HostInfo] = {own.host_id: own}
         self.active_since = float("-inf")
         self.last_active_at = float("-inf")
@@ -286,7 +286,9 @@
         ]
         if not self.leaving:
             candidates.append(self.own)
-        return {info.host_id: info for info in active_hosts(candidates, self.needed)}
+        return {
+            info.host_id: info for info in active_hosts(candidates, self.cores_needed)
+        }
 
     def _reported_active(self, live: set[str], now: float) -> dict[str, HostInfo]:
         named = self._reported_active_ids(live, now)
@@ -323,8 +325,8 @@
         ]
 
     def _presumed_alive(self, entry: Entry, now: float) -> bool:
-        never_heard = entry.last_message_at == float("-inf")
-        return never_heard and now - entry.known_since < PRESUMED_ALIVE_S
+        no_message_yet = entry.last_message_at == float("-inf")
+        return no_message_yet and now - entry.known_since < PRESUMED_ALIVE_S
 
     def has_live_relay(self, now: float) -> bool:
         """Return whether this is a standby host with a relay that is alive."""
--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -122,7 +122,7 @@
         self.gateway.backends.limit = self._connection_limit
         self.entry = CallerListener(self.gateway)
         # Until servers are known, the smallest possible number of hosts is active.
-        self.gateway.roster.needed = 0.0
+        self.gateway.roster.cores_needed = 0.0
         self._settings_path = settings_path
         self._reload = asyncio.Event()
         self._store = ObjectStore(cfg.platform)
@@ -211,7 +211,7 @@
         placement.gate.backoffs.forget_old(now)
         placement.reserved.review(servers, now)
         config = steering.table.config if steering.table else None
-        roster.needed = cores_needed(config, servers)
+        roster.cores_needed = cores_needed(config, servers)
 
     def _update_gauges(self, now: float) -> None:
         metrics = self.gateway.metrics
--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -37,11 +37,11 @@
     `cut` holds pairs of hosts that cannot reach each other, `dead` the crashed hosts.
     """
 
-    def __init__(self, hosts, *, knows=lambda own, other: True, needed=6.0):
+    def __init__(self, hosts, *, knows=lambda own, other: True, cores_needed=6.0):
         self.now = 0.0
         self.dead = set()
         self.cut = set()
-        self.needed = needed
+        self.cores_needed = cores_needed
         self.rosters = {}
         for own in hosts:
             self.start(own, [other for other in hosts if knows(own, other)])
@@ -49,7 +49,7 @@
     def start(self, own, others):
         """Start or restart a host that has read a list of other hosts."""
         roster = Roster(own)
-        roster.needed = self.needed
+        roster.cores_needed = self.cores_needed
         roster.listed = True
         roster.starting = False
         for other in others:
--- a/tests/test_peer_selection.py
+++ b/tests/test_peer_selection.py
@@ -61,7 +61,7 @@
     # other host, the bytes that a host sends while the fleet starts would grow with the
     # square of the fleet.
     def hosts_sent(count):
-        fleet = FleetModel(equal_hosts(count), needed=1e9)
+        fleet = FleetModel(equal_hosts(count), cores_needed=1e9)
         fleet.advance(1.0)
         host_roster = next(iter(fleet.rosters.values()))
         full_view_receivers = full_view_peers(host_roster)
@@ -77,7 +77,7 @@
 
 
 def test_each_active_host_receives_enough_full_views():
-    fleet = FleetModel(equal_hosts(40), needed=1e9)
+    fleet = FleetModel(equal_hosts(40), cores_needed=1e9)
     fleet.advance(1.0)
     sender_counts = Counter(h for r in fleet.running() for h in full_view_peers(r))
     assert set(sender_counts.values()) == {FULL_VIEW_SENDERS}
@@ -88,7 +88,7 @@
 def test_changes_reach_every_active_host_in_two_steps(count):
     # One host receives a change from the store. It sends the change to about twenty
     # hosts at most, and each of these passes it on to the hosts of its group.
-    fleet = FleetModel(equal_hosts(count), needed=1e9)
+    fleet = FleetModel(equal_hosts(count), cores_needed=1e9)
     fleet.advance(1.0)
     watcher = fleet.rosters["h-3"]
     receivers = first_hops(watcher, fleet.now)
@@ -103,7 +103,7 @@
 
 
 def test_a_dead_host_is_not_chosen_to_pass_changes_on():
-    fleet = FleetModel(equal_hosts(60), needed=1e9)
+    fleet = FleetModel(equal_hosts(60), cores_needed=1e9)
     fleet.advance(1.0)
     watcher = fleet.rosters["h-3"]
     first = min(first_hops(watcher, fleet.now))
@@ -120,7 +120,7 @@
 def test_a_host_that_one_cannot_reach_is_alive_for_all_of_a_large_fleet():
     # The stream between two hosts is cut. Look-ups at one of them must still name the
     # other one, which is alive for all other hosts.
-    fleet = FleetModel(equal_hosts(40), needed=1e9)
+    fleet = FleetModel(equal_hosts(40), cores_needed=1e9)
     fleet.advance(1.0)
     fleet.cut.add(("h-0", "h-1"))
     fleet.advance(SILENT_AFTER_S + 1.0)
