--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -103,7 +103,7 @@
         hash of the key.
     segments : dict of str to dict
         Claims in each segment by the hash of the key, the oldest segment first.
-    first_seen : dict of str to float
+    first_seen_at : dict of str to float
         When this host first saw each segment, in seconds on the monotonic clock.
     waiting : list of PendingClaim
         Claims for the next batch.
@@ -126,7 +126,7 @@
     head: dict[str, str] = field(default_factory=dict)
     freed: dict[str, str] = field(default_factory=dict)
     segments: dict[str, dict[str, str]] = field(default_factory=dict)
-    first_seen: dict[str, float] = field(default_factory=dict)
+    first_seen_at: dict[str, float] = field(default_factory=dict)
     waiting: list[PendingClaim] = field(default_factory=list)
     freeing: dict[str, str] = field(default_factory=dict)
     batch: "Batch | None" = None
@@ -314,7 +314,7 @@
     def _drop_expired(self, batch: Batch, shard: Shard, now: float) -> None:
         """Drop segments past their TTL, counted from when this host first saw them."""
         for name in list(batch.segments):
-            if now - shard.first_seen.get(name, now) > SEGMENT_TTL_S:
+            if now - shard.first_seen_at.get(name, now) > SEGMENT_TTL_S:
                 old = batch.segments.pop(name)
                 for key_hash, claim in old.items():
                     if batch.freed.get(key_hash) == claim:
@@ -377,11 +377,11 @@
         dropped = [name for name in shard.segments if name not in batch.segments]
         shard.segments = batch.segments
         for name in batch.segments:
-            shard.first_seen.setdefault(name, now)
+            shard.first_seen_at.setdefault(name, now)
         for item in batch.items:
             yield self._answer(shard, item, CLAIMED)
         for name in dropped:
-            shard.first_seen.pop(name, None)
+            shard.first_seen_at.pop(name, None)
             yield DeleteObject(f"{shard.kind}/{name}")
 
     def loaded(self, event: ObjectsLoaded, now: float) -> Iterator[Action]:
@@ -456,8 +456,8 @@
     shard.head = dict(fields.get("claimed", {}))
     shard.freed = dict(fields.get("freed", {}))
     shard.segments = {name: dict(specs[name].spec["claimed"]) for name in names}
-    shard.first_seen = {
-        name: shard.first_seen.get(name, now) for name in shard.segments
+    shard.first_seen_at = {
+        name: shard.first_seen_at.get(name, now) for name in shard.segments
     }
     shard.loaded = True
     return True
--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -40,21 +40,21 @@
 
     host_id: str
     request_id: str
-    deadline: float
-    enqueued: float
+    deadline_at: float
+    enqueued_at: float
     exclude: frozenset[str]
 
 
 @dataclass(slots=True)
 class Permit:
-    """The right of a host to use one slot of a backend server until `expires`.
+    """The right of a host to use one slot of a backend server until `expires_at`.
 
     `request_id` is empty if the permit was adopted from a host's report or renewal.
     """
 
     host_id: str
     server_id: str
-    expires: float
+    expires_at: float
     request_id: str = ""
 
 
@@ -154,7 +154,7 @@
         self._arrivals = 0
         self._rate_window_start = 0.0
 
-    def start(self, holders: list[str], now: float) -> Iterator[Reply]:
+    def start(self, host_ids: list[str], now: float) -> Iterator[Reply]:
         """Ask all hosts that are not down which slots their requests occupy.
 
         Guards against overload after a crash of the predecessor: its permits are still
@@ -164,15 +164,15 @@
 
         Parameters
         ----------
-        holders : list of str
+        host_ids : list of str
             Ids of these hosts, leaving ones included.
         now : float
             Monotonic time in seconds.
         """
         self._rate_window_start = now
-        self._awaited_hosts = set(holders)
+        self._awaited_hosts = set(host_ids)
         self._recovering_until = now + RECOVERY_S
-        for host_id in holders:
+        for host_id in host_ids:
             query = msg.HeldQuery(self.service, self.region, self.term)
             yield Reply(host_id, query)
 
@@ -273,14 +273,14 @@
         waiting = len(self.queue)
         if waiting == 0 and len(self.permits) < capacity:
             return ""
-        wait = self.expected_wait(waiting, capacity)
+        wait = self.expected_wait_s(waiting, capacity)
         if wait > remaining_s * self.policy.queue_wait_fraction:
             return "queue-full"
         if self.policy.accept_test and remaining_s - wait < self._min_remaining_s():
             return "deadline"
         return ""
 
-    def expected_wait(self, waiting: int, capacity: float) -> float:
+    def expected_wait_s(self, waiting: int, capacity: float) -> float:
         """Return the expected wait in seconds of a request behind `waiting` others.
 
         `capacity` is the number of slots that the queue shares.
@@ -294,13 +294,13 @@
         return min(self.limit, float(self.servers.total_capacity(now)))
 
     def _denied(self, item: QueuedRequest, reason: str, now: float) -> Reply:
-        retry_after = self.retry_after(now)
+        retry_after_s = self.retry_after_s(now)
         denied = msg.Denied(
-            self.service, self.region, item.request_id, reason, retry_after
+            self.service, self.region, item.request_id, reason, retry_after_s
         )
         return Reply(item.host_id, denied)
 
-    def retry_after(self, now: float) -> float:
+    def retry_after_s(self, now: float) -> float:
         """Return the jittered time in seconds after which a refused caller may retry.
 
         It is the expected wait times the overload, which is the demand divided by the
@@ -308,7 +308,7 @@
         at the same moment and find the queue full again.
         """
         capacity = max(1.0, self._capacity(now))
-        backlog = self.expected_wait(len(self.queue), capacity)
+        backlog = self.expected_wait_s(len(self.queue), capacity)
         overload = max(1.0, self.demand_rate * self.service_times.mean_s / capacity)
         base = max(MIN_RETRY_AFTER_S, backlog * overload)
         return min(MAX_RETRY_AFTER_S, base * self._rng.uniform(0.5, 1.5))
@@ -349,7 +349,7 @@
     def _refuse_late_at_head(self, now: float) -> Iterator[Reply]:
         """Refuse requests at the queue's head that would miss their deadline."""
         min_remaining_s = self._min_remaining_s() if self.policy.accept_test else 0.0
-        while self.queue and self.queue[0].deadline - now < min_remaining_s:
+        while self.queue and self.queue[0].deadline_at - now < min_remaining_s:
             yield self._denied(self.queue.popleft(), "deadline", now)
 
     def _refuse_late(self, now: float) -> Iterator[Reply]:
@@ -360,7 +360,7 @@
         than a grant.
         """
         min_remaining_s = self._min_remaining_s() if self.policy.accept_test else 0.0
-        late = [item for item in self.queue if item.deadline - now < min_remaining_s]
+        late = [item for item in self.queue if item.deadline_at - now < min_remaining_s]
         if not late:
             return
         late_ids = {id(item) for item in late}
@@ -426,7 +426,7 @@
             if permit is None:
                 self._add_permit(permit_id, Permit(host_id, server_id, now + LEASE_S))
             elif permit.host_id == host_id:
-                permit.expires = now + LEASE_S
+                permit.expires_at = now + LEASE_S
 
     def withdraw(self, host_id: str, request_id: str) -> None:
         """Drop a queued request that its host withdrew, as when its caller has gone."""
@@ -443,7 +443,7 @@
         expired = [
             permit_id
             for permit_id, permit in self.permits.items()
-            if permit.expires <= now
+            if permit.expires_at <= now
         ]
         for permit_id in expired:
             self._remove_permit(permit_id)
--- a/lacewingcross/core/keeper_set.py
+++ b/lacewingcross/core/keeper_set.py
@@ -68,13 +68,13 @@
         keeper = SlotKeeper(*key, term, view.rng, self._policy)
         self.keepers[key] = keeper
         self._declare(key, now)
-        holders = [
+        host_ids = [
             info.host_id
             for info in view.members.hosts()
             if view.members.state_of(info.host_id, now) != DOWN
         ]
         yield Log("keeper-started", {"service": key[0], "region": key[1]})
-        yield from self._send(keeper.start(holders, now))
+        yield from self._send(keeper.start(host_ids, now))
 
     def _declare(self, key: KeeperKey, now: float) -> None:
         service, region = key
--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -82,8 +82,8 @@
     """
 
     info: HostInfo
-    first_seen: float
-    last_heartbeat: float = float("-inf")
+    first_seen_at: float
+    last_heartbeat_at: float = float("-inf")
     reported_state: str = LIVE
     incarnation: int = 0
     revision: int = 0
@@ -198,7 +198,7 @@
             return
         if state.reported_state != heartbeat.state or not self._is_alive(state, now):
             self._cached_groups = None
-        state.last_heartbeat = now
+        state.last_heartbeat_at = now
         state.reported_state = heartbeat.state
         state.revision = heartbeat.revision
         state.behind = heartbeat.behind
@@ -219,7 +219,7 @@
             state.info = info
             state.reported_state = LIVE
         state.incarnation = incarnation
-        state.last_heartbeat = now
+        state.last_heartbeat_at = now
         state.broken = False
 
     def learn(self, hosts: list[HostInfo], now: float) -> None:
@@ -252,8 +252,8 @@
         self._drained = set(host_ids)
 
     def _is_alive(self, state: HostState, now: float) -> bool:
-        silence = now - state.last_heartbeat
-        return not state.broken and silence <= SUSPECT_HEARTBEATS * state.heartbeat_s
+        silence_s = now - state.last_heartbeat_at
+        return not state.broken and silence_s <= SUSPECT_HEARTBEATS * state.heartbeat_s
 
     def _live_by_list(self, state: HostState, now: float) -> bool:
         """Return whether a host is live by the list, without a recent heartbeat.
@@ -265,10 +265,10 @@
             return not state.broken or now - state.broken_at > RETRUST_S
         if state.broken:
             return False
-        no_heartbeat_yet = state.last_heartbeat == float("-inf")
-        return no_heartbeat_yet and now - state.first_seen <= LIST_GRACE_S
+        no_heartbeat_yet = state.last_heartbeat_at == float("-inf")
+        return no_heartbeat_yet and now - state.first_seen_at <= LIST_GRACE_S
 
-    def silence(self, host_id: str, now: float) -> float:
+    def silence_s(self, host_id: str, now: float) -> float:
         """Return the seconds since the last heartbeat of a host.
 
         The time counts from when the host became known if that is later. It is 0 for
@@ -279,7 +279,7 @@
         state = self._states.get(host_id)
         if state is None:
             return float("inf")
-        return now - max(state.last_heartbeat, state.first_seen)
+        return now - max(state.last_heartbeat_at, state.first_seen_at)
 
     def state_of(self, host_id: str, now: float) -> str:
         """Return the state of a host: `LIVE`, `LEAVING` or `DOWN`.
@@ -336,8 +336,8 @@
     def _next_change_at(self, state: HostState, now: float) -> float:
         """Return the next time at which a host's state may change without an event."""
         changes = (
-            state.last_heartbeat + SUSPECT_HEARTBEATS * state.heartbeat_s,
-            state.first_seen + LIST_GRACE_S,
+            state.last_heartbeat_at + SUSPECT_HEARTBEATS * state.heartbeat_s,
+            state.first_seen_at + LIST_GRACE_S,
             state.broken_at + RETRUST_S,
         )
         return min(
@@ -363,7 +363,7 @@
         """Return the live members of a failure domain."""
         return self._groups(now).by_domain.get(failure_domain, [])
 
-    def live_domains(self, now: float) -> int:
+    def live_domain_count(self, now: float) -> int:
         """Return the number of failure domains with a live member."""
         return len(self._groups(now).by_domain)
 
--- a/lacewingcross/core/named_hosts.py
+++ b/lacewingcross/core/named_hosts.py
@@ -11,7 +11,11 @@
 
 
 def addresses_for(
-    roster: Roster, region: str, homes: frozenset[str], now: float, domain: str = ""
+    roster: Roster,
+    region: str,
+    home_regions: frozenset[str],
+    now: float,
+    failure_domain: str = "",
 ) -> list[str]:
     """Return the entry addresses for callers of a region; never an empty list.
 
@@ -28,19 +32,19 @@
         The known hosts.
     region : str
         Region of the callers.
-    homes : frozenset of str
+    home_regions : frozenset of str
         Regions to which the callers' requests are bound; empty if they are not bound.
     now : float
         Monotonic time in seconds.
-    domain : str
+    failure_domain : str
         Failure domain of the callers.
     """
     serving = list(_serving(roster, now)) or roster.live(now)
-    in_homes = [info for info in serving if info.region in homes]
-    elsewhere = in_homes if homes else serving
+    in_home_regions = [info for info in serving if info.region in home_regions]
+    elsewhere = in_home_regions if home_regions else serving
     here = [info for info in serving if info.region == region]
     chosen = here or elsewhere or [roster.own]
-    return [info.entry for info in _limit_hosts(chosen, domain)]
+    return [info.entry for info in _limit_hosts(chosen, failure_domain)]
 
 
 def _serving(roster: Roster, now: float) -> Iterator[HostInfo]:
@@ -58,8 +62,10 @@
             yield entry.info
 
 
-def _limit_hosts(hosts: list[HostInfo], domain: str) -> list[HostInfo]:
+def _limit_hosts(hosts: list[HostInfo], failure_domain: str) -> list[HostInfo]:
     if len(hosts) <= MAX_NAMED_HOSTS:
         return hosts
-    chosen = set(ranked(domain, (info.host_id for info in hosts))[:MAX_NAMED_HOSTS])
+    chosen = set(
+        ranked(failure_domain, (info.host_id for info in hosts))[:MAX_NAMED_HOSTS]
+    )
     return [info for info in hosts if info.host_id in chosen]
--- a/lacewingcross/core/node.py
+++ b/lacewingcross/core/node.py
@@ -190,7 +190,7 @@
         heartbeat = msg.Heartbeat(
             view.members.own_state,
             view.config.revision,
-            view.behind(),
+            view.buckets_behind(),
             self.keepers.leaving(),
             self.keepers.loads(now),
         )
--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -154,7 +154,7 @@
     other active host, also requests them from lost active hosts.
     """
     if not roster.is_active and now - roster.last_active_at > LINGER_S:
-        return set(_relays(roster, now))
+        return set(_choose_relays(roster, now))
     peers = set(roster.active) - {roster.own.host_id}
     if roster.is_active or not peers:
         peers.update(_lost_active(roster, now))
@@ -174,7 +174,7 @@
             yield host_id
 
 
-def _relays(roster: Roster, now: float) -> list[str]:
+def _choose_relays(roster: Roster, now: float) -> list[str]:
     """Choose the active hosts to use as relays and return their ids.
 
     Hosts of the own region come first, in two failure domains if the region has two.
--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -52,7 +52,7 @@
         The report.
     received_at : float
         When it was received, in seconds on this host's monotonic clock.
-    mean : float
+    mean_demand : float
         Decaying mean of the demand in slots. A single reading of a pool of a few slots
         jumps between idle and full, and on its own would shift traffic needlessly.
     zero_since : float or None
@@ -62,16 +62,16 @@
 
     load: msg.RegionLoad
     received_at: float
-    mean: float
+    mean_demand: float
     zero_since: float | None = None
 
     def demand(self) -> float:
         """Return the slots in use or requested: the larger of mean and latest value."""
-        return max(self.mean, _demand(self.load))
+        return max(self.mean_demand, _demand(self.load))
 
     def utilisation(self) -> float:
         """Return the mean demand divided by the reported limit."""
-        return self.mean / max(1.0, self.load.limit)
+        return self.mean_demand / max(1.0, self.load.limit)
 
 
 def _demand(load: msg.RegionLoad) -> float:
@@ -130,7 +130,7 @@
     tag: str
     regions: dict[str, RegionView] = field(default_factory=dict)
     hold_reason: str = ""
-    _first_seen: dict[str, float] = field(default_factory=dict)
+    _first_seen_at: dict[str, float] = field(default_factory=dict)
     _move_count: int = 0
     _changed_at: float = -math.inf
 
@@ -144,25 +144,27 @@
         """
         ledger_ids = {move.move_id for move in plan.ledger}
         for move_id in ledger_ids:
-            if move_id not in self._first_seen:
-                self._first_seen[move_id] = now
+            if move_id not in self._first_seen_at:
+                self._first_seen_at[move_id] = now
                 self._changed_at = now
-        self._first_seen = {
+        self._first_seen_at = {
             key: seen_at
-            for key, seen_at in self._first_seen.items()
+            for key, seen_at in self._first_seen_at.items()
             if key in ledger_ids
         }
 
     def on_load(self, load: msg.RegionLoad, now: float) -> None:
         """Record a keeper's load report."""
         known = self.regions.get(load.region)
-        mean = _demand(load)
+        mean_demand = _demand(load)
         zero_since = now if load.limit <= 0 else None
         if known is not None and now - known.received_at <= MAX_REPORT_AGE_S:
-            mean = known.mean + DEMAND_MEAN_GAIN * (mean - known.mean)
+            mean_demand = known.mean_demand + DEMAND_MEAN_GAIN * (
+                mean_demand - known.mean_demand
+            )
             if zero_since is not None and known.zero_since is not None:
                 zero_since = known.zero_since
-        self.regions[load.region] = RegionView(load, now, mean, zero_since)
+        self.regions[load.region] = RegionView(load, now, mean_demand, zero_since)
 
     def lost(self, now: float) -> frozenset[str]:
         """Return the regions without a usable server for `REGION_LOST_S`, by reports.
@@ -183,7 +185,7 @@
         return tuple(
             move
             for move in plan.ledger
-            if now - self._first_seen.get(move.move_id, now) <= cap.window_s
+            if now - self._first_seen_at.get(move.move_id, now) <= cap.window_s
         )
 
     def budget(self, moves: tuple[Move, ...], cap: ShiftCap, group: str) -> int:
--- a/lacewingcross/core/reports.py
+++ b/lacewingcross/core/reports.py
@@ -127,7 +127,7 @@
         Every failure domain writes after every change. The time grows with the number
         of failure domains, so that all of them stay within the platform's write rate.
         """
-        domains = self._view.members.live_domains(now)
+        domains = self._view.members.live_domain_count(now)
         return max(MIN_WRITE_PERIOD_S, WRITE_S_PER_DOMAIN * domains)
 
     def _spec(self, now: float) -> dict[str, object]:
@@ -137,7 +137,7 @@
             view.own.host_id: {
                 "state": view.members.own_state,
                 "revision": view.config.revision,
-                "behind": view.behind(),
+                "behind": view.buckets_behind(),
             }
         }
         for state in view.members.others():
--- a/lacewingcross/core/request_state.py
+++ b/lacewingcross/core/request_state.py
@@ -36,7 +36,7 @@
 
     Attributes
     ----------
-    deadline, give_up_at : float
+    deadline_at, give_up_at : float
         When the caller times out, and the earlier time at which a request without an
         attempt under way is refused, in seconds on the monotonic clock.
     region : str
@@ -50,7 +50,7 @@
         When the claim or the permit was last requested anew, when the request for the
         permit is repeated, and when the phase `PAUSE` is over, in seconds on the
         monotonic clock.
-    attempt, attempts : Attempt or None, int
+    attempt, attempt_count : Attempt or None, int
         The current or last attempt, and the number of attempts so far.
     exclude : set of str
         Ids of the backend servers to avoid in further attempts.
@@ -61,7 +61,7 @@
     """
 
     req: RequestArrived
-    deadline: float
+    deadline_at: float
     region: str
     repeatable: bool
     phase: Phase = Phase.PERMIT
@@ -71,7 +71,7 @@
     resume_at: float = 0.0
     held: HeldPermit | None = None
     attempt: Attempt | None = None
-    attempts: int = 0
+    attempt_count: int = 0
     exclude: set[str] = field(default_factory=set)
     key_hash: str = ""
     claim: str = ""
--- a/lacewingcross/core/requests.py
+++ b/lacewingcross/core/requests.py
@@ -154,7 +154,7 @@
         state = RequestState(req, now + remaining, region, repeatable)
         self.requests[req.request_id] = state
         margin = min(REFUSAL_MARGIN_S, REFUSAL_MARGIN_FRACTION * remaining)
-        state.give_up_at = state.deadline - margin
+        state.give_up_at = state.deadline_at - margin
         heappush(self._deadlines, (state.give_up_at, req.request_id))
         return state
 
@@ -205,7 +205,7 @@
             state.req.service,
             state.region,
             state.req.request_id,
-            state.deadline - now,
+            state.deadline_at - now,
             sorted(state.exclude),
         )
         return SendPeer(state.keeper, acquire)
@@ -245,16 +245,16 @@
             yield from self._request_permit(state, now)
             return
         state.phase = Phase.ATTEMPT
-        state.attempts += 1
-        state.attempt = Attempt(state.attempts, server_id)
-        if state.attempts > 1:
+        state.attempt_count += 1
+        state.attempt = Attempt(state.attempt_count, server_id)
+        if state.attempt_count > 1:
             yield Count("attempts.retried")
         yield StartAttempt(
             state.req.request_id,
-            state.attempts,
+            state.attempt_count,
             server_id,
             server.address,
-            state.deadline - now,
+            state.deadline_at - now,
             start_within_s,
             state.region != self._view.own.region,
             state.repeatable,
@@ -292,7 +292,7 @@
         keeper = held.keeper
         yield SendPeer(keeper, release)
 
-    def _next_for_permit(
+    def _take_successor(
         self, state: RequestState, ended: AttemptEnded, now: float
     ) -> RequestState | None:
         """Take the oldest waiting request out of its queue if it can use the permit.
@@ -380,7 +380,7 @@
         attempt.end(ended.ending)
         if attempt.stage is Stage.UNKNOWN:
             state.may_have_run = True
-        successor = self._next_for_permit(state, ended, now)
+        successor = self._take_successor(state, ended, now)
         if successor is not None:
             yield from self._pass_permit_on(state, successor, ended.service_s, now)
         else:
@@ -497,10 +497,10 @@
         while self._deadlines and self._deadlines[0][0] <= now:
             due, request_id = heappop(self._deadlines)
             state = self.requests.get(request_id)
-            if state is None or due not in (state.give_up_at, state.deadline):
+            if state is None or due not in (state.give_up_at, state.deadline_at):
                 continue
-            if state.phase is Phase.ATTEMPT and due < state.deadline:
-                heappush(self._deadlines, (state.deadline, request_id))
+            if state.phase is Phase.ATTEMPT and due < state.deadline_at:
+                heappush(self._deadlines, (state.deadline_at, request_id))
                 continue
             yield from self._time_out(state, now)
 
@@ -539,7 +539,7 @@
             yield Count("retries.ask-again")
             yield self._send_acquire(state, now)
             return
-        silence_s = view.members.silence(keeper, now)
+        silence_s = view.members.silence_s(keeper, now)
         if min(silence_s, now - state.asked_at) > KEEPER_SILENCE_TIMEOUT_S:
             yield from self._use_fixed_share(state, now)
 
--- a/lacewingcross/core/view.py
+++ b/lacewingcross/core/view.py
@@ -93,7 +93,7 @@
         chosen = relays(domain, [info.host_id for info in live])
         return self.own.host_id in chosen or len(chosen) < RELAYS
 
-    def behind(self) -> int:
+    def buckets_behind(self) -> int:
         """Return how many buckets have another region here than in the plan.
 
         The number is the sum over all services.
