--- a/lacewingcross/core/active.py
+++ b/lacewingcross/core/active.py
@@ -137,7 +137,7 @@
 
 
 def in_order(hosts: list[HostInfo]) -> Iterator[HostInfo]:
-    """Yield the largest hosts first; equal ones round robin by failure domain."""
+    """Yield the largest hosts first; equal hosts round robin by failure domain."""
     positions: Counter[tuple[float, str]] = Counter()
     keyed = []
     for info in sorted(hosts, key=lambda info: hash64("active", info.host_id)):
--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -160,9 +160,9 @@
     """The content of one write of the head.
 
     If the write succeeds, `head`, `freed` and `segments` replace the shard's fields of
-    these names. `items` are the claims that the batch adds, and `freeing` those that it
-    frees, by the hash of the key. `new_segment` names the segment that takes the claims
-    of the old head, if the batch makes one.
+    these names. `items` are the claims that the batch adds, and `freeing` the claims
+    that it frees, by the hash of the key. `new_segment` names the segment that takes
+    the claims of the old head, if the batch makes one.
     """
 
     items: list[PendingClaim]
@@ -420,7 +420,7 @@
             yield self._answer(shard, item, UNAVAILABLE)
 
     def tick(self, now: float) -> Iterator[Action]:
-        """Write queued claims; refuse those that have waited too long.
+        """Write queued claims; refuse claims that have waited too long.
 
         Shards that have not been used for `UNUSED_SHARD_TTL_S` are removed from memory.
         """
--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -255,7 +255,8 @@
 
         The host asks again for the same request, and the lost permit would keep its
         slot unused until the lease ends. A host asks only while the request has no
-        attempt under way, so nothing runs with that permit.
+        attempt under way, so no request runs with that permit. Returns whether a permit
+        was revoked.
         """
         for permit_id, permit in self.permits.items():
             if permit.request_id == request_id and permit.host_id == host_id:
@@ -281,8 +282,9 @@
         return ""
 
     def expected_wait_s(self, waiting: int, capacity: float) -> float:
-        """Return the expected wait in seconds of a request behind `waiting` others.
+        """Return the expected wait in seconds of a request that is queued.
 
+        `waiting` is the number of requests that are queued before it.
         `capacity` is the number of slots that the queue shares.
         """
         return (waiting + 1) * self.service_times.mean_s / max(1.0, capacity)
--- a/lacewingcross/core/keeper_set.py
+++ b/lacewingcross/core/keeper_set.py
@@ -37,7 +37,7 @@
         self.keepers: dict[KeeperKey, SlotKeeper] = {}
 
     def review(self, now: float) -> Iterator[Action]:
-        """Start the keepers that this host should run and stop all others.
+        """Start the keepers that this host should run and stop all other keepers.
 
         The servers, the leaving servers and the limits of all keepers are updated.
         """
--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -73,10 +73,10 @@
 
     Designed for a fleet of 100 hosts of equal size and 1,000 servers. If the host that
     watches the store sent each change to all others, it would send ten times as much as
-    the others do. It sends the change to one host of each group on the ring instead,
-    and each of these passes the change on to the other hosts of its group. If such a
-    host crashes before it has done so, the hosts of its group find from `Alive`
-    messages that they are behind and pull the change.
+    any other host does. It sends the change to one host of each group on the ring
+    instead, and each of these hosts passes the change on to the other hosts of its
+    group. If such a host crashes before it has done so, the hosts of its group find
+    from `Alive` messages that they are behind and pull the change.
     """
     if len(roster.active) <= MAX_DIRECT_RECEIVERS:
         return frozenset(roster.active)
@@ -127,10 +127,10 @@
     """Return the hosts to report to another host.
 
     A standby host is sent the active hosts, also by other standby hosts. Guards against
-    a wrong view at the start of a host: if the larger hosts were still missing from the
-    list that the host has read, it considers itself or another small host active. Every
-    host that it sends messages to answers with the active hosts and so corrects this
-    view.
+    a wrong view at the start of a host: the larger hosts are still missing from the
+    list that the host reads, and it considers itself or another small host active.
+    Without an answer it would keep this view; every host that it sends messages to
+    answers with the active hosts.
 
     Active hosts report to each other the hosts that send them messages. Receivers in
     `full_view_receivers` are sent all of these, the other receivers only the standby
@@ -166,8 +166,8 @@
 
     Guards against a lasting split after a network partition. Each side considers the
     hosts of the other side dead, and no host would connect to them again when the
-    partition has healed. Hosts go on connecting to lost hosts until `FORGET_AFTER_S`
-    after these were last active.
+    partition has healed. Requesting updates makes hosts connect to lost hosts, until
+    `FORGET_AFTER_S` after the lost hosts were last active.
     """
     for host_id, entry in roster.entries.items():
         if now - entry.active_at < FORGET_AFTER_S and not entry.live(now):
@@ -177,7 +177,7 @@
 def _choose_relays(roster: Roster, now: float) -> list[str]:
     """Choose the active hosts to use as relays and return their ids.
 
-    Hosts of the own region come first, in two failure domains if the region has two.
+    Hosts of this host's region come first, in two failure domains if it has two.
     The time at which a relay was first chosen is recorded, so that a relay that never
     answers is skipped.
     """
--- a/lacewingcross/core/plan.py
+++ b/lacewingcross/core/plan.py
@@ -127,7 +127,7 @@
     Parameters
     ----------
     weights : mapping of str to float
-        Weights; those that are not above zero get no bucket.
+        Weights; a key with a weight that is not above zero gets no bucket.
 
     Returns
     -------
--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -82,8 +82,8 @@
 class PlannerInput:
     """What a step depends on besides the plan.
 
-    `drained` holds the regions that operators drain, `lost` those without a usable
-    backend server.
+    `drained` holds the regions that operators drain, `lost` the regions without a
+    usable backend server. `cap` limits how many buckets of a client group may move.
     """
 
     policy: SteeringPolicy
--- a/lacewingcross/core/roster.py
+++ b/lacewingcross/core/roster.py
@@ -146,14 +146,14 @@
         """Return whether callers should use other hosts.
 
         Guards against naming a host to callers when it has just started and has not yet
-        read the configuration. It could only refuse their requests. It counts as
-        starting until it has read the configuration.
+        read the configuration. It could only refuse their requests. The host is
+        starting, and so out of service, until it has read the configuration.
         """
         return self.leaving or self.starting
 
     @property
     def is_active(self) -> bool:
-        """Return whether this host is one of those that look-ups name to callers."""
+        """Return whether this is one of the hosts that look-ups name to callers."""
         return self.own.host_id in self.active
 
     def learn(self, info: HostInfo, now: float) -> bool:
@@ -206,8 +206,8 @@
 
         Guards against a host that most others do not know: a host without an entry in
         the store starts while the store is unreachable. Without the reports, only the
-        hosts that it sends messages to would know it; with them, these hosts name it to
-        all others.
+        hosts that it sends messages to would know it. These hosts report it to the
+        others, which add it here.
         """
         self._peer_views[sender] = view
         for info in view.hosts.values():
--- a/lacewingcross/core/view.py
+++ b/lacewingcross/core/view.py
@@ -15,7 +15,19 @@
 
 @dataclass(slots=True)
 class View:
-    """State that every component of the core reads; one component writes each field."""
+    """State that every component of the core reads; one component writes each field.
+
+    Attributes
+    ----------
+    incarnation : int
+        Identifies this run of the process.
+    plans : dict of str to EffectivePlan
+        For each service, the regions of the buckets on this host now, which follow the
+        plan in `config`.
+    announced_leaving, listed_leaving : set of str
+        Ids of the backend servers that announced by a health probe that they are
+        draining, and of those that the platform lists as leaving.
+    """
 
     members: Membership
     incarnation: int
@@ -85,7 +97,7 @@
         """Return whether this host watches the platform itself.
 
         A waiting watch counts as a call, so in a large failure domain only a few hosts
-        watch the platform and the others pull changes from peers. In a small failure
+        watch the platform; the other hosts pull changes from peers. In a small failure
         domain all hosts watch it.
         """
         domain = self.own.failure_domain
--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -9,6 +9,7 @@
 )
 from lacewingcross.core.roster import PeerView, Roster
 
+# Processor time of a large and of a small host, in cores.
 LARGE = 2.15
 SMALL = 0.43
 STEP_S = 0.1
@@ -34,7 +35,9 @@
 class FleetModel:
     """A fleet of rosters in virtual time, without network and store.
 
-    `cut` holds pairs of hosts that cannot reach each other, `dead` the crashed hosts.
+    `rosters` holds the roster of each host by id, `cut` pairs of ids of hosts that
+    cannot reach each other, and `dead` the ids of the crashed hosts. `knows` returns
+    whether a host has another one in the list that it reads at its start.
     """
 
     def __init__(self, hosts, *, knows=lambda own, other: True, cores_needed=6.0):
--- a/tests/test_active.py
+++ b/tests/test_active.py
@@ -8,6 +8,7 @@
 from lacewingcross.core.membership import HostInfo
 from lacewingcross.core.routes import CallerLimits, Configuration, Part, Route
 
+# Processor time of a large and of a small host, in cores.
 LARGE = 2.15
 SMALL = 0.43
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -210,9 +210,9 @@
 def test_key_claimed_again_stays_claimed_in_segments(monkeypatch):
     """A key is freed and claimed again, and both claims have moved to segments.
 
-    Guards against a second copy of a booking: the first request's host frees its key
-    again, the second request's claim must not count as freed, and a third copy of the
-    booking must not run.
+    Guards against a second run of a booking: the first request's host frees its key
+    again, and a third copy of the booking would run if the second request's claim
+    counted as freed. A key is freed only from the claim that the message names.
     """
     monkeypatch.setattr(cl, "MAX_HEAD_CLAIMS", 2)
     platform = Faultless()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,9 +20,10 @@
 
 
 def test_broken_connection_removes_a_host_at_once_despite_the_list():
-    """Guards against look-ups that send callers to a crashed host.
+    """The platform's list names a host as live for seconds after its crash.
 
-    The platform's list still names the host as live for seconds after its crash.
+    Guards against look-ups that would send callers to the crashed host: the broken
+    connection has precedence over the list.
     """
     membership = new_membership()
     membership.on_heartbeat("h1", heartbeat(), 1.0)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -46,8 +46,8 @@
 def test_stale_reports_hold_a_policy_change_and_move_nothing():
     """Load reports stop arriving and an operator moves traffic to another region.
 
-    Guards against moving traffic to a region that is full. Without fresh reports
-    nothing moves, and the planner gives the reason.
+    Guards against moving traffic to a region that is full and would refuse it. Without
+    fresh reports nothing moves, and the planner gives the reason.
     """
     planner = planner_with([load(reg, 10) for reg in REGIONS], 0.0)
     assert planner.step(all_at("a"), given({"b": 1.0}), 100.0) is None
@@ -77,7 +77,8 @@
 def test_next_step_waits_for_reports_from_after_the_last_one():
     """The receiver's load reports do not show the last step yet.
 
-    Guards against further steps into a region that fills up unnoticed.
+    Guards against further steps into a region, which would fill up unnoticed. The
+    planner takes no further step until it has later reports.
     """
     cap = ShiftCap("s", 0.5, 1.0)
     planner = planner_with([load(reg, 10) for reg in REGIONS], 10.0)
@@ -127,7 +128,8 @@
 def test_new_planner_counts_the_moves_it_finds_for_a_full_window():
     """Another host takes over; the ledger holds what was moved, but not when.
 
-    Guards against moving as much as the cap allows twice within one window.
+    Guards against moving twice within one window as much as the cap allows. The new
+    planner counts each move as made when it first saw the move.
     """
     moved = Plan("s", {"g": all_at("a").tables["g"]}, (Move("old.1", {"g": 100}),))
     successor = planner_with([], 0.0)
@@ -154,7 +156,8 @@
 def test_one_full_reading_moves_nothing_but_lasting_load_does():
     """A small pool is full for a moment, repeatedly, under ordinary load.
 
-    Guards against moving traffic to cold caches and back without need.
+    Guards against moving traffic to cold caches and back without need. A region is hot
+    by its mean demand, which a single reading changes little.
     """
     planner = planner_with([load(reg, 40) for reg in REGIONS], 10.0)
     planner.on_load(load("a", 100, queued=20), 10.5)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -105,8 +105,9 @@
 def test_read_that_failed_on_every_server_is_retried():
     """Each server of a region loses one response; the read has time left.
 
-    Guards against a request that excludes every server and so waits until its deadline
-    for a server that does not exist.
+    Guards against a request that excludes every server and so would wait until its
+    deadline for a server that does not exist. The keeper skips the excluded servers
+    only while another server is usable.
     """
     host = OneHost(servers=2)
     host.request("r")
@@ -200,8 +201,8 @@
 def test_key_is_freed_when_the_caller_disconnects_before_its_claim_is_stored():
     """A caller disconnects while its key's claim is being written to the platform.
 
-    Guards against a repeated booking that is refused as a duplicate of one that never
-    ran.
+    Guards against a repeated booking that would be refused as a duplicate of a booking
+    that never ran. The next batch frees the key.
     """
     host = Keyed()
     host.request("r", "POST", key="k")
@@ -228,7 +229,8 @@
     """A request waits for a permit that never comes.
 
     Guards against a refusal that arrives after the caller has timed out, so that the
-    caller must consider the outcome unknown although nothing ran.
+    caller must consider the outcome unknown although the request did not run. The
+    request is refused shortly before its deadline.
     """
     host = OneHost(servers=1)
     for num in range(3):
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -24,7 +24,8 @@
 def test_new_server_ramps_up_and_the_first_servers_are_warm():
     """A server joins under load with cold caches.
 
-    Guards against giving it a full share of the pool's load before its caches fill.
+    Guards against giving the server a full share of the pool's load before its caches
+    fill; it would overload. The number of its usable slots grows over `RAMP_S`.
     """
     servers = table(1)
     servers.declare(iter(declared(2)), set(), 100.0)
@@ -56,7 +57,8 @@
 def test_at_most_half_of_the_pool_is_ejected_for_failed_requests():
     """Every server responds with errors because the requests are at fault.
 
-    Guards against ejecting all servers, after which every request would be refused.
+    Guards against ejecting all servers, after which every request would be refused. At
+    most half of the pool is ejected for failed responses.
     """
     servers = table(4)
     for num in range(4):
@@ -100,7 +102,8 @@
 def test_new_keeper_grants_no_slot_that_may_be_in_use():
     """A keeper crashes; its successor starts while the old permits are in use.
 
-    Guards against filling slots twice, after which the backend servers shed requests.
+    Guards against filling slots twice, after which the backend servers would shed
+    requests. The successor grants nothing until the hosts have reported their permits.
     """
     keeper = keeper_with(8)
     queries = list(keeper.start(["h1", "h2"], 10.0))
@@ -164,7 +167,8 @@
     """A host asks again for a request that has been queued for two seconds.
 
     Guards against moving the requests that have waited longest to the back of a long
-    queue, where they would wait again and be refused in the end.
+    queue, where they would wait again and be refused in the end. The keeper ignores the
+    message, since the request is in the queue already.
     """
     keeper = keeper_with(1, count=1)
     (grant,) = ask(keeper, "r0", 1.0, remaining=9.0)
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -7,6 +7,7 @@
 from .gateway_parts import answers_at_once, ask, fleet, resolve, until
 from .test_gateway import in_loop
 
+# Processor time of a large and of a small host, in cores.
 LARGE = 2.0
 SMALL = 0.4
 
