--- a/lacewingcross/core/active.py
+++ b/lacewingcross/core/active.py
@@ -117,7 +117,7 @@
     Together the hosts therefore carry `n` times what the smallest of them can.
     """
     order = list(in_order(hosts))
-    min_count = _min_active(order)
+    min_count = _min_active_count(order)
     # `fsum` gives the same sum in any order. Hosts know the hosts in different orders
     # and must choose the same active hosts.
     max_cores = MAX_ACTIVE_FRACTION * fsum(info.cores for info in hosts)
@@ -148,7 +148,7 @@
         yield info
 
 
-def _min_active(order: list[HostInfo]) -> int:
+def _min_active_count(order: list[HostInfo]) -> int:
     """Return how many of the first hosts include the minimum of each failure domain.
 
     The minimum is `MIN_ACTIVE_PER_DOMAIN`, or all large hosts of a domain with fewer.
--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -111,10 +111,10 @@
     """
 
     __slots__ = (
-        "_arrivals",
+        "_arrival_count",
         "_awaited_hosts",
         "_last_permit_id",
-        "_rate_window_start",
+        "_rate_window_started_at",
         "_recovering_until",
         "_rng",
         "demand_rate",
@@ -151,8 +151,8 @@
         self._last_permit_id = term << PERMIT_SEQUENCE_BITS
         self._awaited_hosts: set[str] = set()
         self._recovering_until = 0.0
-        self._arrivals = 0
-        self._rate_window_start = 0.0
+        self._arrival_count = 0
+        self._rate_window_started_at = 0.0
 
     def start(self, host_ids: list[str], now: float) -> Iterator[Reply]:
         """Ask all hosts that are not down which slots their requests occupy.
@@ -169,7 +169,7 @@
         now : float
             Monotonic time in seconds.
         """
-        self._rate_window_start = now
+        self._rate_window_started_at = now
         self._awaited_hosts = set(host_ids)
         self._recovering_until = now + RECOVERY_S
         for host_id in host_ids:
@@ -220,7 +220,7 @@
             return
         if self._revoke_lost(host_id, message.request_id):
             yield from self.dispatch(now)
-        self._arrivals += 1
+        self._arrival_count += 1
         item = QueuedRequest(
             host_id,
             message.request_id,
@@ -271,23 +271,23 @@
         capacity = self._capacity(now)
         if capacity < 1:
             return "" if self.recovering(now) else "no-capacity"
-        waiting = len(self.queue)
-        if waiting == 0 and len(self.permits) < capacity:
+        waiting_count = len(self.queue)
+        if waiting_count == 0 and len(self.permits) < capacity:
             return ""
-        wait = self.expected_wait_s(waiting, capacity)
-        if wait > remaining_s * self.policy.queue_wait_fraction:
+        wait_s = self.expected_wait_s(waiting_count, capacity)
+        if wait_s > remaining_s * self.policy.queue_wait_fraction:
             return "queue-full"
-        if self.policy.accept_test and remaining_s - wait < self._min_remaining_s():
+        if self.policy.accept_test and remaining_s - wait_s < self._min_remaining_s():
             return "deadline"
         return ""
 
-    def expected_wait_s(self, waiting: int, capacity: float) -> float:
+    def expected_wait_s(self, waiting_count: int, capacity: float) -> float:
         """Return the expected wait in seconds of a request that is queued.
 
-        `waiting` is the number of requests that are queued before it.
+        `waiting_count` is the number of requests that are queued before it.
         `capacity` is the number of slots that the queue shares.
         """
-        return (waiting + 1) * self.service_times.mean_s / max(1.0, capacity)
+        return (waiting_count + 1) * self.service_times.mean_s / max(1.0, capacity)
 
     def _min_remaining_s(self) -> float:
         return self.service_times.quantile(self.policy.accept_quantile)
@@ -310,10 +310,10 @@
         at the same moment and find the queue full again.
         """
         capacity = max(1.0, self._capacity(now))
-        backlog = self.expected_wait_s(len(self.queue), capacity)
+        backlog_s = self.expected_wait_s(len(self.queue), capacity)
         overload = max(1.0, self.demand_rate * self.service_times.mean_s / capacity)
-        base = max(MIN_RETRY_AFTER_S, backlog * overload)
-        return min(MAX_RETRY_AFTER_S, base * self._rng.uniform(0.5, 1.5))
+        base_s = max(MIN_RETRY_AFTER_S, backlog_s * overload)
+        return min(MAX_RETRY_AFTER_S, base_s * self._rng.uniform(0.5, 1.5))
 
     def dispatch(self, now: float) -> Iterator[Reply]:
         """Refuse late requests at the queue's head, then grant free slots in order.
@@ -454,13 +454,13 @@
         yield from self.dispatch(now)
 
     def _update_demand(self, now: float) -> None:
-        elapsed = now - self._rate_window_start
-        if elapsed < 0.5:
+        elapsed_s = now - self._rate_window_started_at
+        if elapsed_s < 0.5:
             return
-        rate = self._arrivals / elapsed
+        rate = self._arrival_count / elapsed_s
         self.demand_rate += DEMAND_GAIN * (rate - self.demand_rate)
-        self._arrivals = 0
-        self._rate_window_start = now
+        self._arrival_count = 0
+        self._rate_window_started_at = now
 
     def load(self, now: float) -> msg.RegionLoad:
         """Return the region's load for the planner.
--- a/lacewingcross/core/keeper_set.py
+++ b/lacewingcross/core/keeper_set.py
@@ -168,8 +168,8 @@
         many reports it can receive in a second.
         """
         pools = self._view.config.pools.values()
-        regions = max((len(pool.by_region) for pool in pools), default=0)
-        return max(MIN_LOAD_REPORT_PERIOD_S, LOAD_REPORT_S_PER_REGION * regions)
+        region_count = max((len(pool.by_region) for pool in pools), default=0)
+        return max(MIN_LOAD_REPORT_PERIOD_S, LOAD_REPORT_S_PER_REGION * region_count)
 
     def tick(self, now: float) -> Iterator[Action]:
         """Call every keeper's `tick` and report loads to the planners."""
--- a/lacewingcross/core/lookup.py
+++ b/lacewingcross/core/lookup.py
@@ -82,8 +82,8 @@
     if len(chosen) < MAX_HOSTS:
         chosen += _ranked_hosts(key, [info for info in live if info.region != region])
     hosts = tuple(chosen[:MAX_HOSTS])
-    ttl = lifetime(policy, rng)
-    return LookupAnswer(service, region or "", hosts, ttl, config.revision)
+    ttl_s = lifetime(policy, rng)
+    return LookupAnswer(service, region or "", hosts, ttl_s, config.revision)
 
 
 def lifetime(policy: SteeringPolicy, rng: RandomSource) -> float:
--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -224,13 +224,13 @@
 
     def learn(self, hosts: list[HostInfo], now: float) -> None:
         """Add hosts that another host knows, for when the platform is unreachable."""
-        known = len(self._states)
+        known_count = len(self._states)
         for info in hosts:
             new = info.host_id != self.own.host_id and info.host_id not in self._states
             # An invalid address must not appear in the answers to look-ups.
             if new and is_address(info.entry) and is_address(info.peer):
                 self._states[info.host_id] = self._new(info, now)
-        if len(self._states) != known:
+        if len(self._states) != known_count:
             self._choose_neighbours()
             self._cached_groups = None
 
--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -64,7 +64,7 @@
     # Negative indexes wrap around the ring.
     own_index = ring.index(own)
     return frozenset(
-        ring[own_index - count] for count in range(1, FULL_VIEW_SENDERS + 1)
+        ring[own_index - offset] for offset in range(1, FULL_VIEW_SENDERS + 1)
     )
 
 
@@ -101,9 +101,9 @@
 def _groups(roster: Roster) -> Iterator[list[str]]:
     """Yield the active hosts in about as many groups as each group has members."""
     ring = _ring(roster)
-    size = math.isqrt(len(ring) - 1) + 1
-    for first in range(0, len(ring), size):
-        yield ring[first : first + size]
+    group_size = math.isqrt(len(ring) - 1) + 1
+    for first in range(0, len(ring), group_size):
+        yield ring[first : first + group_size]
 
 
 def _may_pass_on(roster: Roster, host_id: str, now: float) -> bool:
--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -340,14 +340,14 @@
         The buckets in other regions stay where they are. The remainder of the division
         goes to the region that gains most.
         """
-        leaving = sum(current[region] for region in avoid)
+        leaving_buckets = sum(current[region] for region in avoid)
         target = Counter({reg: num for reg, num in current.items() if reg not in avoid})
         gains = apportion(base)
         for region, count in gains.items():
-            target[region] += leaving * count // BUCKETS
-        missing = BUCKETS - sum(target.values())
-        if missing and gains:
-            target[max(gains, key=lambda key: (gains[key], key))] += missing
+            target[region] += leaving_buckets * count // BUCKETS
+        missing_buckets = BUCKETS - sum(target.values())
+        if missing_buckets and gains:
+            target[max(gains, key=lambda key: (gains[key], key))] += missing_buckets
         return target
 
     def _fresh_view(self, region: str, now: float) -> RegionView | None:
@@ -391,10 +391,10 @@
         if coolest is None:
             self.hold_reason = "no-headroom"
             return current
-        step = min(HEADROOM_STEP_BUCKETS, current[hot])
+        step_buckets = min(HEADROOM_STEP_BUCKETS, current[hot])
         target = Counter(current)
-        target[hot] -= step
-        target[coolest] += step
+        target[hot] -= step_buckets
+        target[coolest] += step_buckets
         return target
 
     def _receivers_have_room(
@@ -439,9 +439,9 @@
             if view is None or view.received_at < self._changed_at + SETTLE_S:
                 room[region] = 0.0
                 continue
-            spare = MAX_FILL_FRACTION * view.load.limit - view.demand()
+            spare_slots = MAX_FILL_FRACTION * view.load.limit - view.demand()
             room[region] = (
-                spare / demand_per_bucket if demand_per_bucket > 0 else math.inf
+                spare_slots / demand_per_bucket if demand_per_bucket > 0 else math.inf
             )
         return room
 
--- a/lacewingcross/core/planner_set.py
+++ b/lacewingcross/core/planner_set.py
@@ -78,8 +78,8 @@
         It grows with the number of groups of the service that has most.
         """
         policies = self._view.config.policies.values()
-        groups = max((len(policy.groups) for policy in policies), default=0)
-        return max(MIN_STEP_PERIOD_S, STEP_S_PER_GROUP * groups)
+        group_count = max((len(policy.groups) for policy in policies), default=0)
+        return max(MIN_STEP_PERIOD_S, STEP_S_PER_GROUP * group_count)
 
     def tick(self, now: float) -> Iterator[Action]:
         """Plan each service that this host owns, once in each step period.
--- a/lacewingcross/core/reports.py
+++ b/lacewingcross/core/reports.py
@@ -127,8 +127,8 @@
         Every failure domain writes after every change. The time grows with the number
         of failure domains, so that all of them stay within the platform's write rate.
         """
-        domains = self._view.members.live_domain_count(now)
-        return max(MIN_WRITE_PERIOD_S, WRITE_S_PER_DOMAIN * domains)
+        domain_count = self._view.members.live_domain_count(now)
+        return max(MIN_WRITE_PERIOD_S, WRITE_S_PER_DOMAIN * domain_count)
 
     def _spec(self, now: float) -> dict[str, object]:
         view = self._view
--- a/lacewingcross/core/request_state.py
+++ b/lacewingcross/core/request_state.py
@@ -20,14 +20,14 @@
 class HeldPermit:
     """A permit for a slot of a backend server, used by one request at a time.
 
-    `keeper` is the host that gets the release, and `reuses` the number of times that
-    the permit was passed on to another request.
+    `keeper` is the host that gets the release, and `reuse_count` how often the permit
+    was passed on to another request.
     """
 
     permit_id: int
     server_id: str
     keeper: str
-    reuses: int = 0
+    reuse_count: int = 0
 
 
 @dataclass(slots=True)
--- a/lacewingcross/core/requests.py
+++ b/lacewingcross/core/requests.py
@@ -147,14 +147,14 @@
     def _open(
         self, req: RequestArrived, policy: SteeringPolicy, region: str, now: float
     ) -> RequestState:
-        remaining = req.remaining_s or policy.deadline_ms / 1000.0
+        remaining_s = req.remaining_s or policy.deadline_ms / 1000.0
         repeatable = req.repeatable
         if repeatable is None:
             repeatable = req.method.upper() not in policy.non_repeatable
-        state = RequestState(req, now + remaining, region, repeatable)
+        state = RequestState(req, now + remaining_s, region, repeatable)
         self.requests[req.request_id] = state
-        margin = min(REFUSAL_MARGIN_S, REFUSAL_MARGIN_FRACTION * remaining)
-        state.give_up_at = state.deadline_at - margin
+        margin_s = min(REFUSAL_MARGIN_S, REFUSAL_MARGIN_FRACTION * remaining_s)
+        state.give_up_at = state.deadline_at - margin_s
         heappush(self._deadlines, (state.give_up_at, req.request_id))
         return state
 
@@ -308,7 +308,7 @@
         held = state.held
         if held is None or ended.ending is not Ending.ANSWERED:
             return None
-        if held.reuses >= MAX_REUSES or ended.service_s > MAX_REUSE_SERVICE_TIME_S:
+        if held.reuse_count >= MAX_REUSES or ended.service_s > MAX_REUSE_SERVICE_TIME_S:
             return None
         if held.server_id in self._view.leaving_servers(state.req.service):
             return None
@@ -319,7 +319,7 @@
     ) -> Iterator[Action]:
         held = state.held
         state.held = None
-        held.reuses += 1
+        held.reuse_count += 1
         successor.held = held
         yield Count("permits.reused")
         reuse = msg.Reuse(
--- a/lacewingcross/core/servers.py
+++ b/lacewingcross/core/servers.py
@@ -249,5 +249,5 @@
         all be excluded, since no request can run there.
         """
         reachable_states = [st for st in self.states.values() if not st.unreachable]
-        ejected = sum(1 for st in reachable_states if now < st.ejected_until)
-        return ejected + 1 <= MAX_EJECTED_FRACTION * len(self.states)
+        ejected_count = sum(1 for st in reachable_states if now < st.ejected_until)
+        return ejected_count + 1 <= MAX_EJECTED_FRACTION * len(self.states)
