--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -32,7 +32,7 @@
 MIN_BATCH_INTERVAL_S = 0.03
 # Minimum time between the starts of two reads of a shard.
 LOAD_RETRY_INTERVAL_S = 0.5
-# Time after its last use at which a shard is removed from memory.
+# Time after its last use at which the claims of a shard are removed from memory.
 UNUSED_SHARD_TTL_S = 30.0
 # Time after which a claim that is not being written is refused.
 MAX_CLAIM_WAIT_S = 2.5
@@ -422,7 +422,8 @@
     def tick(self, now: float) -> Iterator[Action]:
         """Write queued claims; refuse claims that have waited too long.
 
-        Shards that have not been used for `UNUSED_SHARD_TTL_S` are removed from memory.
+        The claims of a shard that was not used for `UNUSED_SHARD_TTL_S` are removed
+        from memory.
         """
         for shard in self.shards.values():
             overdue = [
--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -306,8 +306,8 @@
         """Return the jittered time in seconds after which a refused caller may retry.
 
         It is the expected wait times the overload, which is the demand divided by the
-        capacity. Without the jitter all refused callers of an hourly surge would return
-        at the same moment and find the queue full again.
+        capacity, or 1 if that is less. Without the jitter all refused callers of an
+        hourly surge would return at the same moment and find the queue full again.
         """
         capacity = max(1.0, self._capacity(now))
         backlog_s = self.expected_wait_s(len(self.queue), capacity)
@@ -440,7 +440,7 @@
     def tick(self, now: float) -> Iterator[Reply]:
         """End expired leases, refuse late requests and grant free slots.
 
-        The demand rate is updated in between.
+        The demand rate is updated before late requests are refused.
         """
         expired = [
             permit_id
--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -67,7 +67,8 @@
     Attributes
     ----------
     reported_state, revision, behind, leaving, loads
-        From the host's last heartbeat, see `messages.Heartbeat`.
+        From the host's last heartbeat, see `messages.Heartbeat`. A hello of a new
+        incarnation sets `reported_state` to live.
     incarnation : int
         From the host's last `messages.Hello`; it identifies a run of the process.
     broken : bool
--- a/lacewingcross/core/messages.py
+++ b/lacewingcross/core/messages.py
@@ -81,7 +81,7 @@
 class ConfigPush(_Message, tag=4):
     """Configuration entries: key, version and JSON text (empty when deleted).
 
-    If `complete`, the receiver has every entry up to `revision` after this message.
+    If `complete`, these are all entries up to `revision` that the receiver requested.
     """
 
     revision: int
@@ -228,7 +228,8 @@
     """Load of one service in one region, sent by its slot keeper to the planner.
 
     `in_flight` is the number of permits in use, `queued` the number of queued requests,
-    `limit` the number of usable slots, and `demand_rate` the requests per second.
+    `limit` the number of usable slots, and `demand_rate` the decaying mean of the
+    requests that arrive per second.
     """
 
     service: str
--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -149,9 +149,10 @@
 def subscriptions(roster: Roster, now: float) -> set[str]:
     """Return the ids of the hosts from which a host requests updates.
 
-    A standby host requests them from its relays, which this call may choose; any other
-    host requests them from the active hosts. An active host, and one that knows no
-    other active host, also requests them from lost active hosts.
+    A host that has not been active for `LINGER_S` requests them from its relays, which
+    this call may choose; any other host requests them from the active hosts. An active
+    host, and one that knows no other active host, also requests them from lost active
+    hosts.
     """
     if not roster.is_active and now - roster.last_active_at > LINGER_S:
         return set(_choose_relays(roster, now))
@@ -177,7 +178,8 @@
 def _choose_relays(roster: Roster, now: float) -> list[str]:
     """Choose the active hosts to use as relays and return their ids.
 
-    Hosts of this host's region come first, in two failure domains if it has two.
+    Hosts of this host's region come first, in two failure domains if the region has
+    two.
     The time at which a relay was first chosen is recorded, so that a relay that never
     answers is skipped.
     """
--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -232,7 +232,11 @@
         budget: int,
         now: float,
     ) -> tuple[list[str], str]:
-        """Return a group's next table and the cause; subtract its gains from `room`."""
+        """Return a group's next table and the cause; subtract its gains from `room`.
+
+        `room` holds how many buckets each region can take, and `budget` is how many
+        buckets of the group may move.
+        """
         current = Counter(table)
         target, cause = self._target(group, current, inputs, now)
         if target == current:
--- a/lacewingcross/core/servers.py
+++ b/lacewingcross/core/servers.py
@@ -7,20 +7,22 @@
 
 # Length of the slow start, in which a server's slots grow from one to all.
 RAMP_S = 5.0
-# Number of failures in a row that ejects a server.
+# Number of failures without an answered request between that ejects a server.
 FAILURES_TO_EJECT = 3
 # Weight of the latest result in a server's failure rate.
 FAILURE_GAIN = 0.1
-# Length of the first ejection of a server; each further ejection doubles it.
+# Length of the first ejection of a server; each further ejection doubles it, up to
+# `MAX_EJECTION_S`.
 EJECTION_BASE_S = 1.0
 MAX_EJECTION_S = 30.0
 # Maximum fraction of the pool that is ejected for failed responses at a time.
 MAX_EJECTED_FRACTION = 0.5
-# The back-off is twice this time after one shed request; each further one in a row
-# doubles it.
+# The back-off is twice this time after one shed request; each further shed request
+# without an answered one between doubles it, up to `MAX_SHED_BACKOFF_S`.
 SHED_BACKOFF_BASE_S = 0.02
 MAX_SHED_BACKOFF_S = 1.0
 
+# Results of an attempt, as `messages.Release` carries them.
 ANSWERED = "answered"
 FAILED = "failed"
 UNREACHABLE = "unreachable"
