--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -38,7 +38,7 @@
 REGION_LOST_S = 2.0
 # Maximum number of buckets of a client group that a step moves away from a hot region.
 HEADROOM_STEP_BUCKETS = 20
-# Number of moves in the ledger at which no further bucket is moved.
+# Number of ledger moves that count against the cap at which no further bucket is moved.
 MAX_LEDGER_MOVES = 500
 
 
--- a/lacewingcross/core/roster.py
+++ b/lacewingcross/core/roster.py
@@ -133,8 +133,8 @@
         self.starting = True
         self.store_unreachable = False
         self.entries: dict[str, Entry] = {}
-        # Processor time needed for callers' requests, see `active.cores_needed`.
-        # Infinite until it is computed, so that all hosts may be active until then.
+        # Processor time needed for callers' requests, see `active.cores_needed`;
+        # infinite until it is set.
         self.cores_needed = float("inf")
         self.active: dict[str, HostInfo] = {own.host_id: own}
         self.active_since = float("-inf")
--- a/tests/test_peer_selection.py
+++ b/tests/test_peer_selection.py
@@ -265,22 +265,24 @@
 
 
 def test_without_connecting_to_lost_hosts_a_cut_would_stay(monkeypatch):
-    # Without this guard, each side of a cut goes on alone after the cut has healed.
+    # Without requests to lost hosts, each side of a cut goes on alone after the cut has
+    # healed.
     monkeypatch.setattr(peer_selection, "_lost_active", lambda roster, now: iter(()))
     with pytest.raises(AssertionError):
         test_a_cut_between_regions_heals()
 
 
 def test_without_the_last_reports_a_host_would_consider_itself_alone(monkeypatch):
-    # Without this guard, the hosts that relays reported are forgotten as soon as the
-    # relays fall silent.
+    # If the last reports were not valid for `PEER_VIEW_VALID_S`, the hosts that relays
+    # reported would be forgotten as soon as the relays fall silent.
     monkeypatch.setattr(roster, "PEER_VIEW_VALID_S", SILENT_AFTER_S)
     with pytest.raises(AssertionError):
         test_a_host_that_loses_the_active_ones_of_its_region_is_not_alone()
 
 
 def test_without_counting_all_sharing_hosts_shares_would_exceed_the_whole(monkeypatch):
-    # Without this guard, each active host takes the whole share once it has settled.
+    # If the other sharing hosts did not count, each active host would take the whole
+    # share once it has settled.
     monkeypatch.setattr(
         fleet_shares, "_shares", lambda roster, host_id, entry, now: False
     )
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -25,7 +25,7 @@
     """A server joins under load with cold caches.
 
     Guards against giving the server a full share of the pool's load before its caches
-    fill; it would overload. The number of its usable slots grows over `RAMP_S`.
+    fill, which would overload it. The number of its usable slots grows over `RAMP_S`.
     """
     servers = table(1)
     servers.declare(iter(declared(2)), set(), 100.0)
