--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -14,13 +14,19 @@
 from .randomness import RandomSource
 from .servers import ANSWERED, ServerTable
 
+# Time for which a permit is valid after it was granted or last renewed.
 LEASE_S = 5.0
+# Maximum time for which a new keeper waits for the reports of held permits.
 RECOVERY_S = 1.0
+# Defaults of `KeeperPolicy`.
 ACCEPT_QUANTILE = 0.9
 QUEUE_WAIT_FRACTION = 0.5
+# Minimum retry time before the jitter, and maximum retry time after it.
 MIN_RETRY_AFTER_S = 0.5
 MAX_RETRY_AFTER_S = 30.0
+# Weight of the latest rate in the decaying mean of arriving requests per second.
 DEMAND_GAIN = 0.2
+# A permit id consists of the keeper's term and a sequence number of this many bits.
 PERMIT_SEQUENCE_BITS = 24
 
 
@@ -28,24 +34,27 @@
 class QueuedRequest:
     """A request in the queue that all hosts share.
 
-    `exclude` holds the backend servers to skip, where the request failed or could not
-    start before.
+    `exclude` holds the ids of the backend servers to skip, where the request failed or
+    could not start before.
     """
 
     host_id: str
     request_id: str
-    deadline: float
-    enqueued: float
+    deadline_at: float
+    enqueued_at: float
     exclude: frozenset[str]
 
 
 @dataclass(slots=True)
 class Permit:
-    """The right of a host to use one slot of a backend server until `expires`."""
+    """The right of a host to use one slot of a backend server until `expires_at`.
+
+    `request_id` is empty if the permit was adopted from a host's report or renewal.
+    """
 
     host_id: str
     server_id: str
-    expires: float
+    expires_at: float
     request_id: str = ""
 
 
@@ -92,13 +101,20 @@
         Source of the jitter in retry times.
     policy : KeeperPolicy, optional
         Admission settings.
+
+    Attributes
+    ----------
+    limit : float
+        Slots of the region that the configuration allows to use at a time.
+    demand_rate : float
+        Decaying mean of the requests that arrive per second.
     """
 
     __slots__ = (
-        "_arrivals",
+        "_arrival_count",
         "_awaited_hosts",
         "_last_permit_id",
-        "_rate_window_start",
+        "_rate_window_started_at",
         "_recovering_until",
         "_rng",
         "demand_rate",
@@ -135,21 +151,28 @@
         self._last_permit_id = term << PERMIT_SEQUENCE_BITS
         self._awaited_hosts: set[str] = set()
         self._recovering_until = 0.0
-        self._arrivals = 0
-        self._rate_window_start = 0.0
+        self._arrival_count = 0
+        self._rate_window_started_at = 0.0
 
-    def start(self, holders: list[str], now: float) -> Iterator[Reply]:
-        """Ask every live host which slots its requests occupy.
+    def start(self, host_ids: list[str], now: float) -> Iterator[Reply]:
+        """Ask all hosts that are not down which slots their requests occupy.
 
         Guards against overload after a crash of the predecessor: its permits are still
         in use, and granting their slots again would overfill the backend servers, which
-        then shed requests. No slot is granted until each host has answered, or until
-        `RECOVERY_S` has passed for one that cannot answer.
+        then shed requests. No slot is granted until each host has answered or is
+        reported down, or until `RECOVERY_S` has passed for one that cannot answer.
+
+        Parameters
+        ----------
+        host_ids : list of str
+            Ids of these hosts, leaving ones included.
+        now : float
+            Monotonic time in seconds.
         """
-        self._rate_window_start = now
-        self._awaited_hosts = set(holders)
+        self._rate_window_started_at = now
+        self._awaited_hosts = set(host_ids)
         self._recovering_until = now + RECOVERY_S
-        for host_id in holders:
+        for host_id in host_ids:
             query = msg.HeldQuery(self.service, self.region, self.term)
             yield Reply(host_id, query)
 
@@ -160,7 +183,10 @@
     def on_held(
         self, host_id: str, report: msg.HeldReport, now: float
     ) -> Iterator[Reply]:
-        """Adopt the permits that a host reports as held."""
+        """Adopt the permits that a host reports as held.
+
+        A report for another term is ignored.
+        """
         if report.term != self.term:
             return
         for server_id, permit_id in report.held:
@@ -170,10 +196,10 @@
         yield from self.dispatch(now)
 
     def host_down(self, host_id: str, now: float) -> Iterator[Reply]:
-        """Drop the queued requests of a host that is down; its permits expire.
+        """Drop the queued requests of a host that is considered down.
 
-        The host's connections to backend servers broke with it, but its requests may
-        still run there, so their slots stay taken until the leases end.
+        If the host has crashed, its connections to backend servers are closed, but its
+        requests may still run there, so their slots stay taken until the leases end.
         """
         self.queue = deque(item for item in self.queue if item.host_id != host_id)
         self._awaited_hosts.discard(host_id)
@@ -182,7 +208,11 @@
     def acquire(
         self, host_id: str, message: msg.Acquire, now: float
     ) -> Iterator[Reply]:
-        """Grant a permit, or queue the request, or refuse it if it would be late."""
+        """Grant a permit, or queue the request, or refuse it.
+
+        A request is refused if it would be late, or if the region has no usable slot.
+        One that is queued already stays in its place.
+        """
         if self._is_queued(host_id, message.request_id):
             # The host asks again because it cannot know that its first message arrived.
             # The reply to the first one is enough; queueing the request again would
@@ -190,7 +220,7 @@
             return
         if self._revoke_lost(host_id, message.request_id):
             yield from self.dispatch(now)
-        self._arrivals += 1
+        self._arrival_count += 1
         item = QueuedRequest(
             host_id,
             message.request_id,
@@ -225,7 +255,8 @@
 
         The host asks again for the same request, and the lost permit would keep its
         slot unused until the lease ends. A host asks only while the request has no
-        attempt under way, so nothing runs with that permit.
+        attempt under way, so no request runs with that permit. Returns whether a permit
+        was revoked.
         """
         for permit_id, permit in self.permits.items():
             if permit.request_id == request_id and permit.host_id == host_id:
@@ -236,22 +267,27 @@
     def _refusal_reason(
         self, item: QueuedRequest, remaining_s: float, now: float
     ) -> str:
+        """Return why not to queue a request, or an empty string."""
         capacity = self._capacity(now)
         if capacity < 1:
             return "" if self.recovering(now) else "no-capacity"
-        waiting = len(self.queue)
-        if waiting == 0 and len(self.permits) < capacity:
+        waiting_count = len(self.queue)
+        if waiting_count == 0 and len(self.permits) < capacity:
             return ""
-        wait = self.expected_wait(waiting, capacity)
-        if wait > remaining_s * self.policy.queue_wait_fraction:
+        wait_s = self.expected_wait_s(waiting_count, capacity)
+        if wait_s > remaining_s * self.policy.queue_wait_fraction:
             return "queue-full"
-        if self.policy.accept_test and remaining_s - wait < self._min_remaining_s():
+        if self.policy.accept_test and remaining_s - wait_s < self._min_remaining_s():
             return "deadline"
         return ""
 
-    def expected_wait(self, waiting: int, capacity: float) -> float:
-        """Return the time in seconds until `waiting` queued requests have started."""
-        return (waiting + 1) * self.service_times.mean_s / max(1.0, capacity)
+    def expected_wait_s(self, waiting_count: int, capacity: float) -> float:
+        """Return the expected wait in seconds of a request that is queued.
+
+        `waiting_count` is the number of requests that are queued before it.
+        `capacity` is the number of slots that the queue shares.
+        """
+        return (waiting_count + 1) * self.service_times.mean_s / max(1.0, capacity)
 
     def _min_remaining_s(self) -> float:
         return self.service_times.quantile(self.policy.accept_quantile)
@@ -260,26 +296,30 @@
         return min(self.limit, float(self.servers.total_capacity(now)))
 
     def _denied(self, item: QueuedRequest, reason: str, now: float) -> Reply:
-        retry_after = self.retry_after(now)
+        retry_after_s = self.retry_after_s(now)
         denied = msg.Denied(
-            self.service, self.region, item.request_id, reason, retry_after
+            self.service, self.region, item.request_id, reason, retry_after_s
         )
         return Reply(item.host_id, denied)
 
-    def retry_after(self, now: float) -> float:
-        """Return after how many seconds to retry: backlog times overload, jittered.
+    def retry_after_s(self, now: float) -> float:
+        """Return the jittered time in seconds after which a refused caller may retry.
 
-        Without the jitter all refused callers of an hourly surge would return at the
-        same moment and find the queue full again.
+        It is the expected wait times the overload, which is the demand divided by the
+        capacity, or 1 if that is less. Without the jitter all refused callers of an
+        hourly surge would return at the same moment and find the queue full again.
         """
         capacity = max(1.0, self._capacity(now))
-        backlog = self.expected_wait(len(self.queue), capacity)
+        backlog_s = self.expected_wait_s(len(self.queue), capacity)
         overload = max(1.0, self.demand_rate * self.service_times.mean_s / capacity)
-        base = max(MIN_RETRY_AFTER_S, backlog * overload)
-        return min(MAX_RETRY_AFTER_S, base * self._rng.uniform(0.5, 1.5))
+        base_s = max(MIN_RETRY_AFTER_S, backlog_s * overload)
+        return min(MAX_RETRY_AFTER_S, base_s * self._rng.uniform(0.5, 1.5))
 
     def dispatch(self, now: float) -> Iterator[Reply]:
-        """Grant free slots from the queue's head; refuse what would be late."""
+        """Refuse late requests at the queue's head, then grant free slots in order.
+
+        A request keeps its place if only servers that it excludes have a free slot.
+        """
         yield from self._refuse_late_at_head(now)
         if self.recovering(now):
             return
@@ -311,17 +351,18 @@
     def _refuse_late_at_head(self, now: float) -> Iterator[Reply]:
         """Refuse requests at the queue's head that would miss their deadline."""
         min_remaining_s = self._min_remaining_s() if self.policy.accept_test else 0.0
-        while self.queue and self.queue[0].deadline - now < min_remaining_s:
+        while self.queue and self.queue[0].deadline_at - now < min_remaining_s:
             yield self._denied(self.queue.popleft(), "deadline", now)
 
     def _refuse_late(self, now: float) -> Iterator[Reply]:
-        """Refuse requests that would miss their deadline in the whole queue.
+        """Refuse all queued requests that would miss their deadline.
 
-        Deadlines differ, so such a request may be queued behind others. This runs once
-        a tick, since a pass over the whole queue costs more than a grant.
+        Deadlines differ, so such a request may be queued behind requests with later
+        deadlines. This runs once a tick, since a pass over the whole queue costs more
+        than a grant.
         """
         min_remaining_s = self._min_remaining_s() if self.policy.accept_test else 0.0
-        late = [item for item in self.queue if item.deadline - now < min_remaining_s]
+        late = [item for item in self.queue if item.deadline_at - now < min_remaining_s]
         if not late:
             return
         late_ids = {id(item) for item in late}
@@ -363,7 +404,11 @@
         yield from self.dispatch(now)
 
     def reuse(self, host_id: str, message: msg.Reuse, now: float) -> None:
-        """Record that a host uses a permit for another of its waiting requests."""
+        """Record that a host uses a permit for another of its waiting requests.
+
+        The request that used the permit before was answered. The other request leaves
+        the queue, and the lease is renewed.
+        """
         self.service_times.add(message.service_s)
         self.servers.record_result(message.server_id, ANSWERED, now)
         self.withdraw(host_id, message.request_id)
@@ -374,15 +419,16 @@
     def renew(self, host_id: str, held: list[tuple[str, int]], now: float) -> None:
         """Extend the leases of running requests; adopt unknown permits.
 
-        A lease can expire while the process of its host is paused. The request may
-        still run, so a renewal of an expired permit takes its slot again.
+        `held` holds pairs of a server id and a permit id. A lease can expire while the
+        process of its host is paused. The request may still run, so a renewal of an
+        expired permit takes its slot again.
         """
         for server_id, permit_id in held:
             permit = self.permits.get(permit_id)
             if permit is None:
                 self._add_permit(permit_id, Permit(host_id, server_id, now + LEASE_S))
             elif permit.host_id == host_id:
-                permit.expires = now + LEASE_S
+                permit.expires_at = now + LEASE_S
 
     def withdraw(self, host_id: str, request_id: str) -> None:
         """Drop a queued request that its host withdrew, as when its caller has gone."""
@@ -392,11 +438,14 @@
                 return
 
     def tick(self, now: float) -> Iterator[Reply]:
-        """End expired leases, update the demand rate and grant free slots."""
+        """End expired leases, refuse late requests and grant free slots.
+
+        The demand rate is updated before late requests are refused.
+        """
         expired = [
             permit_id
             for permit_id, permit in self.permits.items()
-            if permit.expires <= now
+            if permit.expires_at <= now
         ]
         for permit_id in expired:
             self._remove_permit(permit_id)
@@ -405,16 +454,20 @@
         yield from self.dispatch(now)
 
     def _update_demand(self, now: float) -> None:
-        elapsed = now - self._rate_window_start
-        if elapsed < 0.5:
+        elapsed_s = now - self._rate_window_started_at
+        if elapsed_s < 0.5:
             return
-        rate = self._arrivals / elapsed
+        rate = self._arrival_count / elapsed_s
         self.demand_rate += DEMAND_GAIN * (rate - self.demand_rate)
-        self._arrivals = 0
-        self._rate_window_start = now
+        self._arrival_count = 0
+        self._rate_window_started_at = now
 
     def load(self, now: float) -> msg.RegionLoad:
-        """Return the region's load for the planner; the limit counts usable slots."""
+        """Return the region's load for the planner.
+
+        The requests in flight are the permits in use, and the limit counts only slots
+        of usable servers.
+        """
         return msg.RegionLoad(
             self.service,
             self.region,
--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -1,7 +1,7 @@
 """Which entry hosts are live, leaving or down, from the platform's list and heartbeats.
 
-A host sends heartbeats only to its neighbours (see `neighbours`); the platform's list
-decides for the other hosts.
+A host sends heartbeats only to its neighbours (see `neighbours`). For the other hosts
+the platform's list decides, except for `RETRUST_S` after a broken connection.
 """
 
 from collections.abc import Iterator
@@ -28,8 +28,9 @@
 class HostInfo:
     """An entry host as the platform's list describes it.
 
-    `cores` is the processor time that the host gets, in seconds of an ordinary core per
-    second.
+    `entry` is the address for callers, `peer` the address for other entry hosts, and
+    `listed` the host's state in the list. `cores` is the processor time that the host
+    gets, in seconds of an ordinary core per second.
     """
 
     host_id: str
@@ -61,11 +62,29 @@
 
 @dataclass(slots=True)
 class HostState:
-    """State of one entry host, from the list and from its heartbeats."""
+    """State of one other entry host, from the list and from its heartbeats.
+
+    Attributes
+    ----------
+    reported_state, revision, behind, leaving, loads
+        From the host's last heartbeat, see `messages.Heartbeat`. A hello of a new
+        incarnation sets `reported_state` to live.
+    incarnation : int
+        From the host's last `messages.Hello`; it identifies a run of the process.
+    broken : bool
+        Whether the last connection to the host broke or was refused, and neither a
+        hello nor a heartbeat of the host has arrived since.
+    drained : bool
+        Whether operators drain the host.
+    heartbeat_s : float
+        Interval between heartbeats in seconds.
+    neighbour : bool
+        Whether this host and the other one send each other heartbeats.
+    """
 
     info: HostInfo
-    first_seen: float
-    last_heartbeat: float = float("-inf")
+    first_seen_at: float
+    last_heartbeat_at: float = float("-inf")
     reported_state: str = LIVE
     incarnation: int = 0
     revision: int = 0
@@ -160,7 +179,10 @@
         self._neighbours = [st for st in self._states.values() if st.neighbour]
 
     def due_heartbeats(self, now: float, *, all_now: bool) -> list[HostState]:
-        """Return the neighbours with a heartbeat due, and schedule their next one."""
+        """Return the neighbours to send a heartbeat to, and schedule the next one.
+
+        With `all_now`, these are all neighbours, else those with a heartbeat due.
+        """
         due = [
             state
             for state in self._neighbours
@@ -171,13 +193,13 @@
         return due
 
     def on_heartbeat(self, host_id: str, heartbeat: Heartbeat, now: float) -> None:
-        """Record a heartbeat of a host."""
+        """Record a heartbeat of a member; unknown hosts are ignored."""
         state = self._states.get(host_id)
         if state is None:
             return
         if state.reported_state != heartbeat.state or not self._is_alive(state, now):
             self._cached_groups = None
-        state.last_heartbeat = now
+        state.last_heartbeat_at = now
         state.reported_state = heartbeat.state
         state.revision = heartbeat.revision
         state.behind = heartbeat.behind
@@ -198,18 +220,18 @@
             state.info = info
             state.reported_state = LIVE
         state.incarnation = incarnation
-        state.last_heartbeat = now
+        state.last_heartbeat_at = now
         state.broken = False
 
     def learn(self, hosts: list[HostInfo], now: float) -> None:
-        """Add hosts that a peer knows, for when the platform cannot be reached."""
-        known = len(self._states)
+        """Add hosts that another host knows, for when the platform is unreachable."""
+        known_count = len(self._states)
         for info in hosts:
             new = info.host_id != self.own.host_id and info.host_id not in self._states
             # An invalid address must not appear in the answers to look-ups.
             if new and is_address(info.entry) and is_address(info.peer):
                 self._states[info.host_id] = self._new(info, now)
-        if len(self._states) != known:
+        if len(self._states) != known_count:
             self._choose_neighbours()
             self._cached_groups = None
 
@@ -231,8 +253,8 @@
         self._drained = set(host_ids)
 
     def _is_alive(self, state: HostState, now: float) -> bool:
-        silence = now - state.last_heartbeat
-        return not state.broken and silence <= SUSPECT_HEARTBEATS * state.heartbeat_s
+        silence_s = now - state.last_heartbeat_at
+        return not state.broken and silence_s <= SUSPECT_HEARTBEATS * state.heartbeat_s
 
     def _live_by_list(self, state: HostState, now: float) -> bool:
         """Return whether a host is live by the list, without a recent heartbeat.
@@ -244,23 +266,27 @@
             return not state.broken or now - state.broken_at > RETRUST_S
         if state.broken:
             return False
-        no_heartbeat_yet = state.last_heartbeat == float("-inf")
-        return no_heartbeat_yet and now - state.first_seen <= LIST_GRACE_S
+        no_heartbeat_yet = state.last_heartbeat_at == float("-inf")
+        return no_heartbeat_yet and now - state.first_seen_at <= LIST_GRACE_S
 
-    def silence(self, host_id: str, now: float) -> float:
-        """Return the seconds since the last heartbeat of a host; 0 for this host.
+    def silence_s(self, host_id: str, now: float) -> float:
+        """Return the seconds since the last heartbeat of a host.
 
-        Counts from when the host became known if it has not sent one yet.
+        The time counts from when the host became known if that is later. It is 0 for
+        this host and infinite for an unknown one.
         """
         if host_id == self.own.host_id:
             return 0.0
         state = self._states.get(host_id)
         if state is None:
             return float("inf")
-        return now - max(state.last_heartbeat, state.first_seen)
+        return now - max(state.last_heartbeat_at, state.first_seen_at)
 
     def state_of(self, host_id: str, now: float) -> str:
-        """Return live, leaving or down."""
+        """Return the state of a host: `LIVE`, `LEAVING` or `DOWN`.
+
+        An unknown host is down.
+        """
         if host_id == self.own.host_id:
             return self.own_state
         state = self._states.get(host_id)
@@ -283,7 +309,7 @@
         yield from self._states.values()
 
     def info(self, host_id: str) -> HostInfo | None:
-        """Return a member by id."""
+        """Return a member by id, or None."""
         if host_id == self.own.host_id:
             return self.own
         state = self._states.get(host_id)
@@ -311,8 +337,8 @@
     def _next_change_at(self, state: HostState, now: float) -> float:
         """Return the next time at which a host's state may change without an event."""
         changes = (
-            state.last_heartbeat + SUSPECT_HEARTBEATS * state.heartbeat_s,
-            state.first_seen + LIST_GRACE_S,
+            state.last_heartbeat_at + SUSPECT_HEARTBEATS * state.heartbeat_s,
+            state.first_seen_at + LIST_GRACE_S,
             state.broken_at + RETRUST_S,
         )
         return min(
@@ -338,7 +364,7 @@
         """Return the live members of a failure domain."""
         return self._groups(now).by_domain.get(failure_domain, [])
 
-    def live_domains(self, now: float) -> int:
+    def live_domain_count(self, now: float) -> int:
         """Return the number of failure domains with a live member."""
         return len(self._groups(now).by_domain)
 
@@ -348,7 +374,10 @@
 
 
 class _Groups:
-    """Members by state, valid from `made_at` until `valid_until`."""
+    """Members by state, valid from `made_at` until `valid_until`.
+
+    `by_region` and `by_domain` contain the live members only.
+    """
 
     __slots__ = (
         "by_domain",
@@ -370,7 +399,7 @@
         self.by_region: dict[str, list[HostInfo]] = {}
 
     def add(self, info: HostInfo, state: str) -> None:
-        """Add a member to the groups of its state."""
+        """Add a member to the groups of its state; a member that is down has none."""
         if state == LIVE:
             self.live.append(info)
             self.by_region.setdefault(info.region, []).append(info)
--- a/lacewingcross/core/request_state.py
+++ b/lacewingcross/core/request_state.py
@@ -18,12 +18,16 @@
 
 @dataclass(slots=True)
 class HeldPermit:
-    """A permit for a slot of a backend server, used by one request at a time."""
+    """A permit for a slot of a backend server, used by one request at a time.
+
+    `keeper` is the host that gets the release, and `reuse_count` how often the permit
+    was passed on to another request.
+    """
 
     permit_id: int
     server_id: str
     keeper: str
-    reuses: int = 0
+    reuse_count: int = 0
 
 
 @dataclass(slots=True)
@@ -32,11 +36,24 @@
 
     Attributes
     ----------
-    deadline, give_up_at : float
+    deadline_at, give_up_at : float
         When the caller times out, and the earlier time at which a request without an
         attempt under way is refused, in seconds on the monotonic clock.
+    region : str
+        Region whose slots the request uses.
+    repeatable : bool
+        Whether running the request twice does no harm.
+    keeper : str
+        Host that was asked last: the keeper of the region's slots, or in the phase
+        `CLAIM` the owner of the key's shard.
+    asked_at, ask_again_at, resume_at : float
+        When the claim or the permit was last requested anew, when the request for the
+        permit is repeated, and when the phase `PAUSE` is over, in seconds on the
+        monotonic clock.
+    attempt, attempt_count : Attempt or None, int
+        The current or last attempt, and the number of attempts so far.
     exclude : set of str
-        Backend servers to avoid in further attempts.
+        Ids of the backend servers to avoid in further attempts.
     key_hash, claim : str
         Hash of the idempotency key and id of its claim; empty without a claim.
     may_have_run : bool
@@ -44,7 +61,7 @@
     """
 
     req: RequestArrived
-    deadline: float
+    deadline_at: float
     region: str
     repeatable: bool
     phase: Phase = Phase.PERMIT
@@ -54,7 +71,7 @@
     resume_at: float = 0.0
     held: HeldPermit | None = None
     attempt: Attempt | None = None
-    attempts: int = 0
+    attempt_count: int = 0
     exclude: set[str] = field(default_factory=set)
     key_hash: str = ""
     claim: str = ""
--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -9,6 +9,7 @@
 )
 from lacewingcross.core.roster import PeerView, Roster
 
+# Processor time of a large and of a small host, in cores.
 LARGE = 2.15
 SMALL = 0.43
 STEP_S = 0.1
@@ -34,14 +35,16 @@
 class FleetModel:
     """A fleet of rosters in virtual time, without network and store.
 
-    `cut` holds pairs of hosts that cannot reach each other, `dead` the crashed hosts.
+    `rosters` holds the roster of each host by id, `cut` pairs of ids of hosts that
+    cannot reach each other, and `dead` the ids of the crashed hosts. `knows` returns
+    whether a host has another one in the list that it reads at its start.
     """
 
-    def __init__(self, hosts, *, knows=lambda own, other: True, needed=6.0):
+    def __init__(self, hosts, *, knows=lambda own, other: True, cores_needed=6.0):
         self.now = 0.0
         self.dead = set()
         self.cut = set()
-        self.needed = needed
+        self.cores_needed = cores_needed
         self.rosters = {}
         for own in hosts:
             self.start(own, [other for other in hosts if knows(own, other)])
@@ -49,7 +52,7 @@
     def start(self, own, others):
         """Start or restart a host that has read a list of other hosts."""
         roster = Roster(own)
-        roster.needed = self.needed
+        roster.cores_needed = self.cores_needed
         roster.listed = True
         roster.starting = False
         for other in others:
--- a/tests/test_peer_selection.py
+++ b/tests/test_peer_selection.py
@@ -61,7 +61,7 @@
     # other host, the bytes that a host sends while the fleet starts would grow with the
     # square of the fleet.
     def hosts_sent(count):
-        fleet = FleetModel(equal_hosts(count), needed=1e9)
+        fleet = FleetModel(equal_hosts(count), cores_needed=1e9)
         fleet.advance(1.0)
         host_roster = next(iter(fleet.rosters.values()))
         full_view_receivers = full_view_peers(host_roster)
@@ -77,7 +77,7 @@
 
 
 def test_each_active_host_receives_enough_full_views():
-    fleet = FleetModel(equal_hosts(40), needed=1e9)
+    fleet = FleetModel(equal_hosts(40), cores_needed=1e9)
     fleet.advance(1.0)
     sender_counts = Counter(h for r in fleet.running() for h in full_view_peers(r))
     assert set(sender_counts.values()) == {FULL_VIEW_SENDERS}
@@ -88,7 +88,7 @@
 def test_changes_reach_every_active_host_in_two_steps(count):
     # One host receives a change from the store. It sends the change to about twenty
     # hosts at most, and each of these passes it on to the hosts of its group.
-    fleet = FleetModel(equal_hosts(count), needed=1e9)
+    fleet = FleetModel(equal_hosts(count), cores_needed=1e9)
     fleet.advance(1.0)
     watcher = fleet.rosters["h-3"]
     receivers = first_hops(watcher, fleet.now)
@@ -103,7 +103,7 @@
 
 
 def test_a_dead_host_is_not_chosen_to_pass_changes_on():
-    fleet = FleetModel(equal_hosts(60), needed=1e9)
+    fleet = FleetModel(equal_hosts(60), cores_needed=1e9)
     fleet.advance(1.0)
     watcher = fleet.rosters["h-3"]
     first = min(first_hops(watcher, fleet.now))
@@ -120,7 +120,7 @@
 def test_a_host_that_one_cannot_reach_is_alive_for_all_of_a_large_fleet():
     # The stream between two hosts is cut. Look-ups at one of them must still name the
     # other one, which is alive for all other hosts.
-    fleet = FleetModel(equal_hosts(40), needed=1e9)
+    fleet = FleetModel(equal_hosts(40), cores_needed=1e9)
     fleet.advance(1.0)
     fleet.cut.add(("h-0", "h-1"))
     fleet.advance(SILENT_AFTER_S + 1.0)
@@ -265,22 +265,24 @@
 
 
 def test_without_connecting_to_lost_hosts_a_cut_would_stay(monkeypatch):
-    # Without this guard, each side of a cut goes on alone after the cut has healed.
+    # Without requests to lost hosts, each side of a cut goes on alone after the cut has
+    # healed.
     monkeypatch.setattr(peer_selection, "_lost_active", lambda roster, now: iter(()))
     with pytest.raises(AssertionError):
         test_a_cut_between_regions_heals()
 
 
 def test_without_the_last_reports_a_host_would_consider_itself_alone(monkeypatch):
-    # Without this guard, the hosts that relays reported are forgotten as soon as the
-    # relays fall silent.
+    # If the last reports were not valid for `PEER_VIEW_VALID_S`, the hosts that relays
+    # reported would be forgotten as soon as the relays fall silent.
     monkeypatch.setattr(roster, "PEER_VIEW_VALID_S", SILENT_AFTER_S)
     with pytest.raises(AssertionError):
         test_a_host_that_loses_the_active_ones_of_its_region_is_not_alone()
 
 
 def test_without_counting_all_sharing_hosts_shares_would_exceed_the_whole(monkeypatch):
-    # Without this guard, each active host takes the whole share once it has settled.
+    # If the other sharing hosts did not count, each active host would take the whole
+    # share once it has settled.
     monkeypatch.setattr(
         fleet_shares, "_shares", lambda roster, host_id, entry, now: False
     )
