--- a/examples/drive_core.py
+++ b/examples/drive_core.py
@@ -1,8 +1,9 @@
-"""Drives two host cores without any I/O: own clock, own transport, own platform.
+"""Drives two host cores without any I/O, with its own clock, transport and platform.
 
-Shows what a driver owes the core: every event with the time, every action carried out
-in order, and a tick now and then (each 20 ms while `HostCore.busy`, else each 100 ms).
-Run it with ``python examples/drive_core.py``.
+The example shows what a driver has to do for the core: it passes every event together
+with the time, carries out every action in order, and passes a `Tick` every 20 ms while
+`HostCore.busy` is set and every 100 ms otherwise. Run it with
+``python examples/drive_core.py``.
 """
 
 import random
@@ -48,7 +49,7 @@
 
 
 class Driver:
-    """A clock, a transport that delivers in order, a platform that is a dict."""
+    """Drives the cores with a clock, an in-order transport and a platform in a dict."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -76,7 +77,7 @@
         self.run(2.0)
 
     def run(self, seconds: float) -> None:
-        """Let time pass in small steps."""
+        """Advance the clock in steps of `STEP_S` and complete the attempts due."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             for host_id in self.cores:
@@ -131,7 +132,7 @@
 
 
 def main() -> Driver:
-    """Send a hundred requests at once to both hosts and show what became of them."""
+    """Send 100 requests at once, spread over both hosts, and print the outcomes."""
     driver = Driver()
     driver.start()
     for num in range(100):
--- a/spec/caps.py
+++ b/spec/caps.py
@@ -1,7 +1,9 @@
-"""Shift caps: two planners, a store, a host; lost answers, restarts, skipped versions.
+"""Specification of the shift caps: how much traffic may move within a time window.
 
-Bounded check: every run of up to `STEPS` steps, each of which moves time on and lets
-one of the actors act. Each guard can be left out, which must give a counterexample.
+The model has two planners, a store and a host. Responses of the store can get lost,
+planners restart, and the host can skip plan versions. The check is bounded: it covers
+every run of up to `STEPS` steps. Each step lets time pass and one actor act. Each guard
+can be left out, and the check must then find a counterexample.
 """
 
 from dataclasses import dataclass
@@ -17,19 +19,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Guards:
-    """Which guards of the protocol are in place.
+    """The guards of the protocol that the model includes.
 
     Attributes
     ----------
     conditional : bool
-        A write succeeds only on the version that its planner has read.
+        A write succeeds only if the stored version is the one that its planner has
+        read.
     ledger : bool
-        Moves travel in the plan, and a planner counts each from its own first sight.
+        The plan lists the moves, and each planner counts a move from the time at which
+        it first read it.
     own_clock : bool
-        A move's age is taken from the reader's clock, not from a stamp by the writer,
-        whose clock may be behind.
+        The age of a move is measured by the reader's clock, not from a time stamp of
+        the writer, whose clock may be behind.
     host_limit : bool
-        A host follows the plan only within the cap on its own clock.
+        A host adopts the plan only within the cap, as measured by the host's own clock.
     """
 
     conditional: bool = True
@@ -39,7 +43,7 @@
 
 
 class CapModel:
-    """The unrolled runs as z3 constraints."""
+    """All runs of `STEPS` steps, expressed as z3 constraints."""
 
     def __init__(self, guards: Guards) -> None:
         self.guards = guards
@@ -73,7 +77,7 @@
         return z3.And(self._is(step, action), self.actor[step] == planner)
 
     def _last_read_is(self, planner: int, read: int, now: int) -> z3.BoolRef:
-        """Say that `planner` last read in step `read` and did not restart since."""
+        """Return the condition that `planner` last read in `read` and did not restart."""
         later = [
             z3.Not(z3.Or(self._acts(step, planner, READ), self._forgets(step, planner)))
             for step in range(read + 1, now)
@@ -84,9 +88,10 @@
         return self._acts(step, planner, RESTART)
 
     def _first_sight(self, planner: int, move: int, now: int) -> list[tuple]:
-        """Return (condition, time) for each step in which a move was first seen.
+        """Return (condition, time) for each step in which a move can be first read.
 
-        A restart forgets everything, so sight counts from the first read after it.
+        A restarted planner has lost its memory, so the first read after the restart
+        counts.
         """
         cases = []
         for read in range(move + 1, now):
@@ -114,16 +119,16 @@
         return cases
 
     def _counts(self, planner: int, move: int, now: int) -> z3.BoolRef:
-        """Say whether `planner` counts `move` against the cap in step `now`."""
+        """Return the condition that `planner` counts `move` against the cap in `now`."""
         if not self.guards.ledger:
-            # Only what the planner itself moved since it last started.
+            # The planner counts only the moves that it wrote since it last started.
             restarted = z3.Or(
                 [self._acts(mid, planner, RESTART) for mid in range(move, now)]
             )
             own = z3.And(self.actor[move] == planner, z3.Not(restarted))
             return z3.And(own, self.time[now] - self.time[move] <= WINDOW)
         if not self.guards.own_clock:
-            # The writer's stamp, by a clock that is behind.
+            # The writer's time stamp comes from a clock that is behind.
             stamp = self.time[move] - self.skew
             return self.time[now] - stamp <= WINDOW
         cases = self._first_sight(planner, move, now)
@@ -146,7 +151,7 @@
                     add(z3.Implies(z3.And(writes, last), fresh))
             known = []
             for move in range(step):
-                # What was written after the last read is not known to it.
+                # The planner does not know moves written after its last read.
                 seen = z3.Or(
                     [
                         z3.And(self._last_read_is(planner, read, step), read > move)
@@ -158,7 +163,7 @@
             add(z3.Implies(writes, self.moved[step] + z3.Sum(known or [0]) <= CAP))
 
     def _adopt(self, step: int) -> None:
-        """Let the host follow the newest plan, skipping versions as it likes."""
+        """Let the host adopt the newest plan; it may skip any number of versions."""
         add = self.solver.add
         follows = self._is(step, ADOPT)
         add(z3.Implies(z3.Not(follows), self.adopted[step] == 0))
@@ -186,15 +191,18 @@
         return z3.Or(cases)
 
     def plan_exceeds_cap(self) -> bool:
-        """Tell whether some run moves more than the cap in the stored plans."""
+        """Return whether in some run the stored plans move more than the cap."""
         return self._check(self._exceeds(self.moved))
 
     def host_exceeds_cap(self) -> bool:
-        """Tell whether some run moves more than the cap on the host."""
+        """Return whether in some run the host moves more than the cap."""
         return self._check(self._exceeds(self.adopted))
 
     def reaches_full_move(self) -> bool:
-        """Tell whether two whole caps can be moved at all (the model is not empty)."""
+        """Return whether a run can move twice the cap in all.
+
+        If no run could, the model would be empty and the other checks meaningless.
+        """
         return self._check(z3.Sum(self.adopted) >= 2 * CAP)
 
     def _check(self, claim: z3.BoolRef) -> bool:
--- a/spec/configuration.py
+++ b/spec/configuration.py
@@ -1,15 +1,22 @@
-"""Configuration versions: an inductive proof that a host never goes back.
+"""Specification of configuration versions: a host never returns to an older version.
 
-State: the version in force at a host and the highest version ever accepted. Steps: an
-entry arrives from the platform or a peer, of any version accepted so far; an operator's
-write is accepted. The invariant is preserved by every step, from any state.
+The proof is inductive. The state consists of the version in force at a host and the
+highest version ever accepted. There are two kinds of steps: an entry arrives from the
+platform or a peer, with any version accepted so far, or an operator's write is accepted. Every
+step, from any state, preserves the invariant.
 """
 
 import z3
 
 
 def reverts(*, only_upwards: bool) -> bool:
-    """Tell whether one step from a good state can lower the version in force."""
+    """Return whether one step from a valid state can lower the version in force.
+
+    Parameters
+    ----------
+    only_upwards : bool
+        The host ignores an entry that is not newer than the version in force.
+    """
     before, after = z3.Ints("before after")
     accepted, accepted_after = z3.Ints("accepted accepted_after")
     arriving = z3.Int("arriving")
@@ -29,16 +36,24 @@
 
 
 def lost_answer_misreports(*, write_id: bool, conditional_again: bool) -> bool:
-    """Tell whether a writer can report wrongly after its answer was lost.
+    """Return whether a writer can report a wrong result after a response was lost.
+
+    The writer sends one write on version v, which may take effect late. It then sends
+    the same write again, and reads the object back on a conflict.
 
-    One write on version v; its effect may come late. The writer sends the same write
-    again and reads back on a conflict. Without the id it cannot tell its own write from
-    another's; an unconditional repeat can take effect twice.
+    Parameters
+    ----------
+    write_id : bool
+        Writes carry an id. Without it, a writer cannot distinguish its own write from
+        that of another writer.
+    conditional_again : bool
+        The repeated write is conditional on the version. An unconditional repeat can
+        take effect twice.
     """
     first_took, other_took, reported_ok, effects = z3.Ints("first other ok effects")
     solver = z3.Solver()
     solver.add(first_took >= 0, first_took <= 1, other_took >= 0, other_took <= 1)
-    # The store takes one of two writers on the same version.
+    # The store accepts the write of only one of two writers on the same version.
     solver.add(first_took + other_took <= 1)
     again = z3.If(first_took + other_took == 0, 1, 0) if conditional_again else 1
     solver.add(effects == first_took + again)
--- a/spec/keeper.py
+++ b/spec/keeper.py
@@ -1,9 +1,13 @@
-"""Keeper change: a predecessor's permits, a successor, a host that pauses.
+"""Specification of a keeper change: two requests never run in one slot.
 
-Bounded check over the moments at which things happen: one slot, one host that holds
-or is about to use a permit of the first keeper, a second keeper that starts. The claim:
-the successor never grants the slot while the host, if it answers the query, still uses
-it; and a paused host never starts on a permit whose lease may be over.
+A keeper grants hosts the permits to use the slots of backend servers. The model has one
+slot, one host that holds or is about to use a permit of the first keeper, and a second
+keeper that starts as its successor. The host may pause. The check is bounded to these
+few actors and covers all times at which the events can happen.
+
+Two properties are checked. The successor never grants the slot while a host that
+answers the successor's query still uses it. A paused host never starts a request on a
+permit whose lease may be over.
 """
 
 import z3
@@ -16,11 +20,20 @@
 def overlaps(
     *, asks_holders: bool, waits_for_answers: bool, host_checks_lease: bool
 ) -> bool:
-    """Tell whether two requests can run in one slot.
+    """Return whether two requests can run in one slot.
+
+    The host either answers the query with the permits that it holds at that moment, or
+    does not answer. In the second case the successor goes on after `RECOVERY`, and the
+    host counts as paused until it wakes; the lease covers this case.
 
-    The host answers the query with what it holds at that moment, or not at all: then
-    the successor goes on after `RECOVERY`, and the host counts as paused until it
-    wakes, which is the case the lease covers.
+    Parameters
+    ----------
+    asks_holders : bool
+        The successor asks the hosts which permits they hold.
+    waits_for_answers : bool
+        The successor grants nothing before the host has answered or the lease is over.
+    host_checks_lease : bool
+        The host starts a request only within the first `START_PART` of the lease.
     """
     granted, started, ended = z3.Ints("granted started ended")
     successor, answered, regranted = z3.Ints("successor answered regranted")
@@ -28,16 +41,16 @@
     paused_since, woke = z3.Ints("paused_since woke")
     solver = z3.Solver()
     solver.add(granted >= 0, started >= granted, ended > started)
-    # The predecessor dies at or after the grant; its lease was known to the host.
+    # The predecessor crashes at or after the grant; the host knows the permit's lease.
     solver.add(successor >= granted)
     solver.add(answered >= successor, answered <= successor + RECOVERY)
-    # A host that answers is not paused around the answer; one that does not answer is
+    # A host that answers is not paused at that time. A host that does not answer is
     # paused from before the query until it wakes.
     silent = z3.And(paused_since <= successor, woke > successor + RECOVERY)
     solver.add(z3.Or(answers, silent))
     if host_checks_lease:
         solver.add(started <= granted + START_PART)
-    # A silent host starts nothing while it is paused.
+    # A silent host starts no request while it is paused.
     solver.add(
         z3.Implies(z3.Not(answers), z3.Or(started < paused_since, started >= woke))
     )
@@ -48,11 +61,11 @@
     else:
         earliest = successor
     solver.add(regranted >= earliest)
-    # Told of the permit, the successor grants the slot only after its end.
+    # A successor that knows of the permit grants the slot only after the request ended.
     solver.add(z3.Implies(told, regranted >= ended))
     running = z3.And(started <= regranted, ended > regranted)
     starts_late = z3.And(started > regranted, z3.Not(answers))
-    # A request that already runs when its host freezes is the backend server's to
-    # shed against; here only answering hosts and late starts are claimed.
+    # The properties cover only hosts that answer and requests that start late. If a
+    # request already runs when its host pauses, the backend server has to shed load.
     solver.add(z3.Or(z3.And(answers, running, granted <= answered), starts_late))
     return solver.check() == z3.sat
--- a/tests/test_drive_core.py
+++ b/tests/test_drive_core.py
@@ -1,4 +1,4 @@
-"""The example driver: the core runs under any clock and transport, repeatably."""
+"""The example driver runs the core under its own clock and transport, repeatably."""
 
 import importlib.util
 from pathlib import Path
@@ -16,7 +16,8 @@
 def test_driver_without_io_answers_or_refuses_everything_and_repeats_itself():
     first, second = _main(), _main()
     assert first.answered + first.refused == 100
-    # Four slots of 50 ms each for half a second of the one-second deadlines.
+    # Lower bound: four slots serve requests of 50 ms each for half a second of the
+    # deadlines of one second.
     assert 35 <= first.answered <= 100
     assert (first.answered, first.refused) == (second.answered, second.refused)
     assert first.sent_between_hosts == second.sent_between_hosts
--- a/tests/test_spec.py
+++ b/tests/test_spec.py
@@ -1,4 +1,4 @@
-"""The specifications hold, and each guard left out gives a counterexample."""
+"""The specifications hold, and leaving out any guard gives a counterexample."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 def test_host_exceeds_cap_without_its_own_limit():
-    """A host sleeps through a window and sees two whole moves at once."""
+    """A host pauses for a whole window and then reads two full moves at once."""
     assert CapModel(Guards(host_limit=False)).host_exceeds_cap()
 
 
