--- a/examples/drive_core.py
+++ b/examples/drive_core.py
@@ -82,7 +82,7 @@
             self.now += STEP_S
             for host_id in self.cores:
                 self._feed(host_id, Tick())
-            self._serve()
+            self._complete_attempts()
 
     def request(self, host_id: str, request_id: str) -> None:
         """Let a request arrive at a host."""
@@ -92,8 +92,8 @@
     def _feed(self, host_id: str, event: object) -> None:
         self._queue.append((host_id, event))
         while self._queue:
-            target, what = self._queue.popleft()
-            for action in self.cores[target].handle(what, self.now):
+            target, queued_event = self._queue.popleft()
+            for action in self.cores[target].handle(queued_event, self.now):
                 self._carry_out(target, action)
 
     def _carry_out(self, host_id: str, action: act.Action) -> None:
@@ -120,13 +120,17 @@
             for host_id in self.cores:
                 self._queue.append((host_id, ConfigSeen([entry], self._revision)))
 
-    def _serve(self) -> None:
+    def _complete_attempts(self) -> None:
         due = [item for item in self._running if item[0] <= self.now]
         self._running = [item for item in self._running if item[0] > self.now]
-        for _, host_id, order in due:
+        for _, host_id, attempt_action in due:
             self.answered += 1
             ended = AttemptEnded(
-                order.request_id, order.attempt, Ending.ANSWERED, SERVICE_S, 200
+                attempt_action.request_id,
+                attempt_action.attempt,
+                Ending.ANSWERED,
+                SERVICE_S,
+                200,
             )
             self._feed(host_id, ended)
 
--- a/spec/caps.py
+++ b/spec/caps.py
@@ -54,12 +54,12 @@
         self.moved = [z3.Int(f"moved_{s}") for s in range(STEPS)]
         self.adopted = [z3.Int(f"adopted_{s}") for s in range(STEPS)]
         self.skew = z3.Int("skew")
-        self._frame()
+        self._constrain_steps()
         for step in range(STEPS):
-            self._write(step)
-            self._adopt(step)
+            self._constrain_write(step)
+            self._constrain_adoption(step)
 
-    def _frame(self) -> None:
+    def _constrain_steps(self) -> None:
         add = self.solver.add
         add(self.time[0] == 0, self.skew >= 0, self.skew <= 3)
         for step in range(STEPS):
@@ -70,24 +70,29 @@
                 gap = self.time[step] - self.time[step - 1]
                 add(gap >= 0, gap <= WINDOW + 1)
 
-    def _is(self, step: int, action: int) -> z3.BoolRef:
+    def _has_action(self, step: int, action: int) -> z3.BoolRef:
         return self.action[step] == action
 
-    def _acts(self, step: int, planner: int, action: int) -> z3.BoolRef:
-        return z3.And(self._is(step, action), self.actor[step] == planner)
+    def _planner_has_action(self, step: int, planner: int, action: int) -> z3.BoolRef:
+        return z3.And(self._has_action(step, action), self.actor[step] == planner)
 
     def _last_read_is(self, planner: int, read: int, now: int) -> z3.BoolRef:
         """Return the condition that `planner` last read in `read` and did not restart."""
         later = [
-            z3.Not(z3.Or(self._acts(step, planner, READ), self._forgets(step, planner)))
+            z3.Not(
+                z3.Or(
+                    self._planner_has_action(step, planner, READ),
+                    self._restarts(step, planner),
+                )
+            )
             for step in range(read + 1, now)
         ]
-        return z3.And(self._acts(read, planner, READ), *later)
+        return z3.And(self._planner_has_action(read, planner, READ), *later)
 
-    def _forgets(self, step: int, planner: int) -> z3.BoolRef:
-        return self._acts(step, planner, RESTART)
+    def _restarts(self, step: int, planner: int) -> z3.BoolRef:
+        return self._planner_has_action(step, planner, RESTART)
 
-    def _first_sight(self, planner: int, move: int, now: int) -> list[tuple]:
+    def _first_read_cases(self, planner: int, move: int, now: int) -> list[tuple]:
         """Return (condition, time) for each step in which a move can be first read.
 
         A restarted planner has lost its memory, so the first read after the restart
@@ -98,9 +103,9 @@
             seen_before = z3.Or(
                 [
                     z3.And(
-                        self._acts(earlier, planner, READ),
+                        self._planner_has_action(earlier, planner, READ),
                         *[
-                            z3.Not(self._acts(mid, planner, RESTART))
+                            z3.Not(self._planner_has_action(mid, planner, RESTART))
                             for mid in range(earlier, now)
                         ],
                     )
@@ -108,22 +113,28 @@
                 ]
             )
             restarted = z3.Or(
-                [self._acts(mid, planner, RESTART) for mid in range(read, now)]
+                [
+                    self._planner_has_action(mid, planner, RESTART)
+                    for mid in range(read, now)
+                ]
             )
-            here = z3.And(
-                self._acts(read, planner, READ),
+            is_first_read = z3.And(
+                self._planner_has_action(read, planner, READ),
                 z3.Not(seen_before),
                 z3.Not(restarted),
             )
-            cases.append((here, self.time[read]))
+            cases.append((is_first_read, self.time[read]))
         return cases
 
-    def _counts(self, planner: int, move: int, now: int) -> z3.BoolRef:
+    def _counts_against_cap(self, planner: int, move: int, now: int) -> z3.BoolRef:
         """Return the condition that `planner` counts `move` against the cap in `now`."""
         if not self.guards.ledger:
             # The planner counts only the moves that it wrote since it last started.
             restarted = z3.Or(
-                [self._acts(mid, planner, RESTART) for mid in range(move, now)]
+                [
+                    self._planner_has_action(mid, planner, RESTART)
+                    for mid in range(move, now)
+                ]
             )
             own = z3.And(self.actor[move] == planner, z3.Not(restarted))
             return z3.And(own, self.time[now] - self.time[move] <= WINDOW)
@@ -131,24 +142,29 @@
             # The writer's time stamp comes from a clock that is behind.
             stamp = self.time[move] - self.skew
             return self.time[now] - stamp <= WINDOW
-        cases = self._first_sight(planner, move, now)
+        cases = self._first_read_cases(planner, move, now)
         return z3.Or(
-            [z3.And(here, self.time[now] - at <= WINDOW) for here, at in cases]
+            [
+                z3.And(is_first_read, self.time[now] - at <= WINDOW)
+                for is_first_read, at in cases
+            ]
         )
 
-    def _write(self, step: int) -> None:
+    def _constrain_write(self, step: int) -> None:
         add = self.solver.add
-        add(z3.Implies(z3.Not(self._is(step, WRITE)), self.moved[step] == 0))
+        add(z3.Implies(z3.Not(self._has_action(step, WRITE)), self.moved[step] == 0))
         for planner in range(PLANNERS):
-            writes = self._acts(step, planner, WRITE)
+            writes = self._planner_has_action(step, planner, WRITE)
             reads = [self._last_read_is(planner, read, step) for read in range(step)]
             add(z3.Implies(writes, z3.Or(reads)))
             if self.guards.conditional:
                 for read in range(step):
-                    between = [self._is(mid, WRITE) for mid in range(read, step)]
-                    fresh = z3.Not(z3.Or(between))
-                    last = self._last_read_is(planner, read, step)
-                    add(z3.Implies(z3.And(writes, last), fresh))
+                    between = [
+                        self._has_action(mid, WRITE) for mid in range(read, step)
+                    ]
+                    unchanged = z3.Not(z3.Or(between))
+                    is_last_read = self._last_read_is(planner, read, step)
+                    add(z3.Implies(z3.And(writes, is_last_read), unchanged))
             known = []
             for move in range(step):
                 # The planner does not know moves written after its last read.
@@ -158,27 +174,33 @@
                         for read in range(step)
                     ]
                 )
-                counted = z3.And(seen, self._counts(planner, move, step))
+                counted = z3.And(seen, self._counts_against_cap(planner, move, step))
                 known.append(z3.If(counted, self.moved[move], 0))
             add(z3.Implies(writes, self.moved[step] + z3.Sum(known or [0]) <= CAP))
 
-    def _adopt(self, step: int) -> None:
+    def _constrain_adoption(self, step: int) -> None:
         """Let the host adopt the newest plan; it may skip any number of versions."""
         add = self.solver.add
-        follows = self._is(step, ADOPT)
-        add(z3.Implies(z3.Not(follows), self.adopted[step] == 0))
+        adopts = self._has_action(step, ADOPT)
+        add(z3.Implies(z3.Not(adopts), self.adopted[step] == 0))
         written = z3.Sum([self.moved[s] for s in range(step)] or [0])
         before = z3.Sum([self.adopted[s] for s in range(step)] or [0])
-        goal = written - before
+        outstanding = written - before
         if not self.guards.host_limit:
-            add(z3.Implies(follows, self.adopted[step] == goal))
+            add(z3.Implies(adopts, self.adopted[step] == outstanding))
             return
         recent = [
             z3.If(self.time[step] - self.time[s] <= WINDOW, self.adopted[s], 0)
             for s in range(step)
         ]
-        left = CAP - z3.Sum(recent or [0])
-        add(z3.Implies(follows, self.adopted[step] == z3.If(goal < left, goal, left)))
+        remaining = CAP - z3.Sum(recent or [0])
+        add(
+            z3.Implies(
+                adopts,
+                self.adopted[step]
+                == z3.If(outstanding < remaining, outstanding, remaining),
+            )
+        )
 
     def _exceeds(self, amounts: list) -> z3.BoolRef:
         cases = []
--- a/spec/configuration.py
+++ b/spec/configuration.py
@@ -20,17 +20,17 @@
     before, after = z3.Ints("before after")
     accepted, accepted_after = z3.Ints("accepted accepted_after")
     arriving = z3.Int("arriving")
-    taken = z3.If(arriving > before, arriving, before) if only_upwards else arriving
-    good = z3.And(before >= 0, before <= accepted)
+    in_force = z3.If(arriving > before, arriving, before) if only_upwards else arriving
+    valid = z3.And(before >= 0, before <= accepted)
     arrives = z3.And(
         arriving >= 0,
         arriving <= accepted,
-        after == taken,
+        after == in_force,
         accepted_after == accepted,
     )
     accepts = z3.And(after == before, accepted_after > accepted)
     solver = z3.Solver()
-    solver.add(good, z3.Or(arrives, accepts))
+    solver.add(valid, z3.Or(arrives, accepts))
     solver.add(z3.Or(after < before, after > accepted_after))
     return solver.check() == z3.sat
 
@@ -50,21 +50,30 @@
         The repeated write is conditional on the version. An unconditional repeat can
         take effect twice.
     """
-    first_took, other_took, reported_ok, effects = z3.Ints("first other ok effects")
+    first_accepted, other_accepted, reported_ok, effects = z3.Ints(
+        "first other ok effects"
+    )
     solver = z3.Solver()
-    solver.add(first_took >= 0, first_took <= 1, other_took >= 0, other_took <= 1)
+    solver.add(
+        first_accepted >= 0,
+        first_accepted <= 1,
+        other_accepted >= 0,
+        other_accepted <= 1,
+    )
     # The store accepts the write of only one of two writers on the same version.
-    solver.add(first_took + other_took <= 1)
-    again = z3.If(first_took + other_took == 0, 1, 0) if conditional_again else 1
-    solver.add(effects == first_took + again)
-    own = effects >= 1
-    says_own = own if write_id else z3.Bool("guess")
-    solver.add(reported_ok == z3.If(z3.Or(again == 1, says_own), 1, 0))
+    solver.add(first_accepted + other_accepted <= 1)
+    repeat_effects = (
+        z3.If(first_accepted + other_accepted == 0, 1, 0) if conditional_again else 1
+    )
+    solver.add(effects == first_accepted + repeat_effects)
+    took_effect = effects >= 1
+    recognized_own = took_effect if write_id else z3.Bool("guess")
+    solver.add(reported_ok == z3.If(z3.Or(repeat_effects == 1, recognized_own), 1, 0))
     wrong = z3.Or(
         z3.And(reported_ok == 1, effects == 0),
         z3.And(reported_ok == 0, effects >= 1),
         effects > 1,
-        z3.And(other_took == 1, effects >= 1),
+        z3.And(other_accepted == 1, effects >= 1),
     )
     solver.add(wrong)
     return solver.check() == z3.sat
--- a/spec/keeper.py
+++ b/spec/keeper.py
@@ -14,7 +14,7 @@
 
 LEASE = 10
 RECOVERY = 2
-START_PART = 5
+START_LIMIT = 5
 
 
 def overlaps(
@@ -33,7 +33,7 @@
     waits_for_answers : bool
         The successor grants nothing before the host has answered or the lease is over.
     host_checks_lease : bool
-        The host starts a request only within the first `START_PART` of the lease.
+        The host starts a request only within the first `START_LIMIT` of the lease.
     """
     granted, started, ended = z3.Ints("granted started ended")
     successor, answered, regranted = z3.Ints("successor answered regranted")
@@ -49,20 +49,20 @@
     silent = z3.And(paused_since <= successor, woke > successor + RECOVERY)
     solver.add(z3.Or(answers, silent))
     if host_checks_lease:
-        solver.add(started <= granted + START_PART)
+        solver.add(started <= granted + START_LIMIT)
     # A silent host starts no request while it is paused.
     solver.add(
         z3.Implies(z3.Not(answers), z3.Or(started < paused_since, started >= woke))
     )
     holds = z3.And(granted <= answered, ended > answered)
-    told = z3.And(answers, holds) if asks_holders else z3.BoolVal(False)
+    permit_known = z3.And(answers, holds) if asks_holders else z3.BoolVal(False)
     if waits_for_answers:
         earliest = z3.If(answers, answered, successor + LEASE)
     else:
         earliest = successor
     solver.add(regranted >= earliest)
     # A successor that knows of the permit grants the slot only after the request ended.
-    solver.add(z3.Implies(told, regranted >= ended))
+    solver.add(z3.Implies(permit_known, regranted >= ended))
     running = z3.And(started <= regranted, ended > regranted)
     starts_late = z3.And(started > regranted, z3.Not(answers))
     # The properties cover only hosts that answer and requests that start late. If a
--- a/tests/test_spec.py
+++ b/tests/test_spec.py
@@ -36,11 +36,11 @@
 
 
 def test_keeper_change_never_gives_a_used_slot_away():
-    everything = {
+    all_guards = {
         "asks_holders": True,
         "waits_for_answers": True,
         "host_checks_lease": True,
     }
-    assert not overlaps(**everything)
-    for guard in everything:
-        assert overlaps(**{**everything, guard: False}), guard
+    assert not overlaps(**all_guards)
+    for guard in all_guards:
+        assert overlaps(**{**all_guards, guard: False}), guard
