--- a/spec/caps.py
+++ b/spec/caps.py
@@ -77,7 +77,7 @@
         return z3.And(self._has_action(step, action), self.actor[step] == planner)
 
     def _last_read_is(self, planner: int, read: int, now: int) -> z3.BoolRef:
-        """Return the condition that `planner` last read in `read` and did not restart."""
+        """Return the condition that `planner` last read in `read`, with no restart."""
         later = [
             z3.Not(
                 z3.Or(
@@ -127,7 +127,7 @@
         return cases
 
     def _counts_against_cap(self, planner: int, move: int, now: int) -> z3.BoolRef:
-        """Return the condition that `planner` counts `move` against the cap in `now`."""
+        """Return the condition that `planner` counts `move` in step `now`."""
         if not self.guards.ledger:
             # The planner counts only the moves that it wrote since it last started.
             restarted = z3.Or(
--- a/spec/configuration.py
+++ b/spec/configuration.py
@@ -2,8 +2,8 @@
 
 The proof is inductive. The state consists of the version in force at a host and the
 highest version ever accepted. There are two kinds of steps: an entry arrives from the
-platform or a peer, with any version accepted so far, or an operator's write is accepted. Every
-step, from any state, preserves the invariant.
+platform or a peer, with any version accepted so far, or an operator's write is
+accepted. Every step, from any state, preserves the invariant.
 """
 
 import z3
