--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Fault soak: entry hosts as real processes, faults from outside, promises checked."""
+"""Fault soak: runs entry hosts as processes, injects faults, checks the guarantees."""
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Command of the soak: python -m bench.soak --seed 7, or --minutes 5."""
+"""Command line of the soak: python -m bench.soak --seed 7, or --minutes 5."""
 
 import json
 import secrets
@@ -26,25 +26,26 @@
     callers: int = USUAL.callers,
     to: str = "soak-results",
 ) -> None:
-    """Play seeded runs with faults and report which promises broke.
+    """Perform seeded runs with faults and report which guarantees were violated.
 
-    Exit status 1 when one did. The logs of its hosts are kept then.
+    The exit status is 1 when one was violated; the hosts' logs of that run are kept.
 
     Parameters
     ----------
     seed : int
-        First seed; the next runs count up from it. -1 draws fresh ones.
+        First seed; each further run takes the next number. -1 draws random seeds.
     seeds : int
-        How many runs.
+        Number of runs.
     minutes : float
-        Play on for so long, whatever `seeds` says.
+        Start further runs until this time has passed, even beyond `seeds`.
     hosts, servers, callers : int
-        Size of each run.
+        Number of hosts, servers and callers in each run.
     to : str
         Directory for results, plots and logs.
     """
-    # Failure: the soak is stopped and its hosts live on; their calls then reach the
-    # servers of the next run, which takes them for requests that nobody sent.
+    # Guards against hosts that keep running after the soak was stopped by SIGTERM. Their
+    # calls would reach the servers of the next run, which would report them as requests
+    # that no caller sent.
     signal.signal(signal.SIGTERM, _interrupt)
     size = Size(hosts, servers, callers)
     ends = time.monotonic() + 60.0 * minutes
@@ -67,7 +68,7 @@
 
 
 def _save(result: Result, directory: Path) -> None:
-    """Write result and plot; the hosts' logs stay only where something broke."""
+    """Write result and plot; delete the hosts' logs if no guarantee was violated."""
     text = json.dumps(result.as_data(), indent=1)
     (directory / "result.json").write_text(text)
     draw_series(result, directory / "series.png")
--- a/bench/soak/accounts.py
+++ b/bench/soak/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts of the soak, and what servers and callers must see of them."""
+"""Client accounts of the soak, and checks of the guarantees that concern them."""
 
 from bisect import bisect_left
 from collections.abc import Iterator
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from .ledger import Ledger
 
-# Callers that nothing limits, one that floods its account, and one with a key that
-# every second version takes away.
+# An account without a limit, an account that sends far more than its quota, and an
+# account whose key only every second configuration version contains.
 USUAL = "usual"
 FLOODED = "flooded"
 PASSING = "passing"
@@ -22,12 +22,12 @@
 
 
 def holds(account: str, version: int) -> bool:
-    """Tell whether an account has its key in a version."""
+    """Return whether a configuration version contains the account's key."""
     return account != PASSING or version % 2 == 1
 
 
 def stored_accounts(version: int) -> dict:
-    """Return the accounts of a version as they stand in the store."""
+    """Return the accounts of a configuration version in the format of the store."""
     found = {
         name: {"api_keys": [key] if holds(name, version) else [], "home_regions": []}
         for name, key in KEYS.items()
@@ -37,7 +37,7 @@
 
 
 def broken_accounts(ledger: "Ledger") -> Iterator[Broken]:
-    """Yield what was run for the wrong account, or with its key handed on."""
+    """Yield requests that ran for another account, or that carried the account's key."""
     for runs in ledger.runs.values():
         for run in runs:
             sent = ledger.sent.get(run.request_id)
@@ -50,7 +50,7 @@
 
 
 def broken_keys(ledger: "Ledger") -> Iterator[Broken]:
-    """Yield keys that were in force too long, or not yet in force."""
+    """Yield keys that were accepted too long after removal, or refused while valid."""
     for reply in ledger.replies:
         sent = ledger.sent[reply.request_id]
         if not sent.account or reply.status not in (200, 401):
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -1,4 +1,7 @@
-"""Callers of the soak: they ask the directory, keep connections, check answers."""
+"""Callers of the soak.
+
+They look up hosts in the directory, keep or close connections, and record responses.
+"""
 
 import asyncio
 import itertools
@@ -19,28 +22,32 @@
 from .ledger import BAD, BAD_TARGET, DEADLINE_S, Reply, Sent
 from .world import HOST_NAME, World
 
-# A caller hears of the end of its time a little later; beyond that it was left waiting.
+# Seconds after its deadline by which a caller must have a response, since the response
+# takes some time to arrive. Later than that the host kept it waiting.
 HELD_AFTER_S = 1.0
 OBJECTS = 60
 UPLOAD_BYTES = 60_000
-# Share of callers that keep one connection until the host closes it.
+# Share of callers that keep a connection open until the host closes it.
 KEEPS = 0.6
 LOOKUP_EVERY_S = 1.0
 PROBE_EVERY_S = 0.12
 PAUSE_S = (0.02, 0.25)
-# Requests of the account that floods, and pauses of the one whose key comes and goes,
-# in seconds: eight times the quota, over all hosts.
+# Seconds between requests of the flooding account, over all hosts: eight times its
+# quota. The second constant is for the account whose key comes and goes.
 FLOOD_EVERY_S = 0.0125
 PASSING_EVERY_S = 0.1
-# Connections that each flooding caller keeps.
+# Number of flooding callers; each keeps one connection.
 FLOOD_CALLERS = 8
-# Pause before the request that ends servers comes again, in seconds.
+# Pause before the request that crashes servers is sent again, in seconds.
 BAD_PAUSE_S = (0.1, 0.4)
 
 
 @dataclass(slots=True)
 class Question:
-    """A request before it is sent."""
+    """A request to be sent.
+
+    `version` is the configuration version that it probes, or 0.
+    """
 
     kind: str
     service: str
@@ -57,9 +64,9 @@
     Parameters
     ----------
     world : World
-        Where they ask.
+        The run whose hosts they call.
     rng : random.Random
-        Source of what they ask and when.
+        Random source for the requests and their times.
     """
 
     def __init__(self, world: World, rng: random.Random) -> None:
@@ -68,7 +75,7 @@
         self._numbers = itertools.count(1)
 
     def tasks(self, callers: int) -> list[asyncio.Task[None]]:
-        """Start the callers, and one prober for each host."""
+        """Start the callers, and for each host a task that probes its configuration."""
         loop = asyncio.get_running_loop()
         running = [loop.create_task(self._call(number)) for number in range(callers)]
         hosts = range(len(self._world.hosts))
@@ -102,7 +109,7 @@
                 conn = _close(conn)
 
     async def _probe(self, host: int) -> None:
-        """Ask one host for routes that only one version has."""
+        """Request routes from one host that only one configuration version contains."""
         conn: ClientConnection | None = None
         while True:
             await asyncio.sleep(PROBE_EVERY_S)
@@ -115,9 +122,9 @@
             conn = await self._ask(conn, host, question)
 
     async def _repeat_bad(self) -> None:
-        """Send a request that ends servers again and again, to any host.
+        """Send a request that crashes servers repeatedly, to random hosts.
 
-        Draws from a source of its own, so that the other callers do what they did.
+        The random source is separate, so that the other callers draw the same values.
         """
         rng = random.Random(len(self._world.hosts))
         question = Question(BAD, "calendar", "GET", BAD_TARGET)
@@ -131,9 +138,9 @@
                 _close(conn)
 
     async def _press(self, account: str, number: int, pause_s: float) -> None:
-        """Read for an account all the time, at one host after the other.
+        """Send reads for an account continuously, and change the host at times.
 
-        Draws from a source of its own, so that the other callers do what they did.
+        The random source is separate, so that the other callers draw the same values.
         """
         rng = random.Random(f"{account}-{number}")
         conn: ClientConnection | None = None
@@ -168,7 +175,7 @@
             response = await http.request("GET", target, timeout_s=1.0)
             named = json.loads(response.body)["addresses"]
         except (HttpError, ValueError, KeyError):
-            # A host that is down or paused; the caller goes on with what it knows.
+            # The host is down or paused; the caller keeps the addresses that it has.
             return []
         finally:
             http.close()
@@ -204,7 +211,7 @@
         return conn
 
     def _held(self, sent: Sent) -> bool:
-        """Tell whether an undisturbed host let a caller wait beyond its deadline."""
+        """Return whether the host was undisturbed, so it must answer by the deadline."""
         ledger = self._world.ledger
         now = self._world.now()
         return not ledger.hosts[sent.host].near(sent.at, now)
--- a/bench/soak/faults.py
+++ b/bench/soak/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a schedule on the world, each for its time."""
+"""Injects the scheduled faults into a soak run, each for its duration."""
 
 import asyncio
 import signal
@@ -9,10 +9,10 @@
 from .servers import SoakServer
 from .world import RESTART_S, SERVES_ON_S, Host, World
 
-# The users' platform kills a process that is still there so long after SIGTERM.
+# Seconds after SIGTERM at which the users' platform kills a process that still runs.
 GRACE_S = 6.0
-# A short outage of this length is all that a whole fleet gets, in seconds: callers are
-# to be served for most of a run.
+# Length of an outage of all hosts, in seconds. It is short, because callers should be
+# served during most of a run.
 KILL_ALL_DARK_S = 1.0
 LINK_DELAY_S = 0.15
 STORE_SLOW_S = 0.25
@@ -22,7 +22,7 @@
 
 
 async def strike(world: World, faults: list[Fault]) -> None:
-    """Carry out all faults, each at its time, and wait for the last one's end."""
+    """Inject all faults, each at its time, and return when the last one has ended."""
     running = [asyncio.ensure_future(_at_its_time(world, fault)) for fault in faults]
     try:
         await asyncio.gather(*running)
@@ -44,9 +44,6 @@
     return world.servers[fault.target % len(world.servers)]
 
 
-# Processes
-
-
 async def _host_kill(world: World, fault: Fault) -> None:
     host = _host(world, fault)
     world.disturb(host, fault.kind, RESTART_S + 1.0)
@@ -54,7 +51,10 @@
 
 
 async def _host_power(world: World, fault: Fault) -> None:
-    """Kill a process behind silent links, so that nobody sees its connections end."""
+    """Kill a process behind silent links, so that no peer sees its connections close.
+
+    This is how a power failure of the machine looks to its peers.
+    """
     host = _host(world, fault)
     world.disturb(host, fault.kind, fault.for_s + 1.0)
     proxies = (host.callers, host.peers, host.store)
@@ -93,9 +93,6 @@
     world.signal(host, signal.SIGHUP)
 
 
-# Links
-
-
 def _link(which: str, harm: Harm) -> Act:
     async def act(world: World, fault: Fault) -> None:
         host = _host(world, fault)
@@ -108,9 +105,6 @@
     return act
 
 
-# Backend servers
-
-
 async def _server_crash(world: World, fault: Fault) -> None:
     if len(world.servers) <= FEWEST_SERVERS:
         return
@@ -131,7 +125,7 @@
 
 
 async def _server_reuse(world: World, fault: Fault) -> None:
-    """Give a dead server's address to one of another service."""
+    """Crash a server and give its address to a server of another service."""
     server = _server(world, fault)
     if server.leaving or len(world.servers) <= FEWEST_SERVERS:
         return
@@ -156,7 +150,7 @@
 
 
 async def _server_limit(world: World, fault: Fault) -> None:
-    """Let a server name a limit far below what it gets."""
+    """Let a server request a rate limit far below the rate that it receives."""
     server = _server(world, fault)
     if server.mood.limit is not None:
         return
@@ -167,7 +161,10 @@
 
 
 async def _server_leaving_word(world: World, fault: Fault) -> None:
-    """Let a server leave by its answers alone; the store is not told before it ends."""
+    """Let a server announce in its responses alone that it is draining.
+
+    The store has no report of it before the server stops.
+    """
     server = _server(world, fault)
     if server.leaving or server.mood.leaving_word:
         return
@@ -178,16 +175,16 @@
 
 
 async def _server_rest(world: World, fault: Fault) -> None:
-    """Let a server turn everything away, and ask for rest, half of the time."""
+    """Let a server refuse all requests with a back-off for half the fault's duration.
+
+    The server requests half of the fault's duration as back-off (Retry-After).
+    """
     mood = _server(world, fault).mood
     mood.rest_s = fault.for_s / 2
     await asyncio.sleep(fault.for_s / 2)
     mood.rest_s = 0.0
 
 
-# The store and the operators
-
-
 def _store(**wrong: object) -> Act:
     async def act(world: World, fault: Fault) -> None:
         faults = world.store.faults
--- a/bench/soak/findings.py
+++ b/bench/soak/findings.py
@@ -1,11 +1,21 @@
-"""What a run of the soak shows to be broken."""
+"""A violation of a guarantee, as found by a run of the soak."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Broken:
-    """A promise that did not hold."""
+    """A guarantee that did not hold.
+
+    Attributes
+    ----------
+    rule : str
+        Short name of the guarantee.
+    at : float
+        When it was violated, in seconds from the start of the run.
+    what : str
+        Description of the violation.
+    """
 
     rule: str
     at: float
--- a/bench/soak/ledger.py
+++ b/bench/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What callers and backend servers saw, and which promises that breaks."""
+"""Records what callers and backend servers observed, and finds violated guarantees."""
 
 import hashlib
 from bisect import bisect_left, bisect_right
@@ -15,44 +15,55 @@
     broken_words,
 )
 
-# The promises of the deployment that the soak settings give, in seconds.
+# Time bounds in seconds that the soak's settings and the deployment guarantee.
 EVACUATION_S = 5.0
 CONFIG_APPLY_S = 2.5
 STABLE_S = 3.0
-# A route of an older version may be seen this long after a newer one, in seconds: two
-# requests may cross.
+# Seconds for which a route of an older version may still be served after a newer one
+# was: two concurrent requests may overtake each other.
 REVERT_SLACK_S = 0.25
 RETRY_RATIO = 0.2
 RETRY_EXTRA = 64
 RETRY_WINDOW_S = 10.0
-# Part of the reads of the last calm seconds that must succeed. The users ask for a
-# quarter of what was served before.
+# Share of the reads in the last, undisturbed seconds that must succeed. The users
+# require only a quarter of what was served before the faults.
 RECOVERED = 0.8
-# Callers' deadline, in seconds.
+# Deadline of the callers' requests, in seconds.
 DEADLINE_S = 2.0
-# Answers that promise that the request has not run and never will.
+# Status codes that guarantee that the request has not run and never will.
 NOT_RUN = (408, 421, 429, 503)
-# A read that ends each server which begins to run it, and its kind.
+# Kind and target of a read that crashes each server which begins to run it.
 BAD = "bad"
 BAD_TARGET = "/calendar/ends-servers"
 REPEATABLE = ("read", BAD)
-# Servers that may end under one request, and its runs that may come later than
-# `STABLE_S` after that from hosts that nothing has disturbed.
+# Servers that may crash while they run one request, and how many more runs of it
+# undisturbed hosts may cause later than `STABLE_S` after that.
 MAX_CRASHES_PER_REQUEST = 3
 LATE_MOST = 3
-# Time bounds are judged while the soak's own loop is late by less, in seconds.
+# Time bounds are judged only while the soak's own event loop is late by at most this, in
+# seconds.
 OWN_LAG_S = 0.25
 
 
 def signature(server_id: str, request_id: str, status: int, body: bytes) -> str:
-    """Return what a server signs its answer with."""
+    """Return the signature of a response: the server's id and a hash."""
     text = f"{server_id}.{request_id}.{status}.".encode() + body
     return f"{server_id}.{hashlib.blake2b(text, digest_size=8).hexdigest()}"
 
 
 @dataclass(slots=True, frozen=True)
 class Sent:
-    """One request as its caller sent it; `version` for those that probe it."""
+    """One request as its caller sent it.
+
+    Attributes
+    ----------
+    host, incarnation : int
+        Index of the host, and how often its process had been started.
+    at : float
+        When it was sent, in seconds from the start of the run.
+    version : int
+        The configuration version that the request probes, or 0.
+    """
 
     request_id: str
     kind: str
@@ -68,7 +79,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """How a request ended for its caller; status 0 when there was no whole answer."""
+    """The outcome of a request for its caller.
+
+    `status` is 0 when no complete response arrived; `why` then names the failure.
+    """
 
     request_id: str
     status: int
@@ -80,9 +94,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """One request that a server began to work on.
+    """One request that a server began to run.
 
-    `account` is what the server was told, `key_claims` whether it got credentials.
+    `account` is the account named to the server, and `keyed` says whether the server
+    received the caller's credentials.
     """
 
     request_id: str
@@ -96,16 +111,16 @@
 
 @dataclass(slots=True)
 class Spans:
-    """Spans of time in which something was disturbed."""
+    """Periods of time in which faults disturbed a host or the store."""
 
     spans: list[tuple[float, float, str]] = field(default_factory=list)
 
     def add(self, begin: float, end: float, why: str) -> None:
-        """Note a disturbance."""
+        """Record a disturbance and its cause."""
         self.spans.append((begin, end, why))
 
     def near(self, begin: float, end: float) -> set[str]:
-        """Return what was disturbed between two moments or shortly before."""
+        """Return the causes of disturbances in a period or up to `STABLE_S` before."""
         return {
             why
             for start, stop, why in self.spans
@@ -115,7 +130,37 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Everything that was seen in one run."""
+    """The observations of one run.
+
+    Attributes
+    ----------
+    sent : dict of str to Sent
+        The callers' requests by id.
+    runs : dict of str to list of Run
+        The runs of each request at servers.
+    ends : list of tuple
+        Time and request id of each crash of a server by a request.
+    arrivals : list of tuple
+        Time, service and request id of each request that reached a server.
+    left : dict of str to float
+        When the store had no more entry of a server as ready.
+    evacuated : dict of str to list of tuple
+        For each failure domain, begin and end of its evacuations.
+    accepted : dict of int to float
+        When each configuration version was stored.
+    hosts : dict of int to Spans
+        Disturbances of each host.
+    core : Spans
+        Disturbances of the store.
+    own_lags : list of tuple
+        Time and lag in seconds whenever the soak's own event loop was late.
+    ended_alone : list of tuple
+        Time, host and exit code of each process that exited without a fault.
+    calm_from, calm_to : float
+        The undisturbed period at the end, in which reads must succeed.
+    unjudged : int
+        Time bounds that were not judged because the event loop was late.
+    """
 
     sent: dict[str, Sent] = field(default_factory=dict)
     replies: list[Reply] = field(default_factory=list)
@@ -137,7 +182,7 @@
     unjudged: int = 0
 
     def broken(self) -> list[Broken]:
-        """Return every promise that did not hold, in order of time."""
+        """Return every violation of a guarantee, in order of time."""
         found: list[Broken] = []
         for reply in self.replies:
             found += self._of_reply(reply)
@@ -159,8 +204,6 @@
         ]
         return sorted(found, key=lambda item: item.at)
 
-    # Requests and answers
-
     def _of_reply(self, reply: Reply) -> list[Broken]:
         sent = self.sent[reply.request_id]
         found = []
@@ -209,7 +252,7 @@
         return found
 
     def _late(self, sent: Sent, run: Run) -> list[Broken]:
-        """Return work that came to a server long after it had left or was evacuated."""
+        """Return runs at a server too long after it left or was evacuated."""
         found = []
         left = self.left.get(run.server_id)
         if left is not None and self._bound_over(sent, left, DRAIN_S, run.at):
@@ -223,10 +266,8 @@
                 found.append(Broken("EVAC", run.at, text))
         return found
 
-    # Time bounds
-
     def _bound_over(self, sent: Sent, since: float, bound_s: float, at: float) -> bool:
-        """Tell whether an undisturbed host is past a bound that began at `since`."""
+        """Return whether an undisturbed host exceeded a bound that began at `since`."""
         if at <= since + bound_s:
             return False
         calm = self._undisturbed(sent.host, since, at)
@@ -239,10 +280,11 @@
         return not self.hosts[host].near(begin, end) and not self.core.near(begin, end)
 
     def versions_at(self, sent: Sent) -> set[int]:
-        """Return the versions that a host may have gone by when a request came.
+        """Return the versions that may have been in force at the host of a request.
 
-        These are all that were accepted since its bound, and the one before them; any
-        at a host that was disturbed.
+        These are all versions that were accepted within `CONFIG_APPLY_S` before the
+        request or before its deadline, and the newest one before them. At a disturbed
+        host it may be any version.
         """
         if not self._undisturbed(sent.host, sent.at - CONFIG_APPLY_S, sent.at):
             return set(self.accepted)
@@ -285,7 +327,7 @@
         return found
 
     def _stale(self, sent: Sent, reply: Reply) -> list[Broken]:
-        """Return whether a version was in force too late, or too long."""
+        """Return a violation if a version came into force too late, or stayed too long."""
         text = f"host {sent.host}, version {sent.version}: {reply.status}"
         since = self.accepted.get(sent.version)
         after = self.accepted.get(sent.version + 1)
@@ -298,8 +340,6 @@
             return [Broken("CONFIG", reply.at, f"{text}, dropped at {after:.2f}")]
         return []
 
-    # Over the whole run
-
     def _retries(self) -> list[Broken]:
         found = []
         asked: dict[str, list[float]] = defaultdict(list)
@@ -325,7 +365,7 @@
         return found
 
     def _late_bad_runs(self) -> list[Broken]:
-        """Return whether a request that ends servers went on reaching them."""
+        """Return a violation if a request that crashes servers kept reaching them."""
         if len(self.ends) < MAX_CRASHES_PER_REQUEST:
             return []
         since = self.ends[MAX_CRASHES_PER_REQUEST - 1][0] + STABLE_S
--- a/bench/soak/plot.py
+++ b/bench/soak/plot.py
@@ -1,4 +1,4 @@
-"""Plot of one run: answers each second, and the faults below them."""
+"""Plots one run: the responses in each second, and below them the faults."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 
 def draw_series(result: Result, path: Path) -> None:
-    """Write the plot of a run as PNG."""
+    """Write the plot of a run to a PNG file."""
     figure, (answers, faults) = plt.subplots(2, 1, sharex=True, figsize=(9, 6))
     seconds = [row[0] for row in result.series]
     for column, name in enumerate(("served", "refused", "failed"), start=1):
--- a/bench/soak/proxy.py
+++ b/bench/soak/proxy.py
@@ -1,4 +1,7 @@
-"""A loopback TCP proxy that delays, resets, silences and cuts one way."""
+"""A loopback TCP proxy that can delay, reset or silence connections.
+
+It can silence a single direction.
+"""
 
 import asyncio
 from dataclasses import dataclass
@@ -10,10 +13,17 @@
 
 @dataclass(slots=True)
 class Harm:
-    """What a proxy does to bytes; `delay_s` in seconds, each way.
+    """The fault that a proxy applies to its connections.
 
-    Silenced bytes wait and flow on when the harm ends, as they do behind a partition
-    that heals. `reset` drops open connections and refuses new ones.
+    Attributes
+    ----------
+    delay_s : float
+        Delay of the bytes in each direction, in seconds.
+    reset : bool
+        Reset open connections and refuse new ones.
+    silent_in, silent_out : bool
+        Hold back the bytes towards the target, or from it. They are delivered when the
+        fault ends, as after a network partition.
     """
 
     delay_s: float = 0.0
@@ -23,7 +33,7 @@
 
 
 class FaultyProxy:
-    """Passes connections on to a target, as well as its harm lets it.
+    """Forwards connections to a target and applies the current fault to them.
 
     Parameters
     ----------
@@ -41,7 +51,7 @@
         self._changed = asyncio.Event()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to accept connections, and set `listen` to the address in use."""
         host, port = split_address(self.listen)
         self._server = await asyncio.start_server(
             self._accept, host, port, backlog=1024
@@ -50,7 +60,7 @@
         self.listen = f"{host}:{port}"
 
     def set(self, harm: Harm) -> None:
-        """Take over another harm."""
+        """Replace the fault that is applied, for open connections too."""
         self.harm = harm
         self._changed.set()
         self._changed = asyncio.Event()
@@ -63,7 +73,7 @@
             writer.transport.abort()
 
     async def close(self) -> None:
-        """Stop listening, drop what is open and wait for its end."""
+        """Stop listening, reset open connections and wait until their tasks end."""
         self._server.close()
         self.set(Harm(reset=True))
         await asyncio.gather(*self._open, return_exceptions=True)
@@ -104,7 +114,7 @@
             await self._hold(inward=inward)
             writer.write_eof()
         except (OSError, RuntimeError):
-            # The other side has gone, or this one was dropped: nothing to pass on.
+            # One side has closed its connection or was reset; no bytes remain to copy.
             writer.transport.abort()
         finally:
             if writer.transport.is_closing():
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run of the soak, and its report."""
+"""Performs one seeded run of the soak and reports its result."""
 
 import asyncio
 import random
@@ -13,17 +13,28 @@
 from .schedule import Fault, draw
 from .world import World
 
-# Seconds of calm after the last fault: entries that lapsed are back within two, hosts
-# that start are ready in one.
+# Seconds without faults after the last one. Store entries that expired are back within
+# two seconds, and a host that starts is ready within one second.
 SETTLE_S = 4.0
 CALM_END_S = 3.0
-# The hosts read the store and find each other before the first request, in seconds.
+# Seconds before the first request, in which the hosts read the store and discover each
+# other.
 LEAD_S = 2.5
 
 
 @dataclass(slots=True, frozen=True)
 class Size:
-    """How large a run is; `faults_per_s` on average, `length_s` of their beginnings."""
+    """The size of a run.
+
+    Attributes
+    ----------
+    hosts, servers, callers : int
+        How many of each the run has.
+    length_s : float
+        Seconds in which faults may begin.
+    faults_per_s : float
+        Average number of faults per second.
+    """
 
     hosts: int = 5
     servers: int = 12
@@ -37,7 +48,15 @@
 
 @dataclass(slots=True)
 class Result:
-    """What one run showed."""
+    """The result of one run.
+
+    Attributes
+    ----------
+    unjudged : int
+        Time bounds that were not checked because the soak's own event loop was late.
+    series : list of tuple of int
+        For each second: the second, and the requests served, refused and failed.
+    """
 
     seed: int
     size: Size
@@ -60,7 +79,7 @@
         }
 
     def describe(self) -> str:
-        """Return the report of the run for people."""
+        """Return a readable report of the run."""
         verdict = f"{len(self.broken)} BROKEN" if self.broken else "kept"
         outcomes = ", ".join(f"{name} {n}" for name, n in sorted(self.outcomes.items()))
         lines = [
@@ -75,7 +94,7 @@
 
 
 async def play(seed: int, size: Size, directory: Path) -> Result:
-    """Play one run; logs and settings of the hosts go to `directory`."""
+    """Perform one run; logs and settings of the hosts are written to `directory`."""
     rng = random.Random(seed)
     faults = draw(seed, size.length_s, size.faults_per_s)
     world = World(directory, rng)
@@ -114,7 +133,7 @@
 
 
 def _series(ledger: Ledger) -> list[tuple[int, int, int, int]]:
-    """Return second, served, refused and failed of each second."""
+    """Return for each second: the second, and the requests served, refused, failed."""
     seconds: dict[int, list[int]] = {}
     for reply in ledger.replies:
         row = seconds.setdefault(int(reply.at), [0, 0, 0])
@@ -125,7 +144,7 @@
 
 
 def play_in(seed: int, size: Size, keep: Path | None = None) -> Result:
-    """Play one run in a directory that is kept, or else removed at the end."""
+    """Perform one run in `keep`, or in a temporary directory that is then removed."""
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
         return asyncio.run(play(seed, size, keep))
--- a/bench/soak/schedule.py
+++ b/bench/soak/schedule.py
@@ -1,13 +1,17 @@
-"""Draws from a seed which faults strike whom and when; they come in series."""
+"""Draws the faults of a run from a seed: their kinds, targets and times.
+
+Several faults of one kind can follow each other in a series.
+"""
 
 import random
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-# Seconds of calm traffic before the first fault, so that all promises are in touch.
+# Seconds at the start of a run without faults, so that traffic already exercises all
+# guarantees when the first fault begins.
 CALM_S = 3.0
-# Longest time that one fault lasts, in seconds: longer than the store keeps a silent
-# server's entry (4.5 s) and than any host's patience.
+# Longest duration of one fault, in seconds. It is longer than the store keeps the entry
+# of a silent server (4.5 s) and longer than every silence timeout of the hosts.
 LONGEST_S = 6.0
 
 HOST_KINDS = (
@@ -35,7 +39,8 @@
     "server-slow",
     "server-shed",
 )
-# What servers ask for in their answers, drawn apart from the faults.
+# Requests of the servers to the hosts, sent in responses: a rate limit, an announcement
+# that the server is draining, a back-off. They are drawn separately from the faults.
 SIGNAL_KINDS = ("server-limit", "server-leaving-word", "server-rest")
 SIGNALS_PER_FAULT = 0.25
 FLEET_KINDS = (
@@ -56,9 +61,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault: what, when (seconds from the first request), whom, for how long.
+    """One fault.
 
-    `target` is the number of a host or server, modulo how many there are.
+    Attributes
+    ----------
+    at : float
+        When the fault begins, in seconds from the start of the run.
+    kind : str
+        The kind of fault.
+    target : int
+        Selects the host or server that it affects: the index is `target` modulo the
+        number of hosts or servers.
+    for_s : float
+        How long the fault lasts, in seconds.
     """
 
     at: float
@@ -67,12 +82,12 @@
     for_s: float
 
     def describe(self) -> str:
-        """Return one line for people."""
+        """Return a readable line about the fault."""
         return f"{self.at:6.2f} s {self.kind} #{self.target} for {self.for_s:.1f} s"
 
 
 def draw(seed: int, length_s: float, per_s: float) -> list[Fault]:
-    """Return the faults of one run, in order.
+    """Return the faults of one run, in order of time.
 
     Parameters
     ----------
@@ -81,7 +96,7 @@
     length_s : float
         Seconds in which faults may begin.
     per_s : float
-        Faults a second, on average.
+        Faults per second, on average.
     """
     faults = [*_series(random.Random(seed), length_s, per_s)]
     rng = random.Random(f"signals-{seed}")
@@ -99,7 +114,7 @@
 
 
 def _series(rng: random.Random, length_s: float, per_s: float) -> Iterator[Fault]:
-    """Yield single faults and series of one kind that overlap."""
+    """Yield single faults, and overlapping series of faults of one kind."""
     most = max(1, round(length_s * per_s))
     drawn = 0
     while drawn < most:
--- a/bench/soak/servers.py
+++ b/bench/soak/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers of the soak, as the users' pages describe them."""
+"""Backend servers of the soak, which behave as the users' pages describe."""
 
 import asyncio
 import random
@@ -15,29 +15,45 @@
 from .signals import Reached
 
 SLOTS = 4
-# Requests that wait for a slot, as many times the slots as the users' servers keep.
+# Requests that may wait for a slot. The ratio to the slots is that of the users'
+# servers.
 QUEUE = 3 * SLOTS
 WORK_S = 0.06
 MAX_BODY = 1 << 20
 PADDING = 300
-# A dark server answers nothing for longer than any run lasts, in seconds.
+# Seconds for which an unresponsive server sends no response; longer than any run.
 DARK_S = 600.0
 
 
 @dataclass(slots=True)
 class Mood:
-    """What a server does wrong; shares of its answers, 0 to 1."""
+    """The faults and signals that a server currently shows.
+
+    Attributes
+    ----------
+    slow : float
+        Factor on the service time.
+    lost, garbled : float
+        Share of the responses, 0 to 1, that are not sent or that break off halfway.
+    shed : bool
+        Refuse all requests.
+    dark : bool
+        Send no responses and no heartbeats.
+    limit : float or None
+        Requests per second that the server names as its limit.
+    leaving_word : bool
+        Announce in responses that the server is draining, without a report to the store.
+    rest_s : float
+        Refuse all requests and request this back-off, in seconds; 0 for none.
+    """
 
     slow: float = 1.0
     lost: float = 0.0
     garbled: float = 0.0
     shed: bool = False
     dark: bool = False
-    # Requests a second that it names as its limit.
     limit: float | None = None
-    # Whether it says in its answers that it leaves; the store is not told.
     leaving_word: bool = False
-    # It turns all requests away and asks for so much rest, in seconds.
     rest_s: float = 0.0
 
 
@@ -48,11 +64,11 @@
     Parameters
     ----------
     server_id, service, domain : str
-        Who it is and where.
+        Its id, its service and its failure domain.
     ledger : Ledger
-        Where its runs are noted.
+        Ledger in which it records the requests that it runs.
     rng : random.Random
-        Source of its faults.
+        Random source for its service times and faults.
     now : callable
         Monotonic clock in seconds.
     """
@@ -64,7 +80,7 @@
     rng: random.Random
     now: Callable[[], float]
     mood: Mood = field(default_factory=Mood)
-    # Called when a request has ended this server.
+    # Called when a request crashes this server.
     on_end: Callable[["SoakServer"], None] = lambda server: None
     address: str = ""
     leaving: bool = False
@@ -76,7 +92,7 @@
     _server: HttpServer | None = None
 
     async def start(self, address: str = "127.0.0.1:0") -> None:
-        """Listen; a server may take over an address that another one had."""
+        """Start to listen; `address` may be that of a server which has stopped."""
         host, _, port = address.rpartition(":")
         self._server = HttpServer(self._handle, self.now)
         port = await self._server.start(host, int(port))
@@ -89,7 +105,7 @@
         await self._server.close()
 
     def entry(self) -> dict:
-        """Return what the server writes of itself into the store."""
+        """Return the server's own entry in the store."""
         return {
             "service": self.service,
             "address": self.address,
@@ -133,7 +149,7 @@
             self._slots.release()
 
     def _signals(self, request_id: str) -> hd.HeaderList:
-        """Return what the server asks for in an answer, and note it."""
+        """Return the signal headers of a response, and record them in the ledger."""
         asked = self.ledger.signals.by_server[self.server_id]
         host = self.ledger.sent[request_id].host
         fields = []
--- a/bench/soak/signals.py
+++ b/bench/soak/signals.py
@@ -1,4 +1,7 @@
-"""What servers of the soak ask for in their answers, and whether hosts kept to it."""
+"""Signals that the soak's servers send in responses, and whether hosts obeyed them.
+
+The signals are rate limits, announcements of draining and back-offs (Retry-After).
+"""
 
 from bisect import bisect_left
 from collections import defaultdict
@@ -13,22 +16,30 @@
 if TYPE_CHECKING:
     from .ledger import Ledger
 
-# The promises count from so long after a server first names a limit, in seconds.
+# Seconds after a server first names a limit at which the limit must be kept.
 STABLE_S = 3.0
-# A host is bound from so long after it had such an answer, in seconds.
+# Seconds after such a response at which a host must obey it.
 HEARD_S = 0.5
-# A server that has told a host that it leaves gets nothing that is sent so much later.
+# Seconds after a server announced to a host that it is draining. The host must forward
+# to it no request that callers send later than that.
 DRAIN_S = 2.5
-# Requests of one host that may reach a server in a rest that it has asked for.
+# Requests of one host that may reach a server during a back-off that it requested.
 REST_MOST = 2
 BOUND = RateBound()
 
 
 @dataclass(slots=True, frozen=True)
 class Reached:
-    """A request that reached a server, run or not, and the host that sent it.
-
-    `sent_at` is when its caller sent it.
+    """A request that reached a server, whether or not the server ran it.
+
+    Attributes
+    ----------
+    at : float
+        When it reached the server, in seconds from the start of the run.
+    host : int
+        Index of the host that forwarded it.
+    sent_at : float
+        When its caller sent it.
     """
 
     at: float
@@ -38,28 +49,36 @@
 
 @dataclass(slots=True)
 class Asked:
-    """What one server has asked for, and what reached it."""
+    """The signals of one server, and the requests that reached it.
+
+    Attributes
+    ----------
+    limits : list of tuple
+        Time, host and rate of each response that named a limit.
+    limit_ended : float
+        When the server stopped to name a limit.
+    left : dict of int to float
+        For each host, when the server first announced to it that it is draining.
+    rests : list of tuple
+        Time, host and duration in seconds of each back-off that it requested.
+    """
 
     reached: list[Reached] = field(default_factory=list)
-    # Time, host and rate of each answer that named a limit.
     limits: list[tuple[float, int, float]] = field(default_factory=list)
-    # When it stopped to name one.
     limit_ended: float = float("inf")
-    # When it first told a host that it leaves, by host.
     left: dict[int, float] = field(default_factory=dict)
-    # Time, host and seconds of each rest that it asked for.
     rests: list[tuple[float, int, float]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class SignalLedger:
-    """What all servers have asked for."""
+    """The signals of all servers."""
 
     by_server: dict[str, Asked] = field(default_factory=lambda: defaultdict(Asked))
 
 
 def broken_words(ledger: "Ledger") -> Iterator[Broken]:
-    """Yield requests that reached a server long after it had said that it leaves."""
+    """Yield requests that reached a server too long after it announced draining."""
     for server_id, asked in ledger.signals.by_server.items():
         for item in asked.reached:
             told = asked.left.get(item.host)
@@ -72,7 +91,7 @@
 
 
 def broken_rests(ledger: "Ledger") -> Iterator[Broken]:
-    """Yield the first rest of each server and host that the host did not keep."""
+    """Yield for each server and host the first back-off that the host violated."""
     for server_id, asked in ledger.signals.by_server.items():
         times: dict[int, list[float]] = defaultdict(list)
         for item in asked.reached:
@@ -89,7 +108,7 @@
 
 
 def broken_limits(ledger: "Ledger") -> Iterator[Broken]:
-    """Yield the first window of each server in which it got more than its limit."""
+    """Yield for each server the first window that received more than its limit."""
     for server_id, asked in ledger.signals.by_server.items():
         if asked.limits:
             yield from _over_limit(ledger, server_id, asked)
--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -1,4 +1,8 @@
-"""The soak's world: store, servers and proxies here, entry hosts as processes."""
+"""The environment of a soak run.
+
+The store, the backend servers and the proxies run in this process. The entry hosts are
+processes of their own.
+"""
 
 import asyncio
 import dataclasses
@@ -25,21 +29,33 @@
 REGION_OF = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 DOMAINS = tuple(REGION_OF)
 BOUNDS = {"drain_s": 2.5, "grace_s": 6, "config_apply_s": 2.5, "evacuation_s": 5}
-# Entries of silent servers go after three heartbeats, as on the users' platform.
+# The store drops the entry of a server after three missed heartbeats, as the users'
+# platform does.
 HEARTBEAT_S = 1.5
 LAPSE_S = 3 * HEARTBEAT_S
-# The users' platform starts an ended process again after a short delay, in seconds.
+# Seconds after which an exited process is started again, as the users' platform does.
 RESTART_S = 0.4
-# After a leaving server's report was accepted it serves on for this long, in seconds.
+# Seconds for which a draining server still serves after the store accepted its report.
 SERVES_ON_S = 3.5
-# A server that ended under a request is back under another id after this, in seconds.
+# Seconds after which a server that crashed while it ran a request is replaced by a
+# server with another id.
 BACK_S = 2.0
 TICK_S = 0.05
 
 
 @dataclass(slots=True)
 class Host:
-    """One entry host: its process, and the proxies before and behind it."""
+    """One entry host: its process and the proxies on its connections.
+
+    Attributes
+    ----------
+    callers, store, peers : FaultyProxy
+        Proxies on the connections from callers, to the store and from peers.
+    settings : Path
+        The settings file.
+    incarnation : int
+        How often the process has been started.
+    """
 
     number: int
     cfg: GatewaySettings
@@ -55,14 +71,14 @@
 
 @dataclass(slots=True)
 class World:
-    """Everything around the callers of one run.
+    """The hosts, servers, store and ledger of one run.
 
     Parameters
     ----------
     directory : Path
-        Where settings and logs of the hosts go.
+        Directory for the settings and logs of the hosts.
     rng : random.Random
-        Source of what servers do.
+        Random source for the behaviour of the servers.
     """
 
     directory: Path
@@ -103,7 +119,7 @@
         ]
 
     async def stop(self) -> None:
-        """End what was started, by its own ids."""
+        """Stop the processes, proxies, servers and tasks that this object started."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -168,10 +184,8 @@
             stderr=host.log,
         )
 
-    # Upkeep
-
     async def _keep_running(self) -> None:
-        """Start ended processes again, and note those that ended by themselves."""
+        """Restart exited processes, and record exits that no fault explains."""
         while True:
             await asyncio.sleep(TICK_S)
             for host in self.hosts:
@@ -186,7 +200,7 @@
                 self._spawn(host)
 
     async def _keep_entries(self) -> None:
-        """Write the servers' heartbeats, and drop entries that lapsed."""
+        """Write the servers' heartbeats, and delete entries that expired."""
         while True:
             await asyncio.sleep(TICK_S)
             now = self.now()
@@ -204,7 +218,10 @@
                     self.ledger.left.setdefault(server_id, now)
 
     async def _watch_own_lag(self) -> None:
-        """Note when this process itself was late: it cannot judge others then."""
+        """Record when this process's event loop was late.
+
+        Time bounds of the hosts cannot be judged at such times.
+        """
         while True:
             began = time.monotonic()
             await asyncio.sleep(TICK_S)
@@ -212,10 +229,8 @@
             if lag > TICK_S:
                 self.ledger.own_lags.append((self.now(), lag))
 
-    # What operators, servers and the platform do
-
     def change(self) -> None:
-        """Accept a new version, with a route that only it has."""
+        """Store a new configuration version, with a route that only it contains."""
         self.version += 1
         route = {
             "host": HOST_NAME,
@@ -261,7 +276,7 @@
     async def add_server(
         self, service: str, domain: str, address: str = "127.0.0.1:0"
     ) -> SoakServer:
-        """Start a server, on an address that another one had if one is given."""
+        """Start a server; `address` may be that of a server which has stopped."""
         self._made += 1
         rng = random.Random(self.rng.randrange(1 << 32))
         server = SoakServer(
@@ -273,13 +288,13 @@
         return server
 
     async def drop_server(self, server: SoakServer) -> None:
-        """End a server as a crash does; its entry lapses."""
+        """Stop a server as a crash does, so that its store entry expires."""
         if server in self.servers:
             self.servers.remove(server)
             await server.stop()
 
     def _end_server(self, server: SoakServer) -> None:
-        """End a server under a request; another one starts in its place."""
+        """Crash a server while it runs a request, and start another in its place."""
         self._tasks.append(asyncio.get_running_loop().create_task(self._swap(server)))
 
     async def _swap(self, server: SoakServer) -> None:
@@ -288,15 +303,13 @@
         await self.add_server(server.service, server.domain)
 
     def leave_server(self, server: SoakServer) -> None:
-        """Let a server report that it leaves; the store accepts it now."""
+        """Let a server report to the store that it is draining."""
         server.leaving = True
         self.store.put("servers", server.server_id, server.entry())
         self.ledger.left.setdefault(server.server_id, self.now())
 
-    # Harm
-
     def disturb(self, host: Host, why: str, for_s: float) -> None:
-        """Note that a host cannot be held to time bounds for a while."""
+        """Record that time bounds do not apply to a host for `for_s` seconds."""
         now = self.now()
         self.ledger.hosts[host.number].add(now, now + for_s, why)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,11 +1,12 @@
-"""The soak with real processes: one short run, and the proxy that harms links."""
+"""The soak with real processes: one short run, and the proxy that injects faults."""
 
 import asyncio
 
 from bench.soak.proxy import FaultyProxy, Harm
 from bench.soak.run import Size, play_in
 
-# Small enough for a busy machine; the promises that it judges have no tight bounds.
+# The run is small enough for a busy machine; the guarantees that it checks have no tight
+# time bounds.
 SHORT = Size(hosts=3, servers=6, callers=6, length_s=5.0, faults_per_s=1.0)
 SEED = 5
 
@@ -17,7 +18,7 @@
 
 
 def through_proxy(check):
-    """Run a check with a proxy before a server that echoes what it gets."""
+    """Run a check with a proxy in front of a server that echoes its input."""
 
     async def echo(reader, writer):
         while data := await reader.read(100):
--- a/tests/test_soak_ledger.py
+++ b/tests/test_soak_ledger.py
@@ -1,4 +1,4 @@
-"""The soak's own checks: each broken promise is found, allowed cases are not."""
+"""The soak's own checks find each violated guarantee and accept the allowed cases."""
 
 import pytest
 
@@ -109,8 +109,8 @@
 
 
 def test_work_at_a_server_of_another_service_is_found():
-    # A server dies and its address goes to another service. A host that still sends to
-    # the address has a booking run by the calendar.
+    # A server crashes and a server of another service takes over its address. If a host
+    # still sends to the address, the calendar service runs a booking.
     made = ledger()
     made.service_of[SERVER] = "calendar"
     send(made)
@@ -223,16 +223,13 @@
         made.ends.append((at, request_id))
     found = [item for item in made.broken() if item.rule == "ENDS"]
     assert len(found) == broken
-    # A host that something befell is not held to the bound.
+    # The bound does not apply to a host that a fault disturbed.
     made.hosts[0].add(0.0, 100.0, "host-pause")
     assert [item for item in made.broken() if item.rule == "ENDS"] == []
 
 
-# Client accounts
-
-
 def of_account(made, request_id, account, *, at=10.0, ran_as=None, keyed=False):
-    """Note a request of an account, and its run unless `ran_as` is empty."""
+    """Record a request of an account, and its run unless `ran_as` is empty."""
     made.sent[request_id] = Sent(
         request_id, "booking", "booking", "/b", b"", 0, 1, at, account=account
     )
@@ -277,7 +274,7 @@
 
 @pytest.mark.parametrize(("status", "late"), [(200, True), (401, False)])
 def test_a_key_is_judged_by_the_versions_that_may_be_in_force(status, late):
-    # Version 2 takes the key away that version 1 has.
+    # Version 1 contains the key, and version 2 removes it.
     made = ledger()
     made.accepted = {1: 0.0, 2: 10.0}
     keyed_reply(made, status, at=10.0 + CONFIG_APPLY_S / 2)
@@ -293,7 +290,7 @@
 
 
 def limited(count, *, hosts=(0, 1)):
-    """Return a ledger in which a server that names 2 a second got so many in 4 s."""
+    """Return a ledger in which a server with a limit of 2/s got `count` in 4 s."""
     made = ledger()
     asked = made.signals.by_server[SERVER]
     for host in hosts:
@@ -320,7 +317,7 @@
 
 
 def left(*, sent_at):
-    """Return a ledger in which a host sends to a server that told it at 10 s."""
+    """Return a ledger with a request to a server that announced draining at 10 s."""
     made = ledger()
     asked = made.signals.by_server[SERVER]
     asked.left[0] = 10.0
@@ -337,7 +334,7 @@
 
 
 def rested(count):
-    """Return a ledger in which a host sent so much in a rest of 3 s."""
+    """Return a ledger in which a host sent `count` requests in a back-off of 3 s."""
     made = ledger()
     asked = made.signals.by_server[SERVER]
     asked.rests.append((10.0, 0, 3.0))
