--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -10,20 +10,20 @@
 import defopt
 
 from .plot import draw_series
-from .run import USUAL, Result, Size, play_in
+from .run import DEFAULT_SIZE, Result, Size, run_in_directory
 
 SEED_RANGE = 1_000_000
-FRESH = -1
+RANDOM_SEED = -1
 
 
 def soak(
     *,
-    seed: int = FRESH,
+    seed: int = RANDOM_SEED,
     seeds: int = 1,
     minutes: float = 0.0,
-    hosts: int = USUAL.hosts,
-    servers: int = USUAL.servers,
-    callers: int = USUAL.callers,
+    hosts: int = DEFAULT_SIZE.hosts,
+    servers: int = DEFAULT_SIZE.servers,
+    callers: int = DEFAULT_SIZE.callers,
     to: str = "soak-results",
 ) -> None:
     """Perform seeded runs with faults and report which guarantees were violated.
@@ -48,19 +48,19 @@
     # that no caller sent.
     signal.signal(signal.SIGTERM, _interrupt)
     size = Size(hosts, servers, callers)
-    ends = time.monotonic() + 60.0 * minutes
-    played = 0
-    bad = 0
-    while played < seeds or time.monotonic() < ends:
-        fresh = seed == FRESH
-        number = secrets.randbelow(SEED_RANGE) if fresh else seed + played
-        result = play_in(number, size, Path(to) / f"seed-{number}")
+    ends_at = time.monotonic() + 60.0 * minutes
+    runs = 0
+    failed_runs = 0
+    while runs < seeds or time.monotonic() < ends_at:
+        draws_seed = seed == RANDOM_SEED
+        run_seed = secrets.randbelow(SEED_RANGE) if draws_seed else seed + runs
+        result = run_in_directory(run_seed, size, Path(to) / f"seed-{run_seed}")
         print(result.describe(), flush=True)
-        _save(result, Path(to) / f"seed-{number}")
-        played += 1
-        bad += bool(result.broken)
-    print(f"{played} runs, {bad} with a broken promise")
-    sys.exit(1 if bad else 0)
+        _save(result, Path(to) / f"seed-{run_seed}")
+        runs += 1
+        failed_runs += bool(result.violations)
+    print(f"{runs} runs, {failed_runs} with a broken promise")
+    sys.exit(1 if failed_runs else 0)
 
 
 def _interrupt(_signum: int, _frame: object) -> None:
@@ -72,7 +72,7 @@
     text = json.dumps(result.as_data(), indent=1)
     (directory / "result.json").write_text(text)
     draw_series(result, directory / "series.png")
-    if not result.broken:
+    if not result.violations:
         for path in directory.glob("*.log"):
             path.unlink()
 
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -18,32 +18,32 @@
 )
 from lacewingcross.platform import headers as ph
 
-from .accounts import FLOODED, KEYS, PASSING, USUAL
-from .ledger import BAD, BAD_TARGET, DEADLINE_S, Reply, Sent
+from .accounts import FLOODED, KEYS, INTERMITTENT, UNLIMITED
+from .ledger import CRASHING, CRASHING_TARGET, DEADLINE_S, Reply, Sent
 from .world import HOST_NAME, World
 
 # Seconds after its deadline by which a caller must have a response, since the response
 # takes some time to arrive. Later than that the host kept it waiting.
-HELD_AFTER_S = 1.0
+DEADLINE_SLACK_S = 1.0
 OBJECTS = 60
 UPLOAD_BYTES = 60_000
 # Share of callers that keep a connection open until the host closes it.
-KEEPS = 0.6
+KEEP_OPEN_SHARE = 0.6
 LOOKUP_EVERY_S = 1.0
 PROBE_EVERY_S = 0.12
 PAUSE_S = (0.02, 0.25)
 # Seconds between requests of the flooding account, over all hosts: eight times its
 # quota. The second constant is for the account whose key comes and goes.
 FLOOD_EVERY_S = 0.0125
-PASSING_EVERY_S = 0.1
+INTERMITTENT_EVERY_S = 0.1
 # Number of flooding callers; each keeps one connection.
 FLOOD_CALLERS = 8
 # Pause before the request that crashes servers is sent again, in seconds.
-BAD_PAUSE_S = (0.1, 0.4)
+CRASHING_PAUSE_S = (0.1, 0.4)
 
 
 @dataclass(slots=True)
-class Question:
+class PlannedRequest:
     """A request to be sent.
 
     `version` is the configuration version that it probes, or 0.
@@ -55,7 +55,7 @@
     target: str
     body: bytes = b""
     version: int = 0
-    account: str = USUAL
+    account: str = UNLIMITED
 
 
 class Callers:
@@ -72,40 +72,53 @@
     def __init__(self, world: World, rng: random.Random) -> None:
         self._world = world
         self._rng = rng
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
 
     def tasks(self, callers: int) -> list[asyncio.Task[None]]:
         """Start the callers, and for each host a task that probes its configuration."""
         loop = asyncio.get_running_loop()
-        running = [loop.create_task(self._call(number)) for number in range(callers)]
+        running = [
+            loop.create_task(self._call(caller_index))
+            for caller_index in range(callers)
+        ]
         hosts = range(len(self._world.hosts))
-        running.append(loop.create_task(self._repeat_bad()))
+        running.append(loop.create_task(self._repeat_crashing_request()))
         pause_s = FLOOD_EVERY_S * FLOOD_CALLERS
-        for number in range(FLOOD_CALLERS):
-            running.append(loop.create_task(self._press(FLOODED, number, pause_s)))
-        running.append(loop.create_task(self._press(PASSING, 0, PASSING_EVERY_S)))
-        return running + [loop.create_task(self._probe(number)) for number in hosts]
+        for caller_index in range(FLOOD_CALLERS):
+            running.append(
+                loop.create_task(
+                    self._send_continuously(FLOODED, caller_index, pause_s)
+                )
+            )
+        running.append(
+            loop.create_task(
+                self._send_continuously(INTERMITTENT, 0, INTERMITTENT_EVERY_S)
+            )
+        )
+        return running + [
+            loop.create_task(self._probe(caller_index)) for caller_index in hosts
+        ]
 
-    async def _call(self, number: int) -> None:
-        region = "ab"[number % 2]
-        keeps = self._rng.random() < KEEPS
+    async def _call(self, caller_index: int) -> None:
+        region = "ab"[caller_index % 2]
+        keeps_connection = self._rng.random() < KEEP_OPEN_SHARE
         hosts: list[int] = []
-        looked_at = float("-inf")
+        looked_up_at = float("-inf")
         conn: ClientConnection | None = None
         host = 0
         while True:
             await asyncio.sleep(self._rng.uniform(*PAUSE_S))
-            if self._world.now() - looked_at > LOOKUP_EVERY_S:
+            if self._world.now() - looked_up_at > LOOKUP_EVERY_S:
                 hosts = await self._look_up(region) or hosts
-                looked_at = self._world.now()
+                looked_up_at = self._world.now()
             if not hosts:
                 continue
             if conn is None:
                 host = self._rng.choice(hosts)
                 conn = await self._open(host)
             if conn is not None:
-                conn = await self._ask(conn, host, self._draw())
-            if conn is not None and not keeps:
+                conn = await self._send_request(conn, host, self._draw_request())
+            if conn is not None and not keeps_connection:
                 conn = _close(conn)
 
     async def _probe(self, host: int) -> None:
@@ -118,31 +131,33 @@
                 conn = await self._open(host)
                 continue
             target = f"/only-{version}/x"
-            question = Question("read", "calendar", "GET", target, version=version)
-            conn = await self._ask(conn, host, question)
+            planned = PlannedRequest("read", "calendar", "GET", target, version=version)
+            conn = await self._send_request(conn, host, planned)
 
-    async def _repeat_bad(self) -> None:
+    async def _repeat_crashing_request(self) -> None:
         """Send a request that crashes servers repeatedly, to random hosts.
 
         The random source is separate, so that the other callers draw the same values.
         """
         rng = random.Random(len(self._world.hosts))
-        question = Question(BAD, "calendar", "GET", BAD_TARGET)
+        planned = PlannedRequest(CRASHING, "calendar", "GET", CRASHING_TARGET)
         while True:
-            await asyncio.sleep(rng.uniform(*BAD_PAUSE_S))
+            await asyncio.sleep(rng.uniform(*CRASHING_PAUSE_S))
             host = rng.randrange(len(self._world.hosts))
             conn = await self._open(host)
             if conn is not None:
-                conn = await self._ask(conn, host, question)
+                conn = await self._send_request(conn, host, planned)
             if conn is not None:
                 _close(conn)
 
-    async def _press(self, account: str, number: int, pause_s: float) -> None:
+    async def _send_continuously(
+        self, account: str, caller_index: int, pause_s: float
+    ) -> None:
         """Send reads for an account continuously, and change the host at times.
 
         The random source is separate, so that the other callers draw the same values.
         """
-        rng = random.Random(f"{account}-{number}")
+        rng = random.Random(f"{account}-{caller_index}")
         conn: ClientConnection | None = None
         while True:
             await asyncio.sleep(rng.uniform(0.5, 1.5) * pause_s)
@@ -151,21 +166,21 @@
                 conn = await self._open(host)
                 continue
             target = f"/calendar/{account}-{rng.randrange(50)}"
-            question = Question("read", "calendar", "GET", target, account=account)
-            conn = await self._ask(conn, host, question)
+            planned = PlannedRequest("read", "calendar", "GET", target, account=account)
+            conn = await self._send_request(conn, host, planned)
             if conn is not None and rng.random() < 0.2:
                 conn = _close(conn)
 
-    def _draw(self) -> Question:
+    def _draw_request(self) -> PlannedRequest:
         kind = self._rng.choices(("read", "booking", "upload"), (6, 2, 1))[0]
-        tail = f"{self._rng.randrange(1000)}?q={self._rng.randrange(9)}"
+        path_end = f"{self._rng.randrange(1000)}?q={self._rng.randrange(9)}"
         if kind == "read":
-            return Question(kind, "calendar", "GET", f"/calendar/{tail}")
+            return PlannedRequest(kind, "calendar", "GET", f"/calendar/{path_end}")
         if kind == "booking":
             body = self._rng.randbytes(200)
-            return Question(kind, "booking", "POST", f"/booking/{tail}", body)
+            return PlannedRequest(kind, "booking", "POST", f"/booking/{path_end}", body)
         body = self._rng.randbytes(UPLOAD_BYTES)
-        return Question(kind, "booking", "POST", f"/upload/{tail}", body)
+        return PlannedRequest(kind, "booking", "POST", f"/upload/{path_end}", body)
 
     async def _look_up(self, region: str) -> list[int]:
         host = self._rng.choice(self._world.hosts)
@@ -173,13 +188,13 @@
         target = f"/v1/resolve?name={HOST_NAME}&region={region}&zone={region}1"
         try:
             response = await http.request("GET", target, timeout_s=1.0)
-            named = json.loads(response.body)["addresses"]
+            addresses = json.loads(response.body)["addresses"]
         except (HttpError, ValueError, KeyError):
             # The host is down or paused; the caller keeps the addresses that it has.
             return []
         finally:
             http.close()
-        return [self._world.by_entry[address] for address in named]
+        return [self._world.host_by_entry[address] for address in addresses]
 
     async def _open(self, host: int) -> ClientConnection | None:
         try:
@@ -187,66 +202,70 @@
         except HttpError:
             return None
 
-    async def _ask(
-        self, conn: ClientConnection, host: int, question: Question
+    async def _send_request(
+        self, conn: ClientConnection, host: int, planned: PlannedRequest
     ) -> ClientConnection | None:
         """Send one request; return the connection if it may be used again."""
-        sent = self._note(host, question)
+        sent = self._record_sent(host, planned)
         try:
-            async with asyncio.timeout(DEADLINE_S + HELD_AFTER_S):
-                await _send(conn, question, sent, str(self._rng.randrange(OBJECTS)))
+            async with asyncio.timeout(DEADLINE_S + DEADLINE_SLACK_S):
+                await _send(conn, planned, sent, str(self._rng.randrange(OBJECTS)))
                 head = await conn.read_head()
-                parts = [part async for part in conn.read_body()]
+                chunks = [chunk async for chunk in conn.read_body()]
         except TimeoutError:
-            self._end(sent, 0, why="held" if self._held(sent) else "late")
+            self._record_reply(
+                sent, 0, failure="held" if self._host_undisturbed(sent) else "late"
+            )
             return _close(conn)
         except HttpError as exc:
-            why = "cut" if exc.sent else "unsent"
-            self._end(sent, 0, why=why)
+            failure = "cut" if exc.sent else "unsent"
+            self._record_reply(sent, 0, failure=failure)
             return _close(conn)
-        self._end(sent, head.status, head, b"".join(parts))
-        leaves = hd.find(head.headers, b"connection").lower() == "close"
-        if leaves or not conn.reusable():
+        self._record_reply(sent, head.status, head, b"".join(chunks))
+        host_closes = hd.find(head.headers, b"connection").lower() == "close"
+        if host_closes or not conn.reusable():
             return _close(conn)
         return conn
 
-    def _held(self, sent: Sent) -> bool:
+    def _host_undisturbed(self, sent: Sent) -> bool:
         """Return whether the host was undisturbed, so it must answer by the deadline."""
         ledger = self._world.ledger
         now = self._world.now()
-        return not ledger.hosts[sent.host].near(sent.at, now)
+        return not ledger.host_disturbances[sent.host].causes_near(sent.at, now)
 
-    def _note(self, host: int, question: Question) -> Sent:
+    def _record_sent(self, host: int, planned: PlannedRequest) -> Sent:
         sent = Sent(
-            f"q{next(self._numbers)}",
-            question.kind,
-            question.service,
-            question.target,
-            question.body,
+            f"q{next(self._request_numbers)}",
+            planned.kind,
+            planned.service,
+            planned.target,
+            planned.body,
             host,
             self._world.hosts[host].incarnation,
             self._world.now(),
-            question.version,
-            question.account,
+            planned.version,
+            planned.account,
         )
         self._world.ledger.sent[sent.request_id] = sent
         return sent
 
-    def _end(
+    def _record_reply(
         self,
         sent: Sent,
         status: int,
         head: ResponseHead | None = None,
         body: bytes = b"",
-        why: str = "",
+        failure: str = "",
     ) -> None:
-        signed = hd.find(head.headers, ph.SIGNATURE) if head else ""
-        reply = Reply(sent.request_id, status, signed, body, self._world.now(), why)
+        body_signature = hd.find(head.headers, ph.SIGNATURE) if head else ""
+        reply = Reply(
+            sent.request_id, status, body_signature, body, self._world.now(), failure
+        )
         self._world.ledger.replies.append(reply)
 
 
 async def _send(
-    conn: ClientConnection, question: Question, sent: Sent, key: str
+    conn: ClientConnection, planned: PlannedRequest, sent: Sent, key: str
 ) -> None:
     deadline_ms = int(DEADLINE_S * 1000)
     fields = [
@@ -254,13 +273,13 @@
         (ph.REQUEST_ID, sent.request_id.encode()),
         (ph.AFFINITY_KEY, key.encode()),
         (ph.REMAINING_MS, str(deadline_ms).encode()),
-        (hd.AUTHORIZATION, f"Bearer {KEYS[question.account]}".encode()),
+        (hd.AUTHORIZATION, f"Bearer {KEYS[planned.account]}".encode()),
     ]
-    if question.body:
-        fields.append((hd.CONTENT_LENGTH, str(len(question.body)).encode()))
-    await conn.send_head(question.method, question.target, fields)
-    if question.body:
-        await conn.send_body(question.body)
+    if planned.body:
+        fields.append((hd.CONTENT_LENGTH, str(len(planned.body)).encode()))
+    await conn.send_head(planned.method, planned.target, fields)
+    if planned.body:
+        await conn.send_body(planned.body)
     await conn.finish()
 
 
--- a/bench/soak/faults.py
+++ b/bench/soak/faults.py
@@ -4,7 +4,7 @@
 import signal
 from collections.abc import Awaitable, Callable
 
-from .proxy import FaultyProxy, Harm
+from .proxy import FaultyProxy, LinkFault
 from .schedule import Fault
 from .servers import SoakServer
 from .world import RESTART_S, SERVES_ON_S, Host, World
@@ -13,17 +13,19 @@
 GRACE_S = 6.0
 # Length of an outage of all hosts, in seconds. It is short, because callers should be
 # served during most of a run.
-KILL_ALL_DARK_S = 1.0
+KILL_ALL_OUTAGE_S = 1.0
 LINK_DELAY_S = 0.15
 STORE_SLOW_S = 0.25
-FEWEST_SERVERS = 2
+MIN_SERVERS = 2
 
-Act = Callable[[World, Fault], Awaitable[None]]
+FaultAction = Callable[[World, Fault], Awaitable[None]]
 
 
-async def strike(world: World, faults: list[Fault]) -> None:
+async def inject_faults(world: World, faults: list[Fault]) -> None:
     """Inject all faults, each at its time, and return when the last one has ended."""
-    running = [asyncio.ensure_future(_at_its_time(world, fault)) for fault in faults]
+    running = [
+        asyncio.ensure_future(_inject_at_its_time(world, fault)) for fault in faults
+    ]
     try:
         await asyncio.gather(*running)
     finally:
@@ -31,9 +33,9 @@
             task.cancel()
 
 
-async def _at_its_time(world: World, fault: Fault) -> None:
+async def _inject_at_its_time(world: World, fault: Fault) -> None:
     await asyncio.sleep(max(0.0, fault.at - world.now()))
-    await _ACTS[fault.kind](world, fault)
+    await _FAULT_ACTIONS[fault.kind](world, fault)
 
 
 def _host(world: World, fault: Fault) -> Host:
@@ -46,7 +48,7 @@
 
 async def _host_kill(world: World, fault: Fault) -> None:
     host = _host(world, fault)
-    world.disturb(host, fault.kind, RESTART_S + 1.0)
+    world.record_disturbance(host, fault.kind, RESTART_S + 1.0)
     world.signal(host, signal.SIGKILL)
 
 
@@ -56,32 +58,32 @@
     This is how a power failure of the machine looks to its peers.
     """
     host = _host(world, fault)
-    world.disturb(host, fault.kind, fault.for_s + 1.0)
+    world.record_disturbance(host, fault.kind, fault.for_s + 1.0)
     proxies = (host.callers, host.peers, host.store)
     for proxy in proxies:
-        proxy.set(Harm(silent_in=True, silent_out=True))
+        proxy.set_fault(LinkFault(silent_in=True, silent_out=True))
     world.signal(host, signal.SIGKILL)
     await asyncio.sleep(fault.for_s)
     for proxy in proxies:
-        proxy.drop()
-        proxy.set(Harm())
+        proxy.reset_connections()
+        proxy.set_fault(LinkFault())
 
 
 async def _host_term(world: World, fault: Fault) -> None:
     host = _host(world, fault)
     proc = host.proc
-    world.disturb(host, fault.kind, GRACE_S + RESTART_S)
+    world.record_disturbance(host, fault.kind, GRACE_S + RESTART_S)
     world.signal(host, signal.SIGTERM)
     await asyncio.sleep(GRACE_S)
     if proc.poll() is None:
-        world.disturb(host, "host-kill", 1.0)
+        world.record_disturbance(host, "host-kill", 1.0)
         proc.kill()
 
 
 async def _host_pause(world: World, fault: Fault) -> None:
     host = _host(world, fault)
     proc = host.proc
-    world.disturb(host, fault.kind, fault.for_s + 0.5)
+    world.record_disturbance(host, fault.kind, fault.for_s + 0.5)
     proc.send_signal(signal.SIGSTOP)
     await asyncio.sleep(fault.for_s)
     proc.send_signal(signal.SIGCONT)
@@ -93,20 +95,20 @@
     world.signal(host, signal.SIGHUP)
 
 
-def _link(which: str, harm: Harm) -> Act:
-    async def act(world: World, fault: Fault) -> None:
+def _link(proxy_name: str, link_fault: LinkFault) -> FaultAction:
+    async def inject(world: World, fault: Fault) -> None:
         host = _host(world, fault)
-        proxy: FaultyProxy = getattr(host, which)
-        world.disturb(host, fault.kind, fault.for_s + 0.5)
-        proxy.set(harm)
+        proxy: FaultyProxy = getattr(host, proxy_name)
+        world.record_disturbance(host, fault.kind, fault.for_s + 0.5)
+        proxy.set_fault(link_fault)
         await asyncio.sleep(fault.for_s)
-        proxy.set(Harm())
+        proxy.set_fault(LinkFault())
 
-    return act
+    return inject
 
 
 async def _server_crash(world: World, fault: Fault) -> None:
-    if len(world.servers) <= FEWEST_SERVERS:
+    if len(world.servers) <= MIN_SERVERS:
         return
     server = _server(world, fault)
     await world.drop_server(server)
@@ -119,7 +121,7 @@
     if server.leaving:
         return
     await world.add_server(server.service, server.domain)
-    world.leave_server(server)
+    world.announce_leaving(server)
     await asyncio.sleep(SERVES_ON_S)
     await world.drop_server(server)
 
@@ -127,132 +129,136 @@
 async def _server_reuse(world: World, fault: Fault) -> None:
     """Crash a server and give its address to a server of another service."""
     server = _server(world, fault)
-    if server.leaving or len(world.servers) <= FEWEST_SERVERS:
+    if server.leaving or len(world.servers) <= MIN_SERVERS:
         return
     await world.drop_server(server)
-    other = "booking" if server.service == "calendar" else "calendar"
+    other_service = "booking" if server.service == "calendar" else "calendar"
     await asyncio.sleep(2.0)
-    await world.add_server(other, server.domain, server.address)
+    await world.add_server(other_service, server.domain, server.address)
     await world.add_server(server.service, server.domain)
 
 
-def _mood(**wrong: object) -> Act:
-    async def act(world: World, fault: Fault) -> None:
-        mood = _server(world, fault).mood
-        right = {name: getattr(type(mood)(), name) for name in wrong}
-        for name, value in wrong.items():
-            setattr(mood, name, value)
+def _set_behaviour(**changed_values: object) -> FaultAction:
+    async def inject(world: World, fault: Fault) -> None:
+        behaviour = _server(world, fault).behaviour
+        default_values = {
+            name: getattr(type(behaviour)(), name) for name in changed_values
+        }
+        for name, value in changed_values.items():
+            setattr(behaviour, name, value)
         await asyncio.sleep(fault.for_s)
-        for name, value in right.items():
-            setattr(mood, name, value)
+        for name, value in default_values.items():
+            setattr(behaviour, name, value)
 
-    return act
+    return inject
 
 
 async def _server_limit(world: World, fault: Fault) -> None:
     """Let a server request a rate limit far below the rate that it receives."""
     server = _server(world, fault)
-    if server.mood.limit is not None:
+    if server.behaviour.limit is not None:
         return
-    server.mood.limit = 1.0 + fault.target % 5
+    server.behaviour.limit = 1.0 + fault.target % 5
     await asyncio.sleep(fault.for_s)
-    server.mood.limit = None
-    world.ledger.signals.by_server[server.server_id].limit_ended = world.now()
+    server.behaviour.limit = None
+    world.ledger.signals.by_server[server.server_id].limit_ended_at = world.now()
 
 
-async def _server_leaving_word(world: World, fault: Fault) -> None:
+async def _server_announces_leaving(world: World, fault: Fault) -> None:
     """Let a server announce in its responses alone that it is draining.
 
     The store has no report of it before the server stops.
     """
     server = _server(world, fault)
-    if server.leaving or server.mood.leaving_word:
+    if server.leaving or server.behaviour.announces_leaving:
         return
     await world.add_server(server.service, server.domain)
-    server.mood.leaving_word = True
+    server.behaviour.announces_leaving = True
     await asyncio.sleep(fault.for_s)
     await world.drop_server(server)
 
 
-async def _server_rest(world: World, fault: Fault) -> None:
+async def _server_back_off(world: World, fault: Fault) -> None:
     """Let a server refuse all requests with a back-off for half the fault's duration.
 
     The server requests half of the fault's duration as back-off (Retry-After).
     """
-    mood = _server(world, fault).mood
-    mood.rest_s = fault.for_s / 2
+    behaviour = _server(world, fault).behaviour
+    behaviour.back_off_s = fault.for_s / 2
     await asyncio.sleep(fault.for_s / 2)
-    mood.rest_s = 0.0
+    behaviour.back_off_s = 0.0
 
 
-def _store(**wrong: object) -> Act:
-    async def act(world: World, fault: Fault) -> None:
+def _store(**changed_values: object) -> FaultAction:
+    async def inject(world: World, fault: Fault) -> None:
         faults = world.store.faults
-        right = {name: getattr(type(faults)(), name) for name in wrong}
+        default_values = {
+            name: getattr(type(faults)(), name) for name in changed_values
+        }
         now = world.now()
-        world.ledger.core.add(now, now + fault.for_s, fault.kind)
-        for name, value in wrong.items():
+        world.ledger.store_disturbances.add(now, now + fault.for_s, fault.kind)
+        for name, value in changed_values.items():
             setattr(faults, name, value)
         await asyncio.sleep(fault.for_s)
-        for name, value in right.items():
+        for name, value in default_values.items():
             setattr(faults, name, value)
 
-    return act
+    return inject
 
 
 async def _store_compact(world: World, _fault: Fault) -> None:
     now = world.now()
-    world.ledger.core.add(now, now, "store-compact")
+    world.ledger.store_disturbances.add(now, now, "store-compact")
     world.store.compact()
 
 
-async def _change(world: World, _fault: Fault) -> None:
-    world.change()
+async def _accept_new_version(world: World, _fault: Fault) -> None:
+    world.accept_new_version()
 
 
 async def _evacuate(world: World, fault: Fault) -> None:
     domains = sorted({server.domain for server in world.servers})
     domain = domains[fault.target % len(domains)]
     world.store.put("evacuations", domain, {})
-    begun = world.now()
+    began_at = world.now()
     await asyncio.sleep(fault.for_s + 3.0)
     world.store.delete("evacuations", domain)
-    spans = world.ledger.evacuated.setdefault(domain, [])
-    spans.append((begun, world.now()))
+    periods = world.ledger.evacuated.setdefault(domain, [])
+    periods.append((began_at, world.now()))
 
 
 async def _kill_all(world: World, fault: Fault) -> None:
     for host in world.hosts:
-        world.disturb(host, fault.kind, KILL_ALL_DARK_S + 1.0)
+        world.record_disturbance(host, fault.kind, KILL_ALL_OUTAGE_S + 1.0)
         world.signal(host, signal.SIGKILL)
 
 
-_CUT = Harm(silent_in=True, silent_out=True)
-_ACTS: dict[str, Act] = {
+_CUT = LinkFault(silent_in=True, silent_out=True)
+_FAULT_ACTIONS: dict[str, FaultAction] = {
     "host-kill": _host_kill,
     "host-power": _host_power,
     "host-term": _host_term,
     "host-pause": _host_pause,
     "host-hup": _host_hup,
     "store-path-cut": _link("store", _CUT),
-    "store-path-one-way": _link("store", Harm(silent_out=True)),
-    "store-path-delay": _link("store", Harm(delay_s=LINK_DELAY_S)),
+    "store-path-one-way": _link("store", LinkFault(silent_out=True)),
+    "store-path-delay": _link("store", LinkFault(delay_s=LINK_DELAY_S)),
     "peer-path-cut": _link("peers", _CUT),
-    "peer-path-one-way": _link("peers", Harm(silent_in=True)),
-    "peer-path-reset": _link("peers", Harm(reset=True)),
-    "caller-path-delay": _link("callers", Harm(delay_s=LINK_DELAY_S)),
-    "caller-path-reset": _link("callers", Harm(reset=True)),
+    "peer-path-one-way": _link("peers", LinkFault(silent_in=True)),
+    "peer-path-reset": _link("peers", LinkFault(reset=True)),
+    "caller-path-delay": _link("callers", LinkFault(delay_s=LINK_DELAY_S)),
+    "caller-path-reset": _link("callers", LinkFault(reset=True)),
     "server-crash": _server_crash,
-    "server-dark": _mood(dark=True),
+    "server-dark": _set_behaviour(unresponsive=True),
     "server-drain": _server_drain,
     "server-reuse": _server_reuse,
-    "server-lost-answers": _mood(lost=0.3),
-    "server-garble": _mood(garbled=0.3),
-    "server-slow": _mood(slow=5.0),
-    "server-shed": _mood(shed=True),
+    "server-lost-answers": _set_behaviour(lost_share=0.3),
+    "server-garble": _set_behaviour(garbled_share=0.3),
+    "server-slow": _set_behaviour(service_time_factor=5.0),
+    "server-shed": _set_behaviour(shed=True),
     "server-limit": _server_limit,
-    "server-rest": _server_rest,
-    "server-leaving-word": _server_leaving_word,
+    "server-rest": _server_back_off,
+    "server-leaving-word": _server_announces_leaving,
     "store-busy": _store(down="busy"),
     "store-many": _store(down="many"),
     "store-reset": _store(down="reset"),
@@ -261,6 +267,6 @@
     "store-lost-writes": _store(lost_writes=True),
     "store-compact": _store_compact,
     "evacuate": _evacuate,
-    "change": _change,
+    "change": _accept_new_version,
     "kill-all": _kill_all,
 }
--- a/bench/soak/findings.py
+++ b/bench/soak/findings.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Broken:
+class Violation:
     """A guarantee that did not hold.
 
     Attributes
--- a/bench/soak/ledger.py
+++ b/bench/soak/ledger.py
@@ -5,14 +5,14 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from .accounts import USUAL, broken_accounts, broken_keys, broken_quota
-from .findings import Broken
+from .accounts import UNLIMITED, account_violations, key_violations, quota_violations
+from .findings import Violation
 from .signals import (
     DRAIN_S,
     SignalLedger,
-    broken_limits,
-    broken_rests,
-    broken_words,
+    limit_violations,
+    back_off_violations,
+    leaving_violations,
 )
 
 # Time bounds in seconds that the soak's settings and the deployment guarantee.
@@ -27,22 +27,22 @@
 RETRY_WINDOW_S = 10.0
 # Share of the reads in the last, undisturbed seconds that must succeed. The users
 # require only a quarter of what was served before the faults.
-RECOVERED = 0.8
+MIN_RECOVERED_SHARE = 0.8
 # Deadline of the callers' requests, in seconds.
 DEADLINE_S = 2.0
 # Status codes that guarantee that the request has not run and never will.
 NOT_RUN = (408, 421, 429, 503)
 # Kind and target of a read that crashes each server which begins to run it.
-BAD = "bad"
-BAD_TARGET = "/calendar/ends-servers"
-REPEATABLE = ("read", BAD)
+CRASHING = "bad"
+CRASHING_TARGET = "/calendar/ends-servers"
+REPEATABLE = ("read", CRASHING)
 # Servers that may crash while they run one request, and how many more runs of it
 # undisturbed hosts may cause later than `STABLE_S` after that.
 MAX_CRASHES_PER_REQUEST = 3
-LATE_MOST = 3
+MAX_LATE_CRASHES = 3
 # Time bounds are judged only while the soak's own event loop is late by at most this, in
 # seconds.
-OWN_LAG_S = 0.25
+MAX_LOOP_LAG_S = 0.25
 
 
 def signature(server_id: str, request_id: str, status: int, body: bytes) -> str:
@@ -81,22 +81,22 @@
 class Reply:
     """The outcome of a request for its caller.
 
-    `status` is 0 when no complete response arrived; `why` then names the failure.
+    `status` is 0 when no complete response arrived; `failure` then names the failure.
     """
 
     request_id: str
     status: int
-    signed: str
+    body_signature: str
     body: bytes
     at: float
-    why: str = ""
+    failure: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Run:
     """One request that a server began to run.
 
-    `account` is the account named to the server, and `keyed` says whether the server
+    `account` is the account named to the server, and `has_credentials` says whether the server
     received the caller's credentials.
     """
 
@@ -106,24 +106,24 @@
     body: bytes
     at: float
     account: str = ""
-    keyed: bool = False
+    has_credentials: bool = False
 
 
 @dataclass(slots=True)
-class Spans:
+class Disturbances:
     """Periods of time in which faults disturbed a host or the store."""
 
-    spans: list[tuple[float, float, str]] = field(default_factory=list)
+    periods: list[tuple[float, float, str]] = field(default_factory=list)
 
-    def add(self, begin: float, end: float, why: str) -> None:
+    def add(self, begin: float, end: float, cause: str) -> None:
         """Record a disturbance and its cause."""
-        self.spans.append((begin, end, why))
+        self.periods.append((begin, end, cause))
 
-    def near(self, begin: float, end: float) -> set[str]:
+    def causes_near(self, begin: float, end: float) -> set[str]:
         """Return the causes of disturbances in a period or up to `STABLE_S` before."""
         return {
-            why
-            for start, stop, why in self.spans
+            cause
+            for start, stop, cause in self.periods
             if start <= end and stop >= begin - STABLE_S
         }
 
@@ -138,23 +138,23 @@
         The callers' requests by id.
     runs : dict of str to list of Run
         The runs of each request at servers.
-    ends : list of tuple
+    crashes : list of tuple
         Time and request id of each crash of a server by a request.
     arrivals : list of tuple
         Time, service and request id of each request that reached a server.
-    left : dict of str to float
+    left_at : dict of str to float
         When the store had no more entry of a server as ready.
     evacuated : dict of str to list of tuple
         For each failure domain, begin and end of its evacuations.
     accepted : dict of int to float
         When each configuration version was stored.
-    hosts : dict of int to Spans
+    host_disturbances : dict of int to Disturbances
         Disturbances of each host.
-    core : Spans
+    store_disturbances : Disturbances
         Disturbances of the store.
-    own_lags : list of tuple
+    loop_lags : list of tuple
         Time and lag in seconds whenever the soak's own event loop was late.
-    ended_alone : list of tuple
+    unexpected_exits : list of tuple
         Time, host and exit code of each process that exited without a fault.
     calm_from, calm_to : float
         The undisturbed period at the end, in which reads must succeed.
@@ -165,119 +165,139 @@
     sent: dict[str, Sent] = field(default_factory=dict)
     replies: list[Reply] = field(default_factory=list)
     runs: dict[str, list[Run]] = field(default_factory=lambda: defaultdict(list))
-    ends: list[tuple[float, str]] = field(default_factory=list)
+    crashes: list[tuple[float, str]] = field(default_factory=list)
     arrivals: list[tuple[float, str, str]] = field(default_factory=list)
-    left: dict[str, float] = field(default_factory=dict)
+    left_at: dict[str, float] = field(default_factory=dict)
     evacuated: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
     domain_of: dict[str, str] = field(default_factory=dict)
     service_of: dict[str, str] = field(default_factory=dict)
     accepted: dict[int, float] = field(default_factory=dict)
-    hosts: dict[int, Spans] = field(default_factory=lambda: defaultdict(Spans))
-    core: Spans = field(default_factory=Spans)
-    own_lags: list[tuple[float, float]] = field(default_factory=list)
-    ended_alone: list[tuple[float, int, int]] = field(default_factory=list)
+    host_disturbances: dict[int, Disturbances] = field(
+        default_factory=lambda: defaultdict(Disturbances)
+    )
+    store_disturbances: Disturbances = field(default_factory=Disturbances)
+    loop_lags: list[tuple[float, float]] = field(default_factory=list)
+    unexpected_exits: list[tuple[float, int, int]] = field(default_factory=list)
     signals: SignalLedger = field(default_factory=SignalLedger)
     calm_from: float = float("inf")
     calm_to: float = float("inf")
     unjudged: int = 0
 
-    def broken(self) -> list[Broken]:
+    def violations(self) -> list[Violation]:
         """Return every violation of a guarantee, in order of time."""
-        found: list[Broken] = []
+        found: list[Violation] = []
         for reply in self.replies:
-            found += self._of_reply(reply)
+            found += self._reply_violations(reply)
         for runs in self.runs.values():
-            found += self._of_runs(runs)
-        found += self._configuration()
-        found += self._retries()
-        found += self._recovery()
-        found += self._late_bad_runs()
-        found += broken_accounts(self)
-        found += broken_keys(self)
-        found += broken_quota(self)
-        found += broken_limits(self)
-        found += broken_words(self)
-        found += broken_rests(self)
+            found += self._run_violations(runs)
+        found += self._configuration_violations()
+        found += self._retry_violations()
+        found += self._recovery_violations()
+        found += self._crash_violations()
+        found += account_violations(self)
+        found += key_violations(self)
+        found += quota_violations(self)
+        found += limit_violations(self)
+        found += leaving_violations(self)
+        found += back_off_violations(self)
         found += [
-            Broken("ENDED", at, f"host {host} ended by itself with {code}")
-            for at, host, code in self.ended_alone
+            Violation("ENDED", at, f"host {host} ended by itself with {code}")
+            for at, host, code in self.unexpected_exits
         ]
         return sorted(found, key=lambda item: item.at)
 
-    def _of_reply(self, reply: Reply) -> list[Broken]:
+    def _reply_violations(self, reply: Reply) -> list[Violation]:
         sent = self.sent[reply.request_id]
         found = []
-        if 200 <= reply.status < 300 and not reply.signed:
-            found.append(self._say("MIXED", reply, "success without signature"))
-        if reply.signed and reply.signed != self._expected(reply):
-            found.append(self._say("MIXED", reply, "the answer is not the server's"))
+        if 200 <= reply.status < 300 and not reply.body_signature:
+            found.append(self._violation("MIXED", reply, "success without signature"))
+        if reply.body_signature and reply.body_signature != self._expected_signature(
+            reply
+        ):
+            found.append(
+                self._violation("MIXED", reply, "the answer is not the server's")
+            )
         ran = self.runs.get(reply.request_id, [])
         refused = reply.status in NOT_RUN and sent.kind not in REPEATABLE
         if refused and ran:
-            found.append(self._say("REFUSED", reply, f"{reply.status}, and it ran"))
-        if reply.why == "held":
-            found.append(self._say("HELD", reply, "no answer by its deadline"))
-        if reply.why == "cut" and ran and self._only_leaving(sent, reply):
-            found.append(self._say("LOST", reply, "cut by a planned stop"))
+            found.append(
+                self._violation("REFUSED", reply, f"{reply.status}, and it ran")
+            )
+        if reply.failure == "held":
+            found.append(self._violation("HELD", reply, "no answer by its deadline"))
+        if reply.failure == "cut" and ran and self._only_terminated(sent, reply):
+            found.append(self._violation("LOST", reply, "cut by a planned stop"))
         return found
 
-    def _say(self, rule: str, reply: Reply, what: str) -> Broken:
+    def _violation(self, rule: str, reply: Reply, what: str) -> Violation:
         sent = self.sent[reply.request_id]
-        return Broken(rule, reply.at, f"{reply.request_id} at host {sent.host}: {what}")
+        return Violation(
+            rule, reply.at, f"{reply.request_id} at host {sent.host}: {what}"
+        )
 
-    def _expected(self, reply: Reply) -> str:
-        server_id = reply.signed.partition(".")[0]
+    def _expected_signature(self, reply: Reply) -> str:
+        server_id = reply.body_signature.partition(".")[0]
         return signature(server_id, reply.request_id, reply.status, reply.body)
 
-    def _only_leaving(self, sent: Sent, reply: Reply) -> bool:
-        return self.hosts[sent.host].near(sent.at, reply.at) == {"host-term"}
+    def _only_terminated(self, sent: Sent, reply: Reply) -> bool:
+        return self.host_disturbances[sent.host].causes_near(sent.at, reply.at) == {
+            "host-term"
+        }
 
-    def _of_runs(self, runs: list[Run]) -> list[Broken]:
+    def _run_violations(self, runs: list[Run]) -> list[Violation]:
         found = []
         for run in runs:
             sent = self.sent.get(run.request_id)
             if sent is None or (sent.target, sent.body) != (run.target, run.body):
                 text = f"{run.request_id} at {run.server_id}"
-                found.append(Broken("UNASKED", run.at, text))
+                found.append(Violation("UNASKED", run.at, text))
                 continue
             if sent.service != self.service_of[run.server_id]:
                 text = f"{run.request_id} for {sent.service} at {run.server_id}"
-                found.append(Broken("ROUTE", run.at, text))
-            found += self._late(sent, run)
+                found.append(Violation("ROUTE", run.at, text))
+            found += self._late_run_violations(sent, run)
         sent = self.sent.get(runs[0].request_id)
         if len(runs) > 1 and sent is not None and sent.kind not in REPEATABLE:
             servers = ", ".join(run.server_id for run in runs)
             text = f"{runs[0].request_id} ran at {servers}"
-            found.append(Broken("TWICE", runs[1].at, text))
+            found.append(Violation("TWICE", runs[1].at, text))
         return found
 
-    def _late(self, sent: Sent, run: Run) -> list[Broken]:
+    def _late_run_violations(self, sent: Sent, run: Run) -> list[Violation]:
         """Return runs at a server too long after it left or was evacuated."""
         found = []
-        left = self.left.get(run.server_id)
-        if left is not None and self._bound_over(sent, left, DRAIN_S, run.at):
-            text = f"{run.request_id}: {run.server_id} left {run.at - left:.2f} s ago"
-            found.append(Broken("DRAIN", run.at, text))
+        left_at = self.left_at.get(run.server_id)
+        if left_at is not None and self._exceeds_bound(sent, left_at, DRAIN_S, run.at):
+            text = (
+                f"{run.request_id}: {run.server_id} left {run.at - left_at:.2f} s ago"
+            )
+            found.append(Violation("DRAIN", run.at, text))
         domain = self.domain_of[run.server_id]
         for begin, end in self.evacuated.get(domain, []):
-            inside = run.at < end
-            if inside and self._bound_over(sent, begin, EVACUATION_S, run.at):
+            during_evacuation = run.at < end
+            if during_evacuation and self._exceeds_bound(
+                sent, begin, EVACUATION_S, run.at
+            ):
                 text = f"{run.request_id}: {domain} evacuated at {begin:.2f}"
-                found.append(Broken("EVAC", run.at, text))
+                found.append(Violation("EVAC", run.at, text))
         return found
 
-    def _bound_over(self, sent: Sent, since: float, bound_s: float, at: float) -> bool:
+    def _exceeds_bound(
+        self, sent: Sent, since: float, bound_s: float, at: float
+    ) -> bool:
         """Return whether an undisturbed host exceeded a bound that began at `since`."""
         if at <= since + bound_s:
             return False
         calm = self._undisturbed(sent.host, since, at)
-        if calm and self._own_lag(since, at) > OWN_LAG_S:
+        if calm and self._max_loop_lag(since, at) > MAX_LOOP_LAG_S:
             self.unjudged += 1
             return False
         return calm
 
     def _undisturbed(self, host: int, begin: float, end: float) -> bool:
-        return not self.hosts[host].near(begin, end) and not self.core.near(begin, end)
+        return not self.host_disturbances[host].causes_near(
+            begin, end
+        ) and not self.store_disturbances.causes_near(begin, end)
 
     def versions_at(self, sent: Sent) -> set[int]:
         """Return the versions that may have been in force at the host of a request.
@@ -300,47 +320,49 @@
         }
         return since | {max(before, default=1)}
 
-    def _own_lag(self, begin: float, end: float) -> float:
-        low = bisect_left(self.own_lags, (begin, 0.0))
-        high = bisect_right(self.own_lags, (end + 1.0, 0.0))
-        return max((lag for _, lag in self.own_lags[low:high]), default=0.0)
+    def _max_loop_lag(self, begin: float, end: float) -> float:
+        first_index = bisect_left(self.loop_lags, (begin, 0.0))
+        end_index = bisect_right(self.loop_lags, (end + 1.0, 0.0))
+        return max(
+            (lag for _, lag in self.loop_lags[first_index:end_index]), default=0.0
+        )
 
-    def _configuration(self) -> list[Broken]:
+    def _configuration_violations(self) -> list[Violation]:
         found = []
         newest: dict[tuple[int, int], tuple[int, float]] = {}
         for reply in self.replies:
             sent = self.sent[reply.request_id]
             if not sent.version:
                 continue
-            found += self._stale(sent, reply)
+            found += self._config_apply_violations(sent, reply)
             key = (sent.host, sent.incarnation)
             version, seen_at = newest.get(key, (0, 0.0))
-            disturbed = self.hosts[sent.host].near(seen_at, reply.at)
+            disturbed = self.host_disturbances[sent.host].causes_near(seen_at, reply.at)
             slack = REVERT_SLACK_S * (8 if disturbed else 1)
             if reply.status != 200:
                 continue
             if sent.version < version and sent.at > seen_at + slack:
                 text = f"host {sent.host}: version {sent.version} after {version}"
-                found.append(Broken("REVERT", reply.at, text))
+                found.append(Violation("REVERT", reply.at, text))
             elif sent.version > version:
                 newest[key] = (sent.version, reply.at)
         return found
 
-    def _stale(self, sent: Sent, reply: Reply) -> list[Broken]:
+    def _config_apply_violations(self, sent: Sent, reply: Reply) -> list[Violation]:
         """Return a violation if a version came into force too late, or stayed too long."""
         text = f"host {sent.host}, version {sent.version}: {reply.status}"
         since = self.accepted.get(sent.version)
         after = self.accepted.get(sent.version + 1)
         newest = after is None or sent.at < after
         missing = reply.status == 404 and newest and since is not None
-        if missing and self._bound_over(sent, since, CONFIG_APPLY_S, sent.at):
-            return [Broken("CONFIG", reply.at, f"{text}, accepted at {since:.2f}")]
-        kept = reply.status == 200 and after is not None
-        if kept and self._bound_over(sent, after, CONFIG_APPLY_S, sent.at):
-            return [Broken("CONFIG", reply.at, f"{text}, dropped at {after:.2f}")]
+        if missing and self._exceeds_bound(sent, since, CONFIG_APPLY_S, sent.at):
+            return [Violation("CONFIG", reply.at, f"{text}, accepted at {since:.2f}")]
+        still_served = reply.status == 200 and after is not None
+        if still_served and self._exceeds_bound(sent, after, CONFIG_APPLY_S, sent.at):
+            return [Violation("CONFIG", reply.at, f"{text}, dropped at {after:.2f}")]
         return []
 
-    def _retries(self) -> list[Broken]:
+    def _retry_violations(self) -> list[Violation]:
         found = []
         asked: dict[str, list[float]] = defaultdict(list)
         for sent in self.sent.values():
@@ -360,40 +382,40 @@
                 requests -= bisect_left(asked[service], begin - RETRY_WINDOW_S / 2)
                 if count > RETRY_RATIO * requests + RETRY_EXTRA:
                     text = f"{service}: {count} repeats of {requests} requests"
-                    found.append(Broken("BUDGET", end, text))
+                    found.append(Violation("BUDGET", end, text))
                     break
         return found
 
-    def _late_bad_runs(self) -> list[Broken]:
+    def _crash_violations(self) -> list[Violation]:
         """Return a violation if a request that crashes servers kept reaching them."""
-        if len(self.ends) < MAX_CRASHES_PER_REQUEST:
+        if len(self.crashes) < MAX_CRASHES_PER_REQUEST:
             return []
-        since = self.ends[MAX_CRASHES_PER_REQUEST - 1][0] + STABLE_S
+        since = self.crashes[MAX_CRASHES_PER_REQUEST - 1][0] + STABLE_S
         late = [
             at
-            for at, request_id in self.ends
+            for at, request_id in self.crashes
             if at > since and self._sent_undisturbed(self.sent[request_id])
         ]
-        if len(late) <= LATE_MOST:
+        if len(late) <= MAX_LATE_CRASHES:
             return []
-        text = f"{len(late)} late, {len(self.ends)} servers ended under one request"
-        return [Broken("ENDS", late[LATE_MOST], text)]
+        text = f"{len(late)} late, {len(self.crashes)} servers ended under one request"
+        return [Violation("ENDS", late[MAX_LATE_CRASHES], text)]
 
     def _sent_undisturbed(self, sent: Sent) -> bool:
         return self._undisturbed(sent.host, sent.at, sent.at)
 
-    def _recovery(self) -> list[Broken]:
-        ends = {reply.request_id: reply.status for reply in self.replies}
+    def _recovery_violations(self) -> list[Violation]:
+        status_of = {reply.request_id: reply.status for reply in self.replies}
         calm = [
-            ends.get(sent.request_id, 0)
+            status_of.get(sent.request_id, 0)
             for sent in self.sent.values()
             if sent.kind == "read"
             and not sent.version
-            and sent.account in ("", USUAL)
+            and sent.account in ("", UNLIMITED)
             and self.calm_from <= sent.at < self.calm_to
         ]
         served = sum(status == 200 for status in calm)
-        if calm and served < RECOVERED * len(calm):
+        if calm and served < MIN_RECOVERED_SHARE * len(calm):
             text = f"{served} of {len(calm)} reads served in the calm at the end"
-            return [Broken("RECOVER", self.calm_from, text)]
+            return [Violation("RECOVER", self.calm_from, text)]
         return []
--- a/bench/soak/proxy.py
+++ b/bench/soak/proxy.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Harm:
+class LinkFault:
     """The fault that a proxy applies to its connections.
 
     Attributes
@@ -44,11 +44,11 @@
     def __init__(self, listen: str, target: str) -> None:
         self.listen = listen
         self.target = target
-        self.harm = Harm()
+        self.fault = LinkFault()
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._open: set[asyncio.Task[None]] = set()
-        self._changed = asyncio.Event()
+        self._connection_tasks: set[asyncio.Task[None]] = set()
+        self._fault_changed = asyncio.Event()
 
     async def start(self) -> None:
         """Start to accept connections, and set `listen` to the address in use."""
@@ -59,15 +59,15 @@
         port = self._server.sockets[0].getsockname()[1]
         self.listen = f"{host}:{port}"
 
-    def set(self, harm: Harm) -> None:
+    def set_fault(self, fault: LinkFault) -> None:
         """Replace the fault that is applied, for open connections too."""
-        self.harm = harm
-        self._changed.set()
-        self._changed = asyncio.Event()
-        if harm.reset:
-            self.drop()
+        self.fault = fault
+        self._fault_changed.set()
+        self._fault_changed = asyncio.Event()
+        if fault.reset:
+            self.reset_connections()
 
-    def drop(self) -> None:
+    def reset_connections(self) -> None:
         """Reset every open connection."""
         for writer in list(self._writers):
             writer.transport.abort()
@@ -75,31 +75,33 @@
     async def close(self) -> None:
         """Stop listening, reset open connections and wait until their tasks end."""
         self._server.close()
-        self.set(Harm(reset=True))
-        await asyncio.gather(*self._open, return_exceptions=True)
+        self.set_fault(LinkFault(reset=True))
+        await asyncio.gather(*self._connection_tasks, return_exceptions=True)
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         task = asyncio.current_task()
-        self._open.add(task)
-        task.add_done_callback(self._open.discard)
-        if self.harm.reset:
+        self._connection_tasks.add(task)
+        task.add_done_callback(self._connection_tasks.discard)
+        if self.fault.reset:
             writer.transport.abort()
             return
         self._writers.add(writer)
         try:
-            there, back = await asyncio.open_connection(*split_address(self.target))
+            target_reader, target_writer = await asyncio.open_connection(
+                *split_address(self.target)
+            )
         except OSError:
-            self._forget(writer)
+            self._close(writer)
             return
-        self._writers.add(back)
+        self._writers.add(target_writer)
         await asyncio.gather(
-            self._pump(reader, back, inward=True),
-            self._pump(there, writer, inward=False),
+            self._copy(reader, target_writer, inward=True),
+            self._copy(target_reader, writer, inward=False),
         )
 
-    async def _pump(
+    async def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -108,24 +110,24 @@
     ) -> None:
         try:
             while data := await reader.read(READ_SIZE):
-                await self._hold(inward=inward)
+                await self._apply_fault(inward=inward)
                 writer.write(data)
                 await writer.drain()
-            await self._hold(inward=inward)
+            await self._apply_fault(inward=inward)
             writer.write_eof()
         except (OSError, RuntimeError):
             # One side has closed its connection or was reset; no bytes remain to copy.
             writer.transport.abort()
         finally:
             if writer.transport.is_closing():
-                self._forget(writer)
+                self._close(writer)
 
-    async def _hold(self, *, inward: bool) -> None:
-        if self.harm.delay_s:
-            await asyncio.sleep(self.harm.delay_s)
-        while self.harm.silent_in if inward else self.harm.silent_out:
-            await self._changed.wait()
+    async def _apply_fault(self, *, inward: bool) -> None:
+        if self.fault.delay_s:
+            await asyncio.sleep(self.fault.delay_s)
+        while self.fault.silent_in if inward else self.fault.silent_out:
+            await self._fault_changed.wait()
 
-    def _forget(self, writer: asyncio.StreamWriter) -> None:
+    def _close(self, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
         self._writers.discard(writer)
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 from .callers import Callers
-from .faults import strike
-from .ledger import Broken, Ledger
-from .schedule import Fault, draw
+from .faults import inject_faults
+from .ledger import Violation, Ledger
+from .schedule import Fault, draw_faults
 from .world import World
 
 # Seconds without faults after the last one. Store entries that expired are back within
@@ -19,7 +19,7 @@
 CALM_END_S = 3.0
 # Seconds before the first request, in which the hosts read the store and discover each
 # other.
-LEAD_S = 2.5
+START_UP_S = 2.5
 
 
 @dataclass(slots=True, frozen=True)
@@ -43,7 +43,7 @@
     faults_per_s: float = 1.2
 
 
-USUAL = Size()
+DEFAULT_SIZE = Size()
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
     seed: int
     size: Size
     faults: list[Fault]
-    broken: list[Broken]
+    violations: list[Violation]
     outcomes: dict[str, int]
     unjudged: int
     series: list[tuple[int, int, int, int]]
@@ -72,7 +72,7 @@
             "seed": self.seed,
             "size": asdict(self.size),
             "faults": [asdict(fault) for fault in self.faults],
-            "broken": [asdict(item) for item in self.broken],
+            "broken": [asdict(item) for item in self.violations],
             "outcomes": self.outcomes,
             "unjudged": self.unjudged,
             "series": self.series,
@@ -80,30 +80,30 @@
 
     def describe(self) -> str:
         """Return a readable report of the run."""
-        verdict = f"{len(self.broken)} BROKEN" if self.broken else "kept"
+        verdict = f"{len(self.violations)} BROKEN" if self.violations else "kept"
         outcomes = ", ".join(f"{name} {n}" for name, n in sorted(self.outcomes.items()))
         lines = [
             f"seed {self.seed}: {verdict}; {len(self.faults)} faults; {outcomes}; "
             f"{self.unjudged} time bounds not judged"
         ]
-        for item in self.broken[:20]:
+        for item in self.violations[:20]:
             lines.append(f"  {item.rule} at {item.at:.2f} s: {item.what}")
-        if self.broken:
+        if self.violations:
             lines += ["  faults:", *(f"  {fault.describe()}" for fault in self.faults)]
         return "\n".join(lines)
 
 
-async def play(seed: int, size: Size, directory: Path) -> Result:
+async def run_soak(seed: int, size: Size, directory: Path) -> Result:
     """Perform one run; logs and settings of the hosts are written to `directory`."""
     rng = random.Random(seed)
-    faults = draw(seed, size.length_s, size.faults_per_s)
+    faults = draw_faults(seed, size.length_s, size.faults_per_s)
     world = World(directory, rng)
     await world.start(size.hosts, size.servers)
     callers = []
     try:
-        await asyncio.sleep(LEAD_S)
+        await asyncio.sleep(START_UP_S)
         callers = Callers(world, rng).tasks(size.callers)
-        await strike(world, faults)
+        await inject_faults(world, faults)
         await asyncio.sleep(SETTLE_S)
         world.ledger.calm_from = world.now()
         await asyncio.sleep(CALM_END_S)
@@ -111,21 +111,21 @@
     finally:
         for task in callers:
             task.cancel()
-        ends = await asyncio.gather(*callers, return_exceptions=True)
+        results = await asyncio.gather(*callers, return_exceptions=True)
         await world.stop()
-    for end in ends:
-        if not isinstance(end, asyncio.CancelledError):
-            raise end
+    for result in results:
+        if not isinstance(result, asyncio.CancelledError):
+            raise result
     return _result(seed, size, faults, world.ledger)
 
 
 def _result(seed: int, size: Size, faults: list[Fault], ledger: Ledger) -> Result:
-    outcomes = Counter(reply.why or str(reply.status) for reply in ledger.replies)
+    outcomes = Counter(reply.failure or str(reply.status) for reply in ledger.replies)
     return Result(
         seed,
         size,
         faults,
-        ledger.broken(),
+        ledger.violations(),
         dict(outcomes),
         ledger.unjudged,
         _series(ledger),
@@ -143,10 +143,12 @@
     return [(second, *row) for second, row in sorted(seconds.items())]
 
 
-def play_in(seed: int, size: Size, keep: Path | None = None) -> Result:
-    """Perform one run in `keep`, or in a temporary directory that is then removed."""
-    if keep is not None:
-        keep.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(play(seed, size, keep))
+def run_in_directory(
+    seed: int, size: Size, kept_directory: Path | None = None
+) -> Result:
+    """Perform one run in `kept_directory`, or in a temporary directory that is then removed."""
+    if kept_directory is not None:
+        kept_directory.mkdir(parents=True, exist_ok=True)
+        return asyncio.run(run_soak(seed, size, kept_directory))
     with tempfile.TemporaryDirectory() as path:
-        return asyncio.run(play(seed, size, Path(path)))
+        return asyncio.run(run_soak(seed, size, Path(path)))
--- a/bench/soak/schedule.py
+++ b/bench/soak/schedule.py
@@ -9,10 +9,10 @@
 
 # Seconds at the start of a run without faults, so that traffic already exercises all
 # guarantees when the first fault begins.
-CALM_S = 3.0
+UNDISTURBED_START_S = 3.0
 # Longest duration of one fault, in seconds. It is longer than the store keeps the entry
 # of a silent server (4.5 s) and longer than every silence timeout of the hosts.
-LONGEST_S = 6.0
+MAX_FAULT_S = 6.0
 
 HOST_KINDS = (
     "host-kill",
@@ -86,7 +86,7 @@
         return f"{self.at:6.2f} s {self.kind} #{self.target} for {self.for_s:.1f} s"
 
 
-def draw(seed: int, length_s: float, per_s: float) -> list[Fault]:
+def draw_faults(seed: int, length_s: float, per_s: float) -> list[Fault]:
     """Return the faults of one run, in order of time.
 
     Parameters
@@ -98,31 +98,31 @@
     per_s : float
         Faults per second, on average.
     """
-    faults = [*_series(random.Random(seed), length_s, per_s)]
+    faults = [*_draw_series(random.Random(seed), length_s, per_s)]
     rng = random.Random(f"signals-{seed}")
-    faults += _signals(rng, length_s, per_s * SIGNALS_PER_FAULT)
+    faults += _draw_signals(rng, length_s, per_s * SIGNALS_PER_FAULT)
     return sorted(faults, key=lambda fault: fault.at)
 
 
-def _signals(rng: random.Random, length_s: float, per_s: float) -> Iterator[Fault]:
+def _draw_signals(rng: random.Random, length_s: float, per_s: float) -> Iterator[Fault]:
     """Yield at least one signal of each kind."""
-    for number in range(max(len(SIGNAL_KINDS), round(length_s * per_s))):
-        kind = SIGNAL_KINDS[number % len(SIGNAL_KINDS)]
-        at = CALM_S + rng.uniform(0.0, length_s / 2)
-        for_s = rng.uniform(LONGEST_S, 2 * LONGEST_S)
+    for index in range(max(len(SIGNAL_KINDS), round(length_s * per_s))):
+        kind = SIGNAL_KINDS[index % len(SIGNAL_KINDS)]
+        at = UNDISTURBED_START_S + rng.uniform(0.0, length_s / 2)
+        for_s = rng.uniform(MAX_FAULT_S, 2 * MAX_FAULT_S)
         yield Fault(at, kind, rng.randrange(1 << 16), for_s)
 
 
-def _series(rng: random.Random, length_s: float, per_s: float) -> Iterator[Fault]:
+def _draw_series(rng: random.Random, length_s: float, per_s: float) -> Iterator[Fault]:
     """Yield single faults, and overlapping series of faults of one kind."""
-    most = max(1, round(length_s * per_s))
-    drawn = 0
-    while drawn < most:
+    max_faults = max(1, round(length_s * per_s))
+    fault_count = 0
+    while fault_count < max_faults:
         kind = rng.choice(rng.choice((HOST_KINDS, SERVER_KINDS, FLEET_KINDS)))
-        at = CALM_S + rng.uniform(0.0, length_s)
+        at = UNDISTURBED_START_S + rng.uniform(0.0, length_s)
         gap_s = rng.choice((0.0, 0.05, 0.4, 1.5))
         for step in range(rng.choice((1, 1, 1, 2, 3))):
             target = rng.randrange(1 << 16)
-            for_s = rng.uniform(0.3, LONGEST_S)
+            for_s = rng.uniform(0.3, MAX_FAULT_S)
             yield Fault(at + step * gap_s, kind, target, for_s)
-            drawn += 1
+            fault_count += 1
--- a/bench/soak/servers.py
+++ b/bench/soak/servers.py
@@ -11,22 +11,22 @@
 from lacewingcross.http1_server import HttpServer
 from lacewingcross.platform import headers as ph
 
-from .ledger import BAD_TARGET, Ledger, Run, signature
-from .signals import Reached
+from .ledger import CRASHING_TARGET, Ledger, Run, signature
+from .signals import Arrival
 
 SLOTS = 4
 # Requests that may wait for a slot. The ratio to the slots is that of the users'
 # servers.
-QUEUE = 3 * SLOTS
-WORK_S = 0.06
-MAX_BODY = 1 << 20
-PADDING = 300
+MAX_WAITING = 3 * SLOTS
+SERVICE_TIME_S = 0.06
+MAX_BODY_BYTES = 1 << 20
+PADDING_BYTES = 300
 # Seconds for which an unresponsive server sends no response; longer than any run.
-DARK_S = 600.0
+UNRESPONSIVE_S = 600.0
 
 
 @dataclass(slots=True)
-class Mood:
+class ServerBehaviour:
     """The faults and signals that a server currently shows.
 
     Attributes
@@ -47,14 +47,14 @@
         Refuse all requests and request this back-off, in seconds; 0 for none.
     """
 
-    slow: float = 1.0
-    lost: float = 0.0
-    garbled: float = 0.0
+    service_time_factor: float = 1.0
+    lost_share: float = 0.0
+    garbled_share: float = 0.0
     shed: bool = False
-    dark: bool = False
+    unresponsive: bool = False
     limit: float | None = None
-    leaving_word: bool = False
-    rest_s: float = 0.0
+    announces_leaving: bool = False
+    back_off_s: float = 0.0
 
 
 @dataclass(slots=True)
@@ -79,9 +79,9 @@
     ledger: Ledger
     rng: random.Random
     now: Callable[[], float]
-    mood: Mood = field(default_factory=Mood)
+    behaviour: ServerBehaviour = field(default_factory=ServerBehaviour)
     # Called when a request crashes this server.
-    on_end: Callable[["SoakServer"], None] = lambda server: None
+    on_crash: Callable[["SoakServer"], None] = lambda server: None
     address: str = ""
     leaving: bool = False
     _busy: int = 0
@@ -121,20 +121,20 @@
         headers = exchange.head.headers
         request_id = hd.find(headers, ph.REQUEST_ID)
         self.ledger.arrivals.append((self.now(), self.service, request_id))
-        if self.mood.dark:
-            await asyncio.sleep(DARK_S)
+        if self.behaviour.unresponsive:
+            await asyncio.sleep(UNRESPONSIVE_S)
         expected = hd.find(headers, ph.EXPECTED_INCARNATION)
         if expected and expected != self.server_id:
             await exchange.respond(421, [(ph.NOT_RUN, b"1")], b"")
             return
-        asked = self.ledger.signals.by_server[self.server_id]
+        signals = self.ledger.signals.by_server[self.server_id]
         sent = self.ledger.sent[request_id]
-        asked.reached.append(Reached(self.now(), sent.host, sent.at))
-        body = await read_body(exchange, MAX_BODY)
+        signals.arrivals.append(Arrival(self.now(), sent.host, sent.at))
+        body = await read_body(exchange, MAX_BODY_BYTES)
         if (
-            self.mood.shed
-            or self.mood.rest_s
-            or (self._slots.locked() and self._waiting >= QUEUE)
+            self.behaviour.shed
+            or self.behaviour.back_off_s
+            or (self._slots.locked() and self._waiting >= MAX_WAITING)
         ):
             await self._refuse(exchange, request_id)
             return
@@ -150,24 +150,24 @@
 
     def _signals(self, request_id: str) -> hd.HeaderList:
         """Return the signal headers of a response, and record them in the ledger."""
-        asked = self.ledger.signals.by_server[self.server_id]
+        signals = self.ledger.signals.by_server[self.server_id]
         host = self.ledger.sent[request_id].host
         fields = []
-        if self.mood.limit is not None:
-            asked.limits.append((self.now(), host, self.mood.limit))
-            fields.append((ph.SERVER_LIMIT, str(self.mood.limit).encode()))
-        if self.mood.leaving_word:
-            asked.left.setdefault(host, self.now())
+        if self.behaviour.limit is not None:
+            signals.limits.append((self.now(), host, self.behaviour.limit))
+            fields.append((ph.SERVER_LIMIT, str(self.behaviour.limit).encode()))
+        if self.behaviour.announces_leaving:
+            signals.announced_at.setdefault(host, self.now())
             fields.append((ph.SERVER_LEAVING, b"1"))
         return fields
 
     async def _refuse(self, exchange: Exchange, request_id: str) -> None:
         fields = [(ph.NOT_RUN, b"1"), *self._signals(request_id)]
-        if self.mood.rest_s:
-            asked = self.ledger.signals.by_server[self.server_id]
+        if self.behaviour.back_off_s:
+            signals = self.ledger.signals.by_server[self.server_id]
             host = self.ledger.sent[request_id].host
-            asked.rests.append((self.now(), host, self.mood.rest_s))
-            fields.append((ph.RETRY_AFTER, f"{self.mood.rest_s:.3f}".encode()))
+            signals.back_offs.append((self.now(), host, self.behaviour.back_off_s))
+            fields.append((ph.RETRY_AFTER, f"{self.behaviour.back_off_s:.3f}".encode()))
         await exchange.respond(503, fields, b"")
 
     async def _run(self, exchange: Exchange, request_id: str, body: bytes) -> None:
@@ -184,35 +184,37 @@
             bool(hd.find(head.headers, hd.AUTHORIZATION)),
         )
         self.ledger.runs[request_id].append(run)
-        if run.target == BAD_TARGET:
-            self.ledger.ends.append((self.now(), request_id))
-            self.on_end(self)
-            await asyncio.sleep(DARK_S)
+        if run.target == CRASHING_TARGET:
+            self.ledger.crashes.append((self.now(), request_id))
+            self.on_crash(self)
+            await asyncio.sleep(UNRESPONSIVE_S)
         self._busy += 1
         try:
-            spread = self.rng.uniform(0.5, 1.5)
-            await asyncio.sleep(WORK_S * self.mood.slow * spread)
+            jitter = self.rng.uniform(0.5, 1.5)
+            await asyncio.sleep(
+                SERVICE_TIME_S * self.behaviour.service_time_factor * jitter
+            )
         finally:
             self._busy -= 1
-        if self.rng.random() < self.mood.lost:
+        if self.rng.random() < self.behaviour.lost_share:
             exchange.abort()
             return
         await self._answer(exchange, request_id)
 
     async def _answer(self, exchange: Exchange, request_id: str) -> None:
-        body = f"{self.service} {request_id} ".encode() + b"x" * PADDING
-        signed = signature(self.server_id, request_id, 200, body)
+        body = f"{self.service} {request_id} ".encode() + b"x" * PADDING_BYTES
+        body_signature = signature(self.server_id, request_id, 200, body)
         load = f"{self._busy},{self._waiting},{SLOTS}"
         fields = [
             (ph.REQUEST_ID, request_id.encode()),
-            (ph.SIGNATURE, signed.encode()),
+            (ph.SIGNATURE, body_signature.encode()),
             (ph.LOAD, load.encode()),
             *self._signals(request_id),
         ]
         if self.rng.random() < 0.5:
             fields.append((hd.CONTENT_LENGTH, str(len(body)).encode()))
         await exchange.send_head(200, fields)
-        if self.rng.random() < self.mood.garbled:
+        if self.rng.random() < self.behaviour.garbled_share:
             await exchange.send_body(body[: len(body) // 2])
             exchange.abort()
             return
--- a/bench/soak/signals.py
+++ b/bench/soak/signals.py
@@ -11,7 +11,7 @@
 
 from lacewingcross.core.rate_limits import RateBound
 
-from .findings import Broken
+from .findings import Violation
 
 if TYPE_CHECKING:
     from .ledger import Ledger
@@ -19,17 +19,17 @@
 # Seconds after a server first names a limit at which the limit must be kept.
 STABLE_S = 3.0
 # Seconds after such a response at which a host must obey it.
-HEARD_S = 0.5
+SIGNAL_APPLY_S = 0.5
 # Seconds after a server announced to a host that it is draining. The host must forward
 # to it no request that callers send later than that.
 DRAIN_S = 2.5
 # Requests of one host that may reach a server during a back-off that it requested.
-REST_MOST = 2
+MAX_REQUESTS_IN_BACK_OFF = 2
 BOUND = RateBound()
 
 
 @dataclass(slots=True, frozen=True)
-class Reached:
+class Arrival:
     """A request that reached a server, whether or not the server ran it.
 
     Attributes
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ServerSignals:
     """The signals of one server, and the requests that reached it.
 
     Attributes
@@ -63,73 +63,84 @@
         Time, host and duration in seconds of each back-off that it requested.
     """
 
-    reached: list[Reached] = field(default_factory=list)
+    arrivals: list[Arrival] = field(default_factory=list)
     limits: list[tuple[float, int, float]] = field(default_factory=list)
-    limit_ended: float = float("inf")
-    left: dict[int, float] = field(default_factory=dict)
-    rests: list[tuple[float, int, float]] = field(default_factory=list)
+    limit_ended_at: float = float("inf")
+    announced_at: dict[int, float] = field(default_factory=dict)
+    back_offs: list[tuple[float, int, float]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class SignalLedger:
     """The signals of all servers."""
 
-    by_server: dict[str, Asked] = field(default_factory=lambda: defaultdict(Asked))
+    by_server: dict[str, ServerSignals] = field(
+        default_factory=lambda: defaultdict(ServerSignals)
+    )
 
 
-def broken_words(ledger: "Ledger") -> Iterator[Broken]:
+def leaving_violations(ledger: "Ledger") -> Iterator[Violation]:
     """Yield requests that reached a server too long after it announced draining."""
-    for server_id, asked in ledger.signals.by_server.items():
-        for item in asked.reached:
-            told = asked.left.get(item.host)
-            if told is None or item.sent_at <= told + DRAIN_S:
+    for server_id, signals in ledger.signals.by_server.items():
+        for item in signals.arrivals:
+            leaving_announced_at = signals.announced_at.get(item.host)
+            if (
+                leaving_announced_at is None
+                or item.sent_at <= leaving_announced_at + DRAIN_S
+            ):
                 continue
-            if not ledger.hosts[item.host].near(told, item.at):
-                late_s = item.sent_at - told
+            if not ledger.host_disturbances[item.host].causes_near(
+                leaving_announced_at, item.at
+            ):
+                late_s = item.sent_at - leaving_announced_at
                 text = f"{server_id} told host {item.host} {late_s:.2f} s before"
-                yield Broken("DRAIN", item.at, text)
+                yield Violation("DRAIN", item.at, text)
 
 
-def broken_rests(ledger: "Ledger") -> Iterator[Broken]:
+def back_off_violations(ledger: "Ledger") -> Iterator[Violation]:
     """Yield for each server and host the first back-off that the host violated."""
-    for server_id, asked in ledger.signals.by_server.items():
+    for server_id, signals in ledger.signals.by_server.items():
         times: dict[int, list[float]] = defaultdict(list)
-        for item in asked.reached:
+        for item in signals.arrivals:
             times[item.host].append(item.at)
-        found: set[int] = set()
-        for at, host, rest_s in asked.rests:
-            begin = bisect_left(times[host], at + HEARD_S)
-            count = bisect_left(times[host], at + rest_s) - begin
-            calm = not ledger.hosts[host].near(at, at + rest_s)
-            if count > REST_MOST and calm and host not in found:
-                found.add(host)
+        violated_hosts: set[int] = set()
+        for at, host, back_off_s in signals.back_offs:
+            first_index = bisect_left(times[host], at + SIGNAL_APPLY_S)
+            count = bisect_left(times[host], at + back_off_s) - first_index
+            calm = not ledger.host_disturbances[host].causes_near(at, at + back_off_s)
+            if count > MAX_REQUESTS_IN_BACK_OFF and calm and host not in violated_hosts:
+                violated_hosts.add(host)
                 text = f"{server_id}: {count} requests of host {host} in its rest"
-                yield Broken("REST", at + rest_s, text)
+                yield Violation("REST", at + back_off_s, text)
 
 
-def broken_limits(ledger: "Ledger") -> Iterator[Broken]:
+def limit_violations(ledger: "Ledger") -> Iterator[Violation]:
     """Yield for each server the first window that received more than its limit."""
-    for server_id, asked in ledger.signals.by_server.items():
-        if asked.limits:
-            yield from _over_limit(ledger, server_id, asked)
-
-
-def _over_limit(ledger: "Ledger", server_id: str, asked: Asked) -> Iterator[Broken]:
-    first = asked.limits[0][0]
-    told: dict[int, float] = {}
-    for at, host, _ in asked.limits:
-        told.setdefault(host, at)
+    for server_id, signals in ledger.signals.by_server.items():
+        if signals.limits:
+            yield from _over_limit(ledger, server_id, signals)
+
+
+def _over_limit(
+    ledger: "Ledger", server_id: str, signals: ServerSignals
+) -> Iterator[Violation]:
+    first = signals.limits[0][0]
+    first_signal_at: dict[int, float] = {}
+    for at, host, _ in signals.limits:
+        first_signal_at.setdefault(host, at)
     times = [
         item.at
-        for item in asked.reached
-        if first + STABLE_S <= item.at < asked.limit_ended
-        and item.at - told.get(item.host, item.at) >= HEARD_S
-        and not ledger.hosts[item.host].near(told[item.host], item.at)
+        for item in signals.arrivals
+        if first + STABLE_S <= item.at < signals.limit_ended_at
+        and item.at - first_signal_at.get(item.host, item.at) >= SIGNAL_APPLY_S
+        and not ledger.host_disturbances[item.host].causes_near(
+            first_signal_at[item.host], item.at
+        )
     ]
-    most = BOUND.most(max(rate for *_, rate in asked.limits))
+    max_requests = BOUND.most(max(rate for *_, rate in signals.limits))
     for index, at in enumerate(times):
         count = bisect_left(times, at + BOUND.window_s) - index
-        if count > most:
-            text = f"{server_id}: {count} requests within a window, allowed {most:.0f}"
-            yield Broken("LIMIT", at, text)
+        if count > max_requests:
+            text = f"{server_id}: {count} requests within a window, allowed {max_requests:.0f}"
+            yield Violation("LIMIT", at, text)
             return
--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -23,7 +23,7 @@
 from .accounts import stored_accounts
 from .ledger import Ledger
 from .proxy import FaultyProxy
-from .servers import Mood, SoakServer
+from .servers import ServerBehaviour, SoakServer
 
 HOST_NAME = "a.example"
 REGION_OF = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
@@ -32,14 +32,14 @@
 # The store drops the entry of a server after three missed heartbeats, as the users'
 # platform does.
 HEARTBEAT_S = 1.5
-LAPSE_S = 3 * HEARTBEAT_S
+ENTRY_TTL_S = 3 * HEARTBEAT_S
 # Seconds after which an exited process is started again, as the users' platform does.
 RESTART_S = 0.4
 # Seconds for which a draining server still serves after the store accepted its report.
 SERVES_ON_S = 3.5
 # Seconds after which a server that crashed while it ran a request is replaced by a
 # server with another id.
-BACK_S = 2.0
+REPLACEMENT_DELAY_S = 2.0
 TICK_S = 0.05
 
 
@@ -57,7 +57,7 @@
         How often the process has been started.
     """
 
-    number: int
+    index: int
     cfg: GatewaySettings
     callers: FaultyProxy
     store: FaultyProxy
@@ -86,18 +86,18 @@
     ledger: Ledger = field(default_factory=Ledger)
     hosts: list[Host] = field(default_factory=list)
     servers: list[SoakServer] = field(default_factory=list)
-    by_entry: dict[str, int] = field(default_factory=dict)
+    host_by_entry: dict[str, int] = field(default_factory=dict)
     version: int = 0
     store: ObjectStoreStandin | None = None
-    _began: float = field(default_factory=time.monotonic)
-    _made: int = 0
+    _started_at: float = field(default_factory=time.monotonic)
+    _servers_started: int = 0
     _ports: Iterator[int] = field(default_factory=free_ports)
-    _beats: dict[str, float] = field(default_factory=dict)
+    _last_heartbeats: dict[str, float] = field(default_factory=dict)
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def now(self) -> float:
         """Return seconds since the world began."""
-        return time.monotonic() - self._began
+        return time.monotonic() - self._started_at
 
     # Start and end
 
@@ -105,17 +105,17 @@
         """Start the store, the servers and the hosts."""
         self.store = ObjectStoreStandin(time.monotonic)
         port = await self.store.start()
-        self.change()
-        for number in range(servers):
-            service = ("calendar", "booking")[number % 2]
-            await self.add_server(service, DOMAINS[number // 2 % len(DOMAINS)])
-        for number in range(hosts):
-            await self._add_host(number, f"127.0.0.1:{port}")
+        self.accept_new_version()
+        for index in range(servers):
+            service = ("calendar", "booking")[index % 2]
+            await self.add_server(service, DOMAINS[index // 2 % len(DOMAINS)])
+        for index in range(hosts):
+            await self._add_host(index, f"127.0.0.1:{port}")
         loop = asyncio.get_running_loop()
         self._tasks = [
             loop.create_task(self._keep_running()),
             loop.create_task(self._keep_entries()),
-            loop.create_task(self._watch_own_lag()),
+            loop.create_task(self._watch_loop_lag()),
         ]
 
     async def stop(self) -> None:
@@ -135,8 +135,8 @@
             await server.stop()
         await self.store.close()
 
-    async def _add_host(self, number: int, platform: str) -> None:
-        domain = DOMAINS[number % len(DOMAINS)]
+    async def _add_host(self, index: int, platform: str) -> None:
+        domain = DOMAINS[index % len(DOMAINS)]
         address = [f"127.0.0.1:{next(self._ports)}" for _ in range(5)]
         entry, readiness, peer_listen, directory, metrics = address
         callers = FaultyProxy("127.0.0.1:0", entry)
@@ -145,7 +145,7 @@
         for proxy in (callers, store, peers):
             await proxy.start()
         cfg = GatewaySettings(
-            host_id=f"host-{number}",
+            host_id=f"host-{index}",
             region=REGION_OF[domain],
             failure_domain=domain,
             region_of=REGION_OF,
@@ -159,10 +159,10 @@
             metrics_port=int(metrics.rpartition(":")[2]),
         )
         settings = self.directory / f"{cfg.host_id}.json"
-        host = Host(number, cfg, callers, store, peers, settings)
+        host = Host(index, cfg, callers, store, peers, settings)
         host.log = (self.directory / f"{cfg.host_id}.log").open("ab")
         self.hosts.append(host)
-        self.by_entry[entry] = number
+        self.host_by_entry[entry] = index
         self.write_settings(host, cold_slack=5)
         self._spawn(host)
 
@@ -193,9 +193,9 @@
                 if code is None:
                     continue
                 now = self.now()
-                if not self.ledger.hosts[host.number].near(now, now):
-                    self.ledger.ended_alone.append((now, host.number, code))
-                self.disturb(host, "restart", 1.0)
+                if not self.ledger.host_disturbances[host.index].causes_near(now, now):
+                    self.ledger.unexpected_exits.append((now, host.index, code))
+                self.record_disturbance(host, "restart", 1.0)
                 await asyncio.sleep(RESTART_S)
                 self._spawn(host)
 
@@ -206,18 +206,18 @@
             now = self.now()
             if not self.store.faults.down:
                 for server in self.servers:
-                    if not server.mood.dark:
-                        self._beats[server.server_id] = now
+                    if not server.behaviour.unresponsive:
+                        self._last_heartbeats[server.server_id] = now
                         if not server.leaving:
-                            self.ledger.left.pop(server.server_id, None)
+                            self.ledger.left_at.pop(server.server_id, None)
                         self.store.put("servers", server.server_id, server.entry())
-            for server_id, beat in list(self._beats.items()):
-                if now - beat > LAPSE_S:
+            for server_id, last_heartbeat in list(self._last_heartbeats.items()):
+                if now - last_heartbeat > ENTRY_TTL_S:
                     self.store.delete("servers", server_id)
-                    del self._beats[server_id]
-                    self.ledger.left.setdefault(server_id, now)
+                    del self._last_heartbeats[server_id]
+                    self.ledger.left_at.setdefault(server_id, now)
 
-    async def _watch_own_lag(self) -> None:
+    async def _watch_loop_lag(self) -> None:
         """Record when this process's event loop was late.
 
         Time bounds of the hosts cannot be judged at such times.
@@ -227,9 +227,9 @@
             await asyncio.sleep(TICK_S)
             lag = time.monotonic() - began - TICK_S
             if lag > TICK_S:
-                self.ledger.own_lags.append((self.now(), lag))
+                self.ledger.loop_lags.append((self.now(), lag))
 
-    def change(self) -> None:
+    def accept_new_version(self) -> None:
         """Store a new configuration version, with a route that only it contains."""
         self.version += 1
         route = {
@@ -277,12 +277,18 @@
         self, service: str, domain: str, address: str = "127.0.0.1:0"
     ) -> SoakServer:
         """Start a server; `address` may be that of a server which has stopped."""
-        self._made += 1
+        self._servers_started += 1
         rng = random.Random(self.rng.randrange(1 << 32))
         server = SoakServer(
-            f"s{self._made}", service, domain, self.ledger, rng, self.now, Mood()
+            f"s{self._servers_started}",
+            service,
+            domain,
+            self.ledger,
+            rng,
+            self.now,
+            ServerBehaviour(),
         )
-        server.on_end = self._end_server
+        server.on_crash = self._crash_server
         await server.start(address)
         self.servers.append(server)
         return server
@@ -293,25 +299,27 @@
             self.servers.remove(server)
             await server.stop()
 
-    def _end_server(self, server: SoakServer) -> None:
+    def _crash_server(self, server: SoakServer) -> None:
         """Crash a server while it runs a request, and start another in its place."""
-        self._tasks.append(asyncio.get_running_loop().create_task(self._swap(server)))
+        self._tasks.append(
+            asyncio.get_running_loop().create_task(self._replace_server(server))
+        )
 
-    async def _swap(self, server: SoakServer) -> None:
+    async def _replace_server(self, server: SoakServer) -> None:
         await self.drop_server(server)
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(REPLACEMENT_DELAY_S)
         await self.add_server(server.service, server.domain)
 
-    def leave_server(self, server: SoakServer) -> None:
+    def announce_leaving(self, server: SoakServer) -> None:
         """Let a server report to the store that it is draining."""
         server.leaving = True
         self.store.put("servers", server.server_id, server.entry())
-        self.ledger.left.setdefault(server.server_id, self.now())
+        self.ledger.left_at.setdefault(server.server_id, self.now())
 
-    def disturb(self, host: Host, why: str, for_s: float) -> None:
+    def record_disturbance(self, host: Host, cause: str, for_s: float) -> None:
         """Record that time bounds do not apply to a host for `for_s` seconds."""
         now = self.now()
-        self.ledger.hosts[host.number].add(now, now + for_s, why)
+        self.ledger.host_disturbances[host.index].add(now, now + for_s, cause)
 
     def signal(self, host: Host, signum: int) -> None:
         """Send a signal to a host's process."""
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from bench.soak.proxy import FaultyProxy, Harm
-from bench.soak.run import Size, play_in
+from bench.soak.proxy import FaultyProxy, LinkFault
+from bench.soak.run import Size, run_in_directory
 
 # The run is small enough for a busy machine; the guarantees that it checks have no tight
 # time bounds.
@@ -12,8 +12,8 @@
 
 
 def test_a_short_seeded_run_breaks_no_promise(tmp_path):
-    result = play_in(SEED, SHORT, tmp_path)
-    assert result.broken == []
+    result = run_in_directory(SEED, SHORT, tmp_path)
+    assert result.violations == []
     assert result.outcomes["200"] > 100
 
 
@@ -44,12 +44,12 @@
 def test_silenced_bytes_flow_on_when_the_harm_ends():
     async def check(proxy, port):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        proxy.set(Harm(silent_out=True))
+        proxy.set_fault(LinkFault(silent_out=True))
         writer.write(b"held")
         waiting = asyncio.ensure_future(reader.read(100))
         done, _ = await asyncio.wait((waiting,), timeout=0.2)
         assert not done
-        proxy.set(Harm())
+        proxy.set_fault(LinkFault())
         assert await waiting == b"held"
         writer.close()
 
@@ -61,17 +61,17 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"a")
         assert await reader.read(100) == b"a"
-        proxy.set(Harm(reset=True))
-        assert await ended(reader)
-        late, late_writer = await asyncio.open_connection("127.0.0.1", port)
-        assert await ended(late)
+        proxy.set_fault(LinkFault(reset=True))
+        assert await is_closed(reader)
+        late_reader, late_writer = await asyncio.open_connection("127.0.0.1", port)
+        assert await is_closed(late_reader)
         writer.close()
         late_writer.close()
 
     through_proxy(check)
 
 
-async def ended(reader):
+async def is_closed(reader):
     try:
         return await reader.read(100) == b""
     except ConnectionError:
