--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -43,7 +43,7 @@
     to : str
         Directory for results, plots and logs.
     """
-    # Guards against hosts that keep running after the soak was stopped by SIGTERM. Their
+    # Guards against hosts that keep running after SIGTERM has stopped the soak. Their
     # calls would reach the servers of the next run, which would report them as requests
     # that no caller sent.
     signal.signal(signal.SIGTERM, _interrupt)
--- a/bench/soak/accounts.py
+++ b/bench/soak/accounts.py
@@ -37,7 +37,7 @@
 
 
 def account_violations(ledger: "Ledger") -> Iterator[Violation]:
-    """Yield requests that ran for another account, or that carried the account's key."""
+    """Yield requests that ran for another account or that carried the caller's key."""
     for runs in ledger.runs.values():
         for run in runs:
             sent = ledger.sent.get(run.request_id)
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -18,7 +18,7 @@
 )
 from lacewingcross.platform import headers as ph
 
-from .accounts import FLOODED, KEYS, INTERMITTENT, UNLIMITED
+from .accounts import FLOODED, INTERMITTENT, KEYS, UNLIMITED
 from .ledger import CRASHING, CRASHING_TARGET, DEADLINE_S, Reply, Sent
 from .world import HOST_NAME, World
 
@@ -95,9 +95,7 @@
                 self._send_continuously(INTERMITTENT, 0, INTERMITTENT_EVERY_S)
             )
         )
-        return running + [
-            loop.create_task(self._probe(caller_index)) for caller_index in hosts
-        ]
+        return running + [loop.create_task(self._probe(host)) for host in hosts]
 
     async def _call(self, caller_index: int) -> None:
         region = "ab"[caller_index % 2]
@@ -228,7 +226,7 @@
         return conn
 
     def _host_undisturbed(self, sent: Sent) -> bool:
-        """Return whether the host was undisturbed, so it must answer by the deadline."""
+        """Return whether the host was undisturbed and should have met the deadline."""
         ledger = self._world.ledger
         now = self._world.now()
         return not ledger.host_disturbances[sent.host].causes_near(sent.at, now)
@@ -257,9 +255,14 @@
         body: bytes = b"",
         failure: str = "",
     ) -> None:
-        body_signature = hd.find(head.headers, ph.SIGNATURE) if head else ""
+        response_signature = hd.find(head.headers, ph.SIGNATURE) if head else ""
         reply = Reply(
-            sent.request_id, status, body_signature, body, self._world.now(), failure
+            sent.request_id,
+            status,
+            response_signature,
+            body,
+            self._world.now(),
+            failure,
         )
         self._world.ledger.replies.append(reply)
 
--- a/bench/soak/ledger.py
+++ b/bench/soak/ledger.py
@@ -10,9 +10,9 @@
 from .signals import (
     DRAIN_S,
     SignalLedger,
-    limit_violations,
     back_off_violations,
     leaving_violations,
+    limit_violations,
 )
 
 # Time bounds in seconds that the soak's settings and the deployment guarantee.
@@ -40,8 +40,8 @@
 # undisturbed hosts may cause later than `STABLE_S` after that.
 MAX_CRASHES_PER_REQUEST = 3
 MAX_LATE_CRASHES = 3
-# Time bounds are judged only while the soak's own event loop is late by at most this, in
-# seconds.
+# Time bounds are judged only while the soak's own event loop is late by at most this
+# many seconds.
 MAX_LOOP_LAG_S = 0.25
 
 
@@ -86,7 +86,7 @@
 
     request_id: str
     status: int
-    body_signature: str
+    response_signature: str
     body: bytes
     at: float
     failure: str = ""
@@ -96,8 +96,8 @@
 class Run:
     """One request that a server began to run.
 
-    `account` is the account named to the server, and `has_credentials` says whether the server
-    received the caller's credentials.
+    `account` is the account named to the server. `has_credentials` says whether the
+    server received the caller's credentials.
     """
 
     request_id: str
@@ -143,7 +143,8 @@
     arrivals : list of tuple
         Time, service and request id of each request that reached a server.
     left_at : dict of str to float
-        When the store had no more entry of a server as ready.
+        For each server, when the store accepted that it is draining or dropped its
+        entry.
     evacuated : dict of str to list of tuple
         For each failure domain, begin and end of its evacuations.
     accepted : dict of int to float
@@ -209,10 +210,11 @@
     def _reply_violations(self, reply: Reply) -> list[Violation]:
         sent = self.sent[reply.request_id]
         found = []
-        if 200 <= reply.status < 300 and not reply.body_signature:
+        if 200 <= reply.status < 300 and not reply.response_signature:
             found.append(self._violation("MIXED", reply, "success without signature"))
-        if reply.body_signature and reply.body_signature != self._expected_signature(
-            reply
+        if (
+            reply.response_signature
+            and reply.response_signature != self._expected_signature(reply)
         ):
             found.append(
                 self._violation("MIXED", reply, "the answer is not the server's")
@@ -236,7 +238,7 @@
         )
 
     def _expected_signature(self, reply: Reply) -> str:
-        server_id = reply.body_signature.partition(".")[0]
+        server_id = reply.response_signature.partition(".")[0]
         return signature(server_id, reply.request_id, reply.status, reply.body)
 
     def _only_terminated(self, sent: Sent, reply: Reply) -> bool:
@@ -349,7 +351,7 @@
         return found
 
     def _config_apply_violations(self, sent: Sent, reply: Reply) -> list[Violation]:
-        """Return a violation if a version came into force too late, or stayed too long."""
+        """Return a violation if a version came into force, or went out, too late."""
         text = f"host {sent.host}, version {sent.version}: {reply.status}"
         since = self.accepted.get(sent.version)
         after = self.accepted.get(sent.version + 1)
@@ -364,9 +366,9 @@
 
     def _retry_violations(self) -> list[Violation]:
         found = []
-        asked: dict[str, list[float]] = defaultdict(list)
+        sent_at_by_service: dict[str, list[float]] = defaultdict(list)
         for sent in self.sent.values():
-            asked[sent.service].append(sent.at)
+            sent_at_by_service[sent.service].append(sent.at)
         repeats: dict[str, list[float]] = defaultdict(list)
         seen: set[str] = set()
         for at, service, request_id in sorted(self.arrivals):
@@ -374,12 +376,14 @@
                 repeats[service].append(at)
             seen.add(request_id)
         for service, times in repeats.items():
-            asked[service].sort()
+            sent_at_by_service[service].sort()
             for index, end in enumerate(times):
                 begin = end - RETRY_WINDOW_S
                 count = index + 1 - bisect_left(times, begin)
-                requests = bisect_right(asked[service], end)
-                requests -= bisect_left(asked[service], begin - RETRY_WINDOW_S / 2)
+                requests = bisect_right(sent_at_by_service[service], end)
+                requests -= bisect_left(
+                    sent_at_by_service[service], begin - RETRY_WINDOW_S / 2
+                )
                 if count > RETRY_RATIO * requests + RETRY_EXTRA:
                     text = f"{service}: {count} repeats of {requests} requests"
                     found.append(Violation("BUDGET", end, text))
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -9,7 +9,7 @@
 
 from .callers import Callers
 from .faults import inject_faults
-from .ledger import Violation, Ledger
+from .ledger import Ledger, Violation
 from .schedule import Fault, draw_faults
 from .world import World
 
@@ -146,7 +146,7 @@
 def run_in_directory(
     seed: int, size: Size, kept_directory: Path | None = None
 ) -> Result:
-    """Perform one run in `kept_directory`, or in a temporary directory that is then removed."""
+    """Perform one run in `kept_directory`, or in a temporary directory."""
     if kept_directory is not None:
         kept_directory.mkdir(parents=True, exist_ok=True)
         return asyncio.run(run_soak(seed, size, kept_directory))
--- a/bench/soak/servers.py
+++ b/bench/soak/servers.py
@@ -42,7 +42,7 @@
     limit : float or None
         Requests per second that the server names as its limit.
     leaving_word : bool
-        Announce in responses that the server is draining, without a report to the store.
+        Announce in responses that the server is draining; the store gets no report.
     rest_s : float
         Refuse all requests and request this back-off, in seconds; 0 for none.
     """
@@ -203,11 +203,11 @@
 
     async def _answer(self, exchange: Exchange, request_id: str) -> None:
         body = f"{self.service} {request_id} ".encode() + b"x" * PADDING_BYTES
-        body_signature = signature(self.server_id, request_id, 200, body)
+        response_signature = signature(self.server_id, request_id, 200, body)
         load = f"{self._busy},{self._waiting},{SLOTS}"
         fields = [
             (ph.REQUEST_ID, request_id.encode()),
-            (ph.SIGNATURE, body_signature.encode()),
+            (ph.SIGNATURE, response_signature.encode()),
             (ph.LOAD, load.encode()),
             *self._signals(request_id),
         ]
--- a/bench/soak/signals.py
+++ b/bench/soak/signals.py
@@ -137,10 +137,10 @@
             first_signal_at[item.host], item.at
         )
     ]
-    max_requests = BOUND.most(max(rate for *_, rate in signals.limits))
+    limit = BOUND.most(max(rate for *_, rate in signals.limits))
     for index, at in enumerate(times):
         count = bisect_left(times, at + BOUND.window_s) - index
-        if count > max_requests:
-            text = f"{server_id}: {count} requests within a window, allowed {max_requests:.0f}"
+        if count > limit:
+            text = f"{server_id}: {count} requests within a window, allowed {limit:.0f}"
             yield Violation("LIMIT", at, text)
             return
--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -96,11 +96,9 @@
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def now(self) -> float:
-        """Return seconds since the world began."""
+        """Return the seconds since the start of the run."""
         return time.monotonic() - self._started_at
 
-    # Start and end
-
     async def start(self, hosts: int, servers: int) -> None:
         """Start the store, the servers and the hosts."""
         self.store = ObjectStoreStandin(time.monotonic)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -5,8 +5,8 @@
 from bench.soak.proxy import FaultyProxy, LinkFault
 from bench.soak.run import Size, run_in_directory
 
-# The run is small enough for a busy machine; the guarantees that it checks have no tight
-# time bounds.
+# The run is small enough for a busy machine. The guarantees that it checks have no
+# tight time bounds.
 SHORT = Size(hosts=3, servers=6, callers=6, length_s=5.0, faults_per_s=1.0)
 SEED = 5
 
--- a/tests/test_soak_ledger.py
+++ b/tests/test_soak_ledger.py
@@ -4,9 +4,9 @@
 
 from bench.soak.accounts import BOUND, QUOTA
 from bench.soak.ledger import (
+    CONFIG_APPLY_S,
     CRASHING,
     CRASHING_TARGET,
-    CONFIG_APPLY_S,
     DEADLINE_S,
     DRAIN_S,
     EVACUATION_S,
@@ -50,13 +50,13 @@
     status=200,
     at=10.2,
     body=b"y",
-    body_signature=None,
+    response_signature=None,
     failure="",
 ):
-    if body_signature is None:
-        body_signature = signature(SERVER, request_id, status, body)
+    if response_signature is None:
+        response_signature = signature(SERVER, request_id, status, body)
     observed.replies.append(
-        Reply(request_id, status, body_signature, body, at, failure)
+        Reply(request_id, status, response_signature, body, at, failure)
     )
 
 
@@ -73,11 +73,11 @@
 
 
 @pytest.mark.parametrize("signed", ["", signature(SERVER, "q2", 200, b"y")])
-def test_an_answer_that_is_not_the_servers_own_is_found(body_signature):
+def test_an_answer_that_is_not_the_servers_own_is_found(signed):
     observed = ledger()
     add_sent(observed)
     add_run(observed)
-    add_reply(observed, body_signature=body_signature)
+    add_reply(observed, response_signature=signed)
     assert violated_rules(observed) == ["MIXED"]
 
 
@@ -85,7 +85,9 @@
     observed = ledger()
     add_sent(observed)
     add_run(observed)
-    add_reply(observed, body=b"y", body_signature=signature(SERVER, "q1", 200, b"yy"))
+    add_reply(
+        observed, body=b"y", response_signature=signature(SERVER, "q1", 200, b"yy")
+    )
     assert violated_rules(observed) == ["MIXED"]
 
 
@@ -105,7 +107,7 @@
     observed = ledger()
     add_sent(observed)
     add_run(observed, at=ran_at)
-    add_reply(observed, status=503, body_signature="")
+    add_reply(observed, status=503, response_signature="")
     assert violated_rules(observed) == ["REFUSED"]
 
 
@@ -154,7 +156,7 @@
     observed.accepted = {1: 0.0, 2: 10.0}
     late = 10.0 + CONFIG_APPLY_S + 0.1
     add_sent(observed, kind="read", at=late, version=2)
-    add_reply(observed, status=404, body_signature="", at=late)
+    add_reply(observed, status=404, response_signature="", at=late)
     add_sent(observed, "q2", kind="read", at=late, version=1)
     add_reply(observed, "q2", at=late)
     assert violated_rules(observed) == ["CONFIG", "CONFIG"]
@@ -187,7 +189,7 @@
     observed = ledger()
     add_sent(observed)
     add_run(observed)
-    add_reply(observed, status=0, body_signature="", failure="cut")
+    add_reply(observed, status=0, response_signature="", failure="cut")
     observed.host_disturbances[0].add(9.0, 16.0, "host-term")
     assert violated_rules(observed) == ["LOST"]
     observed.host_disturbances[0].add(10.0, 10.1, "host-kill")
@@ -210,7 +212,7 @@
     observed = ledger()
     observed.calm_from, observed.calm_to = 10.0, 20.0
     add_sent(observed, kind="read", at=11.0)
-    add_reply(observed, status=503, body_signature="")
+    add_reply(observed, status=503, response_signature="")
     assert violated_rules(observed) == ["RECOVER"]
 
 
@@ -290,7 +292,7 @@
         observed,
         status=status,
         at=at + 0.2,
-        body_signature=None if status == 200 else "",
+        response_signature=None if status == 200 else "",
     )
 
 
