--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -1,9 +1,10 @@
-"""Ways to keep to a server's rate limit over all hosts, on the same callers.
+"""Compares ways to keep a server's rate limit over all hosts.
 
-Run ``python -m bench.limit_ways``. For each way, fleet, rate and load it prints by how
-much the worst window lies above the rate itself and above what all hosts may send, how
-much of what the rate and the callers allow was used, and what hosts tell each other.
-The figures and the choice are in ``docs/design/server-signals.md``.
+Run ``python -m bench.limit_ways``. All ways get the same callers. For each way, fleet,
+rate and load it prints by how much the worst window exceeds the rate itself and the
+bound of all hosts. It also prints how much was used of what the rate and the callers
+allow, and the messages between hosts. The figures and the choice are in
+``docs/design/server-signals.md``.
 """
 
 import random
@@ -20,21 +21,34 @@
 STEP_S = 0.01
 SERVER = ("i-1", 0)
 SERVER_REGION = "a"
-# What a server's keys ask of it while it names no limit, in requests a second.
+# Requests per second for a server's keys while the server names no limit.
 DEMAND = 23.0
 RATES = (0.5, 6.0, 7.6)
 # Active hosts of fleets of 9, 87 and 195 hosts, see ``docs/design/scale.md``.
 FLEETS = (9, 12, 18)
-# Hosts know of a newcomer after so long, in seconds.
+# Seconds until hosts discover a host that joined.
 HEARD_S = 0.2
-# A keeper's credit that a host does not use within this goes back, in seconds.
+# Seconds after which a credit of the keeper expires if the host has not used it.
 LEASE_S = 1.0
+# One-way network delay in seconds, within a region (True) and between regions.
 WAYS_S = {True: 0.001, False: 0.02}
 
 
 @dataclass
 class Fleet:
-    """Hosts in virtual time, who knows whom, and what the server got."""
+    """Hosts in virtual time, and the requests that reached the server.
+
+    Attributes
+    ----------
+    cut : frozenset of str
+        Hosts that are separated from all the others.
+    arrivals : deque of float
+        When requests reached the server.
+    asked : int
+        Requests of callers.
+    messages : int
+        Messages between hosts.
+    """
 
     names: list[str]
     regions: dict[str, str]
@@ -47,11 +61,11 @@
     messages: int = 0
 
     def reaches(self, a: str, b: str) -> bool:
-        """Tell whether two hosts are on the same side of a cut."""
+        """Return whether two hosts are on the same side of a network partition."""
         return (a in self.cut) == (b in self.cut)
 
     def most(self, window_s: float) -> int:
-        """Return the most arrivals in any window."""
+        """Return the largest number of arrivals in any window."""
         times = list(self.arrivals)
         first = worst = 0
         for last, at in enumerate(times):
@@ -62,7 +76,7 @@
 
 
 class Way(Protocol):
-    """A way to decide which host may send when."""
+    """A way to decide which host may send a request, and when."""
 
     def join(self, name: str) -> None: ...
 
@@ -74,7 +88,7 @@
 
 
 class Shares:
-    """Each of a bounded number of hosts has an equal share of the rate."""
+    """Every host has an equal share of the rate; their number is bounded."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -114,7 +128,7 @@
 
 
 class RegionShares(Shares):
-    """The same among the hosts of the server's region only."""
+    """Only the hosts of the server's region have equal shares of the rate."""
 
     def _sharers(self) -> frozenset[str]:
         regions = self.fleet.regions
@@ -129,10 +143,10 @@
 
 
 class Leases:
-    """One host of the server's region keeps the rate and lends single requests.
+    """A keeper in the server's region grants credits of one request each.
 
-    A host holds one credit at most and asks for the next when that is used or lapsed.
-    Of two hosts that are cut from each other, each may take itself for the keeper.
+    A host holds at most one credit and requests the next when that one is used or has
+    expired. Two hosts that are partitioned may each act as the keeper.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -205,24 +219,24 @@
 
 
 def alike(fleet: Fleet, way: Way) -> None:
-    """All hosts get the same."""
+    """Send the same load to all hosts."""
     _play(fleet, way, 60.0, DEMAND, fleet.names)
 
 
 def few(fleet: Fleet, way: Way) -> None:
-    """Callers ask for half of the rate."""
+    """Let callers send half of the rate."""
     _play(fleet, way, 60.0, fleet.rate / 2, fleet.names)
 
 
 def bursts(fleet: Fleet, way: Way) -> None:
-    """Nobody asks for eight seconds, then all do for four, five times."""
+    """Send nothing for eight seconds, then a high load for four; five times."""
     for _ in range(5):
         _play(fleet, way, 8.0, 0.0, fleet.names)
         _play(fleet, way, 4.0, 4 * DEMAND, fleet.names)
 
 
 def cut(fleet: Fleet, way: Way) -> None:
-    """Half of the hosts are cut off from the others for 30 s, not from the server."""
+    """Separate half of the hosts from the others, not from the server, for 30 s."""
     _play(fleet, way, 10.0, DEMAND, fleet.names)
     fleet.cut = frozenset(fleet.names[: len(fleet.names) // 2])
     _play(fleet, way, 30.0, DEMAND, fleet.names)
@@ -231,7 +245,7 @@
 
 
 def joins(fleet: Fleet, way: Way) -> None:
-    """A host joins every two seconds, and one restarts."""
+    """Let a host join every two seconds, and another restart in between."""
     for number in range(6):
         name, region = _host(100 + number)
         fleet.names.append(name)
@@ -252,7 +266,7 @@
 
 
 def played(way: type, load, count: int, rate: float, seed: int = 7) -> Fleet:
-    """Return a fleet of `count` active hosts after a load."""
+    """Return a fleet of `count` active hosts after it has run a load."""
     hosts = dict(_host(number) for number in range(count))
     fleet = Fleet(list(hosts), hosts, rate, random.Random(seed))
     load(fleet, way(fleet))
@@ -260,7 +274,7 @@
 
 
 def rows() -> Iterator[tuple[str, ...]]:
-    """Yield the table, line by line."""
+    """Yield the rows of the table, the header first."""
     bound = RateBound()
     yield (
         "way",
--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet in virtual time that keeps quotas: real decisions, modelled network.
+"""Simulates a fleet of hosts that share quotas, in virtual time.
 
-Serves the tests of the promise and the comparison of ways to divide quotas
-(`bench.quota_ways`).
+The hosts run the real quota code; the network is modelled. The tests of the quota bound
+use it, and so does the comparison of ways to divide quotas (`bench.quota_ways`).
 """
 
 import math
@@ -19,20 +19,20 @@
 from lacewingcross.gateway.quota_admission import SEND_INTERVAL_S
 
 STEP_S = 0.01
-# How often hosts show each other that they live, in seconds.
+# Interval at which hosts announce to each other that they are alive, in seconds.
 ALIVE_EVERY_S = 0.1
 DOMAINS = ("a1", "a2", "b1", "b2", "c1", "c2")
 
 
 def host_info(number: int) -> HostInfo:
-    """Return one of any number of equal hosts."""
+    """Return the host with this number; all hosts are equal but for their domain."""
     domain = DOMAINS[number % len(DOMAINS)]
     name = f"{domain}-{number}"
     return HostInfo(name, domain[0], domain, f"10.0.0.{number}:1", f"10.0.0.{number}:2")
 
 
 def poisson(rng: random.Random, mean: float) -> int:
-    """Return a Poisson number; numpy's would be a dependency for one line."""
+    """Return a Poisson-distributed number, to avoid numpy as a dependency."""
     least, count, product = math.exp(-mean), 0, rng.random()
     while product > least:
         count += 1
@@ -41,50 +41,52 @@
 
 
 def send_step(fleet, rates: dict[str, float], hosts: list[str]) -> None:
-    """Send one step's requests of accounts, at rates a second, to hosts at random."""
+    """Send the requests of one step, at rates per second by account, to random hosts."""
     for account, rate in rates.items():
         for _ in range(poisson(fleet.rng, rate * STEP_S)):
             fleet.request(fleet.rng.choice(hosts), account)
 
 
 def accounts_with(quotas: dict[str, Quota]) -> Accounts:
-    """Return accounts with quotas and no keys."""
+    """Return accounts that have these quotas and no keys."""
     return Accounts((ClientAccount(n, quota=q), []) for n, q in quotas.items())
 
 
 @dataclass
 class Node:
-    """One run of a host."""
+    """One incarnation of a host."""
 
     roster: Roster
     quotas: Quotas
     incarnation: int
     frozen_until: float = 0.0
     frozen_s: float = 0.0
-    # When requests that wait began to, by account.
+    # For each account, when each waiting request began to wait.
     waiting: dict[str, deque[float]] = field(default_factory=dict)
 
 
 class QuotaFleet:
-    """Hosts that keep quotas.
+    """Hosts that share quotas.
 
     Parameters
     ----------
     count : int
-        Hosts at the start, which is the first start of all.
+        Number of hosts at the start; it is the first start of each.
     quotas : dict of str to Quota
         Quotas by account.
-    way_s : tuple of float
-        Shortest and longest way between two hosts, in seconds.
+    network_s : tuple of float
+        Shortest and longest delay of a message between two hosts, in seconds.
 
     Attributes
     ----------
     runs : dict of str to list of float
         When requests of each account were run.
-    refused, late : dict of str to int
-        Refused requests, and admitted ones that had to wait.
+    refused : dict of str to int
+        Number of refused requests by account.
+    waited : int
+        Number of requests that had to wait for a decision.
     messages, message_items : int
-        What hosts told each other.
+        Number of quota messages between hosts, and of the items in them.
     """
 
     def __init__(self, count, quotas, *, seed=0, network_s=(0.001, 0.03)):
@@ -96,7 +98,7 @@
         self.nodes: dict[str, Node] = {}
         self.infos: dict[str, HostInfo] = {}
         self.listed: set[str] = set()
-        # Pairs of hosts that cannot reach each other; what they send waits.
+        # Pairs of hosts that cannot reach each other. Messages between them wait.
         self.cut: set[frozenset[str]] = set()
         self._on_way: dict[tuple[str, str], deque] = {}
         self._made = 0
@@ -116,8 +118,6 @@
             for other in self.infos.values():
                 node.roster.learn(other, self.now)
 
-    # Hosts
-
     def join(self, *, first_start=False):
         """Add a host under a new name."""
         info = host_info(self._made)
@@ -127,7 +127,7 @@
         return info.host_id
 
     def start(self, name, *, first_start=False):
-        """Start a host, or start it again."""
+        """Start or restart a host."""
         roster = Roster(self.infos[name])
         roster.starting = False
         roster.was_listed = name in self.listed
@@ -142,7 +142,7 @@
         quotas.configure(accounts_with(self.quotas), self._times(node))
 
     def kill(self, name):
-        """End a host at once; its name stays listed, and its address refuses."""
+        """Crash a host; its name stays listed and its address refuses connections."""
         self.nodes.pop(name, None)
         for other, node in self.nodes.items():
             entry = node.roster.entries.get(name)
@@ -151,7 +151,7 @@
         self._drop_way(name)
 
     def leave(self, name):
-        """End a host in order."""
+        """Shut a host down, after it has announced this to the others."""
         node = self.nodes[name]
         node.roster.leaving = True
         node.quotas.leave(self._times(node))
@@ -164,7 +164,7 @@
         self._drop_way(name)
 
     def lose_power(self, name):
-        """End a host at once; its address does not answer."""
+        """Crash a host; its address does not answer."""
         self.nodes.pop(name, None)
         self._drop_way(name)
 
@@ -174,20 +174,20 @@
                 way.clear()
 
     def freeze(self, name, seconds):
-        """Suspend a host; its ordinary clock stops."""
+        """Suspend a host; its monotonic clock stops meanwhile."""
         node = self.nodes[name]
         node.frozen_until = self.now + seconds
         node.frozen_s += seconds
 
     def split(self, *groups):
-        """Cut groups of hosts from one another."""
+        """Partition the network between groups of hosts."""
         for group in groups:
             for other in groups:
                 if other is not group:
                     self.cut.update(frozenset((a, b)) for a in group for b in other)
 
     def configure(self, quotas):
-        """Change quotas; hosts take them over within half a second."""
+        """Change the quotas on all hosts."""
         self.quotas = dict(quotas)
         for name, quota in quotas.items():
             self.max_per_window[name].append(
@@ -196,14 +196,12 @@
         for node in self.nodes.values():
             node.quotas.configure(accounts_with(quotas), self._times(node))
 
-    # Time
-
     def _times(self, node):
         frozen = node.frozen_s if self.now >= node.frozen_until else 0.0
         return ClockReading(self.now - frozen, self.now)
 
     def play(self, seconds, load=None):
-        """Let time pass; `load` is called each step and may send requests."""
+        """Advance the time; `load` is called at each step and may send requests."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             if load is not None:
@@ -235,8 +233,6 @@
                 node.quotas.ledger.give_up(account)
                 self.refused[account] += 1
 
-    # Network
-
     def _send(self, source, target, message):
         if target not in self.nodes:
             return
@@ -276,8 +272,6 @@
             for account in node.quotas.on_receipts(info.host_id, message, at):
                 self._decide(node, account, at)
 
-    # Requests
-
     def request(self, name, account):
         """Send one request to a host."""
         node = self.nodes.get(name)
@@ -305,10 +299,8 @@
             waiting.pop()
             self.refused[account] += 1
 
-    # The promise
-
     def excess(self):
-        """Return by how much the worst window of any account exceeds its bound."""
+        """Return by how many requests the worst window exceeds its account's bound."""
         return max(self._excess(account) for account in self.runs)
 
     def _excess(self, account):
@@ -322,7 +314,7 @@
         return worst
 
     def _most_at(self, account, at):
-        """Return the highest bound that was in force within the last two windows."""
+        """Return the account's highest bound in force within the last two windows."""
         since = at - 2 * self.bound.window_s
         changes = self.max_per_window[account]
         before = [
--- a/bench/quota_ways.py
+++ b/bench/quota_ways.py
@@ -1,9 +1,10 @@
-"""Ways to divide the quotas of client accounts among hosts, on the same callers.
+"""Compares ways to divide the quotas of client accounts among hosts.
 
-Run ``python -m bench.quota_ways``. It prints, for each way and load, by how much the
-worst window exceeds the bound of all hosts (0 or less keeps the promise), which part of
-the requests within the quota was refused, and what hosts tell each other. The figures
-and the choice are in ``docs/design/quotas.md``.
+Run ``python -m bench.quota_ways``. All ways get the same callers. For each way and load
+it prints by how much the worst window exceeds the bound of all hosts (0 or less keeps
+the guarantee) and which share of the requests within the quota was refused. It also
+prints the messages between hosts. The figures and the choice are in
+``docs/design/quotas.md``.
 """
 
 import time
@@ -21,13 +22,13 @@
     "middle": Quota(20.0, 20.0),
     "large": Quota(198.0, 198.0),
 }
-# What users' callers send of their quotas on a calm day.
+# Share of their quotas that the users' callers send on a normal day.
 CALM = 0.625
 FLOOD = 8 * CALM
-# Part of what the bound leaves over that the simple ways use as well.
+# Fraction of the bound's spare requests that the simple ways use too.
 SPARE_PART = 0.9
-# How often hosts tell their demand, and how long a larger share waits, in seconds: all
-# others have lowered theirs by then.
+# Interval at which hosts announce their demand, in seconds, and the delay before a host
+# raises its share. All other hosts have lowered theirs by then.
 TELL_S = 0.5
 RAISE_AFTER_S = 1.0
 DEMAND_WEIGHT = 0.3
@@ -61,7 +62,7 @@
 
 
 class EvenShares(QuotaFleet):
-    """Each host has the same part of each quota."""
+    """Each host has the same share of each quota."""
 
     def __init__(self, count, quotas, *, seed=0):
         super().__init__(0, quotas, seed=seed)
@@ -80,10 +81,10 @@
             self.turn()
 
     def turn(self):
-        """Do what hosts do besides admitting."""
+        """Run the tasks of the hosts other than admission; here there are none."""
 
     def restart_all(self):
-        """Start all hosts again; nobody knows what was spent."""
+        """Restart all hosts; no host knows how much of the quota has been spent."""
         for bucket in self.buckets.values():
             bucket.level = 0.0
 
@@ -103,10 +104,10 @@
 
 
 class DemandShares(EvenShares):
-    """Hosts tell each other their demand; each takes its part of it.
+    """Hosts announce their demand to each other, and each takes its share of the quota.
 
-    A smaller share counts at once, a larger one once all others have lowered theirs. A
-    host that is not heard keeps the share that it had.
+    A smaller share applies at once, a larger one only when all others have lowered
+    theirs. A host that cannot be reached keeps its last share.
     """
 
     def turn(self):
@@ -139,7 +140,15 @@
 
 @dataclass
 class Load:
-    """Callers: times their quota that they send, and the hosts that they use."""
+    """The load of callers.
+
+    Attributes
+    ----------
+    times : dict of str to float
+        For each account, the rate that it sends as a multiple of its quota.
+    hosts : list of str
+        The hosts that get the requests; all hosts if empty.
+    """
 
     times: dict[str, float]
     hosts: list[str] = field(default_factory=list)
@@ -153,22 +162,22 @@
 
 
 def calm(fleet):
-    """All hosts get the same."""
+    """Send the same load to all hosts."""
     fleet.play(40.0, Load({}))
 
 
 def one_host(fleet):
-    """One host gets all."""
+    """Send all requests to one host."""
     fleet.play(40.0, Load({}, [sorted(fleet.nodes)[0]]))
 
 
 def flood(fleet):
-    """The largest account sends eight times its usual."""
+    """Let the largest account send eight times its normal rate."""
     fleet.play(40.0, Load({"large": FLOOD}))
 
 
 def cut(fleet):
-    """The fleet is cut in two for 30 s while all accounts flood it."""
+    """Partition the fleet into halves for 30 s while all accounts exceed their quota."""
     names = sorted(fleet.nodes)
     half = len(names) // 2
     fleet.play(6.0, Load(dict.fromkeys(ACCOUNTS, FLOOD)))
@@ -182,7 +191,7 @@
 
 
 def refused_within(fleet, load):
-    """Return the part of the requests of calm accounts that was refused."""
+    """Return the refused share of the requests of accounts within their quota."""
     flooding = {"flood": {"large"}, "cut": set(ACCOUNTS)}.get(load.__name__, set())
     names = [name for name in fleet.quotas if name not in flooding]
     refused = sum(fleet.refused[name] for name in names)
@@ -191,7 +200,7 @@
 
 
 def served_of_flood(fleet, load):
-    """Return how much of its rate a flooding account got."""
+    """Return which share of its quota rate a flooding account was served."""
     if load not in (flood, cut):
         return float("nan")
     quota = fleet.quotas["large"]
@@ -200,7 +209,7 @@
 
 
 def compare(counts=(5, 12)):
-    """Print a table of all ways and loads."""
+    """Print a table with a row for each way and load."""
     print(f"{'way':14}{'hosts':>6} {'load':9}{'above':>8}{'refused':>9}{'flood':>7}")
     for count in counts:
         for way in (EvenShares, DemandShares, QuotaFleet):
@@ -216,7 +225,7 @@
 
 
 def costs(counts=(9, 12, 18), accounts=(86, 1000), rate=1000.0):
-    """Print what keepers cost: messages a host and second, time a decision."""
+    """Print the cost of keepers: messages per host and second, time per decision."""
     print(f"{'hosts':>5}{'accounts':>9}{'messages/s':>11}{'items/s':>9}{'us/ask':>8}")
     for count in counts:
         for number in accounts:
@@ -235,7 +244,7 @@
 
 
 def ask_us(fleet, asks=20000):
-    """Return the processor time of a decision, in microseconds."""
+    """Return the processor time of one decision, in microseconds."""
     node = next(iter(fleet.nodes.values()))
     names = deque(sorted(fleet.quotas))
     at = fleet._times(node)
--- a/bench/slots.py
+++ b/bench/slots.py
@@ -1,8 +1,8 @@
-"""Ways of sharing few slots among many hosts, against each other.
+"""Compares ways of sharing few slots among many hosts.
 
-A queueing trial in virtual time of one region: the real slot keeper and admission,
-small models of hosts and backend servers around it. The same seed gives every way the
-same arrivals and service times.
+It simulates the queues of one region in virtual time. The slot keeper and its admission
+are the real ones; hosts and backend servers are small models. The same seed gives every
+way the same arrivals and service times.
 """
 
 import heapq
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """One request of the trial."""
+    """One request of the simulation."""
 
     number: int
     arrived: float
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class Server:
-    """A backend server: slots, an own queue, a report of its load that lags."""
+    """A backend server with slots, a queue of its own and a delayed load report."""
 
     slots: int
     busy: int = 0
@@ -58,7 +58,7 @@
 
 
 class Trial:
-    """Virtual time, arrivals and servers shared by all ways."""
+    """The virtual time, arrivals and servers, which are the same for all ways."""
 
     def __init__(self, shape: ServiceShape, load: float, seed: int, surge: bool):
         rng = random.Random(f"{shape.name}/{load}/{seed}")
@@ -73,7 +73,7 @@
         self.jobs = list(self._arrivals(rng, load * self.capacity, surge))
 
     def _arrivals(self, rng: random.Random, rate: float, surge: bool) -> Iterator[Job]:
-        """Yield Poisson arrivals, a part of them in the first second of a surge."""
+        """Yield random arrivals; in a surge, a share of them falls within one second."""
         mean = self.shape.service_ms / 1000
         total = int(rate * SECONDS)
         times = []
@@ -92,16 +92,16 @@
             )
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Call later in virtual time."""
+        """Schedule a call at a point in virtual time."""
         self._count += 1
         heapq.heappush(self._events, (when, self._count, call))
 
     def after(self, delay: float, call: Callable[[], None]) -> None:
-        """Call after a delay."""
+        """Schedule a call after a delay in virtual time."""
         self.at(self.now + delay, call)
 
     def run(self) -> None:
-        """Run until nothing is left to happen or long after the last arrival."""
+        """Run until no event is left, or until 60 s after the last arrival."""
         end = SECONDS + 60.0
         while self._events and self._events[0][0] <= end:
             self.now, _, call = heapq.heappop(self._events)
@@ -109,7 +109,7 @@
 
 
 class Way:
-    """One way of sharing; subclasses say where a job goes."""
+    """One way of sharing slots; subclasses decide which server gets a job."""
 
     name = ""
 
@@ -126,10 +126,10 @@
         raise NotImplementedError
 
     def finished(self, job: Job, index: int) -> None:
-        """Note that a server is done with a job."""
+        """Handle that a server has completed a job."""
 
     def serve(self, job: Job, index: int) -> None:
-        """Take a slot of a server, or wait in the server's own queue."""
+        """Occupy a slot of a server, or wait in the server's own queue."""
         server = self.trial.servers[index]
         if server.busy >= server.slots:
             server.queue.append(job)
@@ -148,7 +148,7 @@
 
 
 class IdealQueue(Way):
-    """One queue that sees every slot at once, without any delay or refusal."""
+    """One queue that knows the state of every slot, without any delay or refusal."""
 
     name = "ideal joint queue"
 
@@ -170,7 +170,7 @@
 
 
 class ReportedLoad(Way):
-    """Naive: each host takes the better of two servers by reported load."""
+    """The naive way: each host picks the less loaded of two servers, as reported."""
 
     name = "local choice on reported load"
 
@@ -193,7 +193,7 @@
 
 
 class FixedSplit(Way):
-    """Each host owns a fixed share of the slots and queues for it alone."""
+    """Each host owns a fixed share of the slots and has its own queue for them."""
 
     name = "fixed split"
 
@@ -220,7 +220,7 @@
 
 
 class KeeperWay(Way):
-    """The product's slot keeper on host 0."""
+    """The product's slot keeper, which runs on host 0."""
 
     name = "slot keeper"
     policy = KeeperPolicy()
@@ -340,28 +340,28 @@
 
 
 class KeeperQueueOne(KeeperWay):
-    """The keeper with backend servers that queue one request of their own."""
+    """The keeper with backend servers that each queue one request themselves."""
 
     name = "slot keeper, servers queue one"
     queue = 1
 
 
 class KeeperNoReuse(KeeperWay):
-    """The keeper with every permit going back to it."""
+    """The keeper without reuse: hosts return every permit after one request."""
 
     name = "slot keeper, no reuse"
     reuses = 0
 
 
 class KeeperTestOnly(KeeperWay):
-    """The paper's rule alone: dismiss at dispatch what would probably be late."""
+    """The paper's rule alone: refuse at dispatch a request that is probably late."""
 
     name = "slot keeper, acceptance test only"
     policy = KeeperPolicy(queue_wait_fraction=1e9)
 
 
 class KeeperNoRefusal(KeeperWay):
-    """The keeper without any refusal on arrival."""
+    """The keeper without any refusal when a request arrives."""
 
     name = "slot keeper, dismissed only when late"
     policy = KeeperPolicy(accept_test=False, queue_wait_fraction=1e9)
@@ -381,7 +381,7 @@
 
 
 def measure(shape: ServiceShape, load: float, surge: bool, seed: int) -> dict:
-    """Return figures of every way on the same arrivals."""
+    """Return the figures of every way for the same arrivals."""
     rows = {}
     for way_class in WAYS:
         trial = Trial(shape, load, seed, surge)
@@ -422,7 +422,7 @@
 
 
 def cases() -> list[tuple[str, ServiceShape, float, bool]]:
-    """Return the cases: both deployments, two services, several loads, a surge."""
+    """Return the cases: each deployment, two services, several loads and a surge."""
     return [
         (
             f"{dep.name}/{shape.name}/{load:g}x" + ("/surge" if surge else ""),
@@ -443,13 +443,13 @@
 
 
 def measure_slots() -> dict:
-    """Return the trial over all cases, one process for each case."""
+    """Return the figures of all cases, which run in parallel processes."""
     with multiprocessing.Pool(4) as pool:
         return dict(pool.map(_one_case, cases(), chunksize=1))
 
 
 def print_rows(result: dict) -> None:
-    """Print one line for each way and case."""
+    """Print a line for each case and way."""
     for key, rows in result.items():
         print(key)
         for name, row in rows.items():
