--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -27,11 +27,11 @@
 # Active hosts of fleets of 9, 87 and 195 hosts, see ``docs/design/scale.md``.
 FLEETS = (9, 12, 18)
 # Seconds until hosts discover a host that joined.
-HEARD_S = 0.2
+DISCOVERY_S = 0.2
 # Seconds after which a credit of the keeper expires if the host has not used it.
 LEASE_S = 1.0
 # One-way network delay in seconds, within a region (True) and between regions.
-WAYS_S = {True: 0.001, False: 0.02}
+ONE_WAY_S = {True: 0.001, False: 0.02}
 
 
 @dataclass
@@ -57,25 +57,26 @@
     now: float = 100.0
     cut: frozenset[str] = frozenset()
     arrivals: deque[float] = field(default_factory=deque)
-    asked: int = 0
+    request_count: int = 0
     messages: int = 0
 
     def reaches(self, a: str, b: str) -> bool:
         """Return whether two hosts are on the same side of a network partition."""
         return (a in self.cut) == (b in self.cut)
 
-    def most(self, window_s: float) -> int:
-        """Return the largest number of arrivals in any window."""
-        times = list(self.arrivals)
-        first = worst = 0
-        for last, at in enumerate(times):
-            while times[first] <= at - window_s:
-                first += 1
-            worst = max(worst, last - first + 1)
-        return worst
 
+def max_arrivals(self, window_s: float) -> int:
+    """Return the largest number of arrivals in any window."""
+    times = list(self.arrivals)
+    first = worst = 0
+    for last, at in enumerate(times):
+        while times[first] <= at - window_s:
+            first += 1
+        worst = max(worst, last - first + 1)
+    return worst
 
-class Way(Protocol):
+
+class Strategy(Protocol):
     """A way to decide which host may send a request, and when."""
 
     def join(self, name: str) -> None: ...
@@ -93,30 +94,30 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self._limits = {name: self._limit_at(name) for name in fleet.names}
-        self._news: list[tuple[float, str]] = []
+        self._undiscovered: list[tuple[float, str]] = []
 
     def _limit_at(self, name: str) -> RateLimits:
         fleet = self.fleet
         limits = RateLimits(name)
-        limits.set_hosts(self._sharers(), fleet.now)
+        limits.set_hosts(self._sharing_hosts(), fleet.now)
         limits.learn_from_peer(SERVER, fleet.rate, fleet.now, fleet.now)
         return limits
 
-    def _sharers(self) -> frozenset[str]:
+    def _sharing_hosts(self) -> frozenset[str]:
         return frozenset(self.fleet.names)
 
     def join(self, name: str) -> None:
         self._limits[name] = self._limit_at(name)
-        self._news.append((self.fleet.now + HEARD_S, name))
+        self._undiscovered.append((self.fleet.now + DISCOVERY_S, name))
 
     def restart(self, name: str) -> None:
         self._limits[name] = self._limit_at(name)
 
     def step(self) -> None:
-        if self._news and self._news[0][0] <= self.fleet.now:
-            self._news.pop(0)
+        if self._undiscovered and self._undiscovered[0][0] <= self.fleet.now:
+            self._undiscovered.pop(0)
             for limits in self._limits.values():
-                limits.set_hosts(self._sharers(), self.fleet.now)
+                limits.set_hosts(self._sharing_hosts(), self.fleet.now)
 
     def may_send(self, name: str) -> bool:
         limits = self._limits[name]
@@ -130,7 +131,7 @@
 class RegionShares(Shares):
     """Only the hosts of the server's region have equal shares of the rate."""
 
-    def _sharers(self) -> frozenset[str]:
+    def _sharing_hosts(self) -> frozenset[str]:
         regions = self.fleet.regions
         return frozenset(n for n in self.fleet.names if regions[n] == SERVER_REGION)
 
@@ -152,38 +153,38 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self._keepers: dict[str, _Keeper] = {}
-        self._lent: dict[str, float] = {}
-        self._asking: dict[str, float] = {}
-        self._under_way: list[tuple[float, str, str, bool]] = []
+        self._credit_until: dict[str, float] = {}
+        self._asked_at: dict[str, float] = {}
+        self._in_transit: list[tuple[float, str, str, bool]] = []
 
     def _keeper_of(self, name: str) -> str:
         fleet = self.fleet
-        near = [n for n in fleet.names if fleet.reaches(name, n)]
-        home = [n for n in near if fleet.regions[n] == SERVER_REGION]
-        return owner(SERVER[0], home or near)
+        reachable = [n for n in fleet.names if fleet.reaches(name, n)]
+        in_region = [n for n in reachable if fleet.regions[n] == SERVER_REGION]
+        return owner(SERVER[0], in_region or reachable)
 
     def join(self, name: str) -> None:
         self.restart(name)
 
     def restart(self, name: str) -> None:
         self._keepers.pop(name, None)
-        self._lent.pop(name, None)
-        self._asking.pop(name, None)
+        self._credit_until.pop(name, None)
+        self._asked_at.pop(name, None)
 
     def step(self) -> None:
         fleet = self.fleet
-        for at, sender, receiver, grant in list(self._under_way):
+        for at, sender, receiver, grant in list(self._in_transit):
             if at > fleet.now:
                 continue
-            self._under_way.remove((at, sender, receiver, grant))
+            self._in_transit.remove((at, sender, receiver, grant))
             if not fleet.reaches(sender, receiver):
                 continue
             if grant:
-                self._lent[receiver] = fleet.now + LEASE_S
-                self._asking.pop(receiver, None)
+                self._credit_until[receiver] = fleet.now + LEASE_S
+                self._asked_at.pop(receiver, None)
             else:
-                fresh = _Keeper(at=fleet.now)
-                self._keepers.setdefault(receiver, fresh).waiting.append(sender)
+                new_keeper = _Keeper(at=fleet.now)
+                self._keepers.setdefault(receiver, new_keeper).waiting.append(sender)
         for name, keeper in self._keepers.items():
             grown = keeper.credit + fleet.rate * (fleet.now - keeper.at)
             keeper.credit = min(1.0, grown)
@@ -194,82 +195,84 @@
 
     def _send(self, sender: str, receiver: str, *, grant: bool) -> None:
         fleet = self.fleet
-        near = fleet.regions[sender] == fleet.regions[receiver]
+        same_region = fleet.regions[sender] == fleet.regions[receiver]
         fleet.messages += sender != receiver
-        way = (fleet.now + WAYS_S[near], sender, receiver, grant)
-        self._under_way.append(way)
+        message = (fleet.now + ONE_WAY_S[same_region], sender, receiver, grant)
+        self._in_transit.append(message)
 
     def may_send(self, name: str) -> bool:
         now = self.fleet.now
-        allowed = self._lent.pop(name, 0.0) > now
-        if name not in self._asking or now - self._asking[name] > LEASE_S * 4:
-            self._asking[name] = now
+        allowed = self._credit_until.pop(name, 0.0) > now
+        if name not in self._asked_at or now - self._asked_at[name] > LEASE_S * 4:
+            self._asked_at[name] = now
             self._send(name, self._keeper_of(name), grant=False)
         return allowed
 
 
-def _play(fleet: Fleet, way: Way, seconds: float, demand: float, hosts: list[str]):
+def _advance(
+    fleet: Fleet, strategy: Strategy, seconds: float, demand: float, hosts: list[str]
+):
     for _ in range(round(seconds / STEP_S)):
         fleet.now += STEP_S
-        way.step()
+        strategy.step()
         for _ in range(poisson(fleet.rng, demand * STEP_S)):
-            fleet.asked += 1
-            if way.may_send(fleet.rng.choice(hosts)):
+            fleet.request_count += 1
+            if strategy.may_send(fleet.rng.choice(hosts)):
                 fleet.arrivals.append(fleet.now)
 
 
-def alike(fleet: Fleet, way: Way) -> None:
+def alike(fleet: Fleet, strategy: Strategy) -> None:
     """Send the same load to all hosts."""
-    _play(fleet, way, 60.0, DEMAND, fleet.names)
+    _advance(fleet, strategy, 60.0, DEMAND, fleet.names)
 
 
-def few(fleet: Fleet, way: Way) -> None:
+def few(fleet: Fleet, strategy: Strategy) -> None:
     """Let callers send half of the rate."""
-    _play(fleet, way, 60.0, fleet.rate / 2, fleet.names)
+    _advance(fleet, strategy, 60.0, fleet.rate / 2, fleet.names)
 
 
-def bursts(fleet: Fleet, way: Way) -> None:
+def bursts(fleet: Fleet, strategy: Strategy) -> None:
     """Send nothing for eight seconds, then a high load for four; five times."""
     for _ in range(5):
-        _play(fleet, way, 8.0, 0.0, fleet.names)
-        _play(fleet, way, 4.0, 4 * DEMAND, fleet.names)
+        _advance(fleet, strategy, 8.0, 0.0, fleet.names)
+        _advance(fleet, strategy, 4.0, 4 * DEMAND, fleet.names)
 
 
-def cut(fleet: Fleet, way: Way) -> None:
+def cut(fleet: Fleet, strategy: Strategy) -> None:
     """Separate half of the hosts from the others, not from the server, for 30 s."""
-    _play(fleet, way, 10.0, DEMAND, fleet.names)
+    _advance(fleet, strategy, 10.0, DEMAND, fleet.names)
     fleet.cut = frozenset(fleet.names[: len(fleet.names) // 2])
-    _play(fleet, way, 30.0, DEMAND, fleet.names)
+    _advance(fleet, strategy, 30.0, DEMAND, fleet.names)
     fleet.cut = frozenset()
-    _play(fleet, way, 10.0, DEMAND, fleet.names)
+    _advance(fleet, strategy, 10.0, DEMAND, fleet.names)
 
 
-def joins(fleet: Fleet, way: Way) -> None:
+def joins(fleet: Fleet, strategy: Strategy) -> None:
     """Let a host join every two seconds, and another restart in between."""
-    for number in range(6):
-        name, region = _host(100 + number)
+    for index in range(6):
+        name, region = _host(100 + index)
         fleet.names.append(name)
         fleet.regions[name] = region
-        way.join(name)
-        _play(fleet, way, 1.0, DEMAND, fleet.names)
-        way.restart(fleet.rng.choice(fleet.names))
-        _play(fleet, way, 1.0, DEMAND, fleet.names)
+        strategy.join(name)
+        _advance(fleet, strategy, 1.0, DEMAND, fleet.names)
+        strategy.restart(fleet.rng.choice(fleet.names))
+        _advance(fleet, strategy, 1.0, DEMAND, fleet.names)
 
 
-LOADS: tuple[Callable[[Fleet, Way], None], ...] = (alike, few, bursts, cut, joins)
-WAYS = (Shares, RegionShares, Leases)
+LOADS: tuple[Callable[[Fleet, Strategy], None], ...] = (alike, few, bursts, cut, joins)
+STRATEGIES = (Shares, RegionShares, Leases)
 
 
-def _host(number: int) -> tuple[str, str]:
-    info = host_info(number)
+def _host(index: int) -> tuple[str, str]:
+    info = host_info(index)
     return info.host_id, info.region
 
 
-def played(way: type, load, count: int, rate: float, seed: int = 7) -> Fleet:
+def run_load(strategy: type, load, count: int, rate: float, seed: int = 7) -> Fleet:
     """Return a fleet of `count` active hosts after it has run a load."""
-    hosts = dict(_host(number) for number in range(count))
+    hosts = dict(_host(index) for index in range(count))
     fleet = Fleet(list(hosts), hosts, rate, random.Random(seed))
-    load(fleet, way(fleet))
+    load(fleet, strategy(fleet))
     return fleet
 
 
@@ -286,22 +289,22 @@
         "used",
         "told/s",
     )
-    for way in WAYS:
+    for strategy in STRATEGIES:
         for count in FLEETS:
             for rate in RATES:
                 for load in LOADS:
-                    fleet = played(way, load, count, rate)
-                    most = fleet.most(bound.window_s)
+                    fleet = run_load(strategy, load, count, rate)
+                    max_arrivals = fleet.max_arrivals(bound.window_s)
                     span = fleet.now - 100.0
-                    could = min(fleet.asked, rate * span)
+                    possible = min(fleet.request_count, rate * span)
                     yield (
-                        way.__name__,
+                        strategy.__name__,
                         str(count),
                         f"{rate:g}",
                         load.__name__,
-                        f"{most - rate * bound.window_s:+.1f}",
-                        f"{most - bound.most(rate):+.1f}",
-                        f"{len(fleet.arrivals) / could:.2f}",
+                        f"{max_arrivals - rate * bound.window_s:+.1f}",
+                        f"{max_arrivals - bound.most(rate):+.1f}",
+                        f"{len(fleet.arrivals) / possible:.2f}",
                         f"{fleet.messages / span:.1f}",
                     )
 
--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -33,8 +33,8 @@
 
 def poisson(rng: random.Random, mean: float) -> int:
     """Return a Poisson-distributed number, to avoid numpy as a dependency."""
-    least, count, product = math.exp(-mean), 0, rng.random()
-    while product > least:
+    threshold, count, product = math.exp(-mean), 0, rng.random()
+    while product > threshold:
         count += 1
         product *= rng.random()
     return count
@@ -100,9 +100,9 @@
         self.listed: set[str] = set()
         # Pairs of hosts that cannot reach each other. Messages between them wait.
         self.cut: set[frozenset[str]] = set()
-        self._on_way: dict[tuple[str, str], deque] = {}
-        self._made = 0
-        self._started = 0
+        self._in_transit: dict[tuple[str, str], deque] = {}
+        self._hosts_created = 0
+        self._starts = 0
         self.runs: dict[str, list[float]] = {name: [] for name in quotas}
         self.refused: dict[str, int] = dict.fromkeys(quotas, 0)
         self.waited = 0
@@ -120,8 +120,8 @@
 
     def join(self, *, first_start=False):
         """Add a host under a new name."""
-        info = host_info(self._made)
-        self._made += 1
+        info = host_info(self._hosts_created)
+        self._hosts_created += 1
         self.infos[info.host_id] = info
         self.start(info.host_id, first_start=first_start)
         return info.host_id
@@ -136,8 +136,8 @@
             roster.learn(self.infos[other], self.now)
         roster.listed = True
         quotas = Quotas(roster, self.bound, self.rng, first_start=first_start)
-        self._started += 1
-        node = Node(roster, quotas, self._started)
+        self._starts += 1
+        node = Node(roster, quotas, self._starts)
         self.nodes[name] = node
         quotas.configure(accounts_with(self.quotas), self._times(node))
 
@@ -148,7 +148,7 @@
             entry = node.roster.entries.get(name)
             if entry is not None and frozenset((name, other)) not in self.cut:
                 entry.refused_at = self._times(node).now
-        self._drop_way(name)
+        self._drop_messages(name)
 
     def leave(self, name):
         """Shut a host down, after it has announced this to the others."""
@@ -161,17 +161,17 @@
             if entry is not None:
                 entry.leaving = True
         self.nodes.pop(name, None)
-        self._drop_way(name)
+        self._drop_messages(name)
 
     def lose_power(self, name):
         """Crash a host; its address does not answer."""
         self.nodes.pop(name, None)
-        self._drop_way(name)
+        self._drop_messages(name)
 
-    def _drop_way(self, name):
-        for pair, way in self._on_way.items():
+    def _drop_messages(self, name):
+        for pair, transit_queue in self._in_transit.items():
             if name in pair:
-                way.clear()
+                transit_queue.clear()
 
     def freeze(self, name, seconds):
         """Suspend a host; its monotonic clock stops meanwhile."""
@@ -209,13 +209,13 @@
             self._deliver()
             for name, node in list(self.nodes.items()):
                 if self.now >= node.frozen_until:
-                    self._turn(name, node)
+                    self._run_host(name, node)
 
     def _every(self, name, period_s):
-        place = sum(name.encode()) % round(period_s / STEP_S)
-        return round(self.now / STEP_S) % round(period_s / STEP_S) == place
+        offset = sum(name.encode()) % round(period_s / STEP_S)
+        return round(self.now / STEP_S) % round(period_s / STEP_S) == offset
 
-    def _turn(self, name, node):
+    def _run_host(self, name, node):
         at = self._times(node)
         if self._every(name, ALIVE_EVERY_S):
             node.roster.review(at.now)
@@ -227,7 +227,7 @@
             for other, message in node.quotas.outgoing(at):
                 self._send(name, other, message)
         for account, waiting in node.waiting.items():
-            self._decide(node, account, at)
+            self._apply_decisions(node, account, at)
             while waiting and waiting[0] < self.now - MAX_WAIT_S:
                 waiting.popleft()
                 node.quotas.ledger.give_up(account)
@@ -239,24 +239,24 @@
         if message is not None:
             self.messages += 1
             self.message_items += len(getattr(message, "items", ())) or 1
-        way = self._on_way.setdefault((source, target), deque())
-        soonest = way[-1][0] if way else 0.0
-        at = max(soonest, self.now + self.rng.uniform(*self.network_s))
+        transit_queue = self._in_transit.setdefault((source, target), deque())
+        earliest = transit_queue[-1][0] if transit_queue else 0.0
+        at = max(earliest, self.now + self.rng.uniform(*self.network_s))
         sender = self.nodes[source]
-        way.append((at, sender.roster.own, sender.incarnation, message))
+        transit_queue.append((at, sender.roster.own, sender.incarnation, message))
 
     def _deliver(self):
-        for (source, target), way in self._on_way.items():
+        for (source, target), transit_queue in self._in_transit.items():
             if frozenset((source, target)) in self.cut or target not in self.nodes:
                 continue
             node = self.nodes[target]
             if self.now < node.frozen_until:
                 continue
-            while way and way[0][0] <= self.now:
-                _, info, incarnation, message = way.popleft()
-                self._hear(target, node, info, incarnation, message)
+            while transit_queue and transit_queue[0][0] <= self.now:
+                _, info, incarnation, message = transit_queue.popleft()
+                self._receive(target, node, info, incarnation, message)
 
-    def _hear(self, name, node, info, incarnation, message):
+    def _receive(self, name, node, info, incarnation, message):
         at = self._times(node)
         if message is None:
             node.roster.note_alive(info, incarnation, at.now, leaving=False)
@@ -270,7 +270,7 @@
                 self._send(name, info.host_id, answer)
         else:
             for account in node.quotas.on_receipts(info.host_id, message, at):
-                self._decide(node, account, at)
+                self._apply_decisions(node, account, at)
 
     def request(self, name, account):
         """Send one request to a host."""
@@ -287,15 +287,15 @@
             self.waited += 1
             node.waiting.setdefault(account, deque()).append(self.now)
 
-    def _decide(self, node, account, at):
+    def _apply_decisions(self, node, account, at):
         waiting = node.waiting.get(account)
         if not waiting:
             return
-        decided = node.quotas.ledger.decided(account, at.now)
-        for _ in range(decided.admitted):
+        decisions = node.quotas.ledger.decisions(account, at.now)
+        for _ in range(decisions.admitted):
             waiting.popleft()
             self.runs[account].append(self.now)
-        for _ in range(decided.refused):
+        for _ in range(decisions.refused):
             waiting.pop()
             self.refused[account] += 1
 
@@ -310,10 +310,10 @@
             window.append(at)
             while window[0] <= at - self.bound.window_s:
                 window.popleft()
-            worst = max(worst, len(window) - self._most_at(account, at))
+            worst = max(worst, len(window) - self._max_bound_at(account, at))
         return worst
 
-    def _most_at(self, account, at):
+    def _max_bound_at(self, account, at):
         """Return the account's highest bound in force within the last two windows."""
         since = at - 2 * self.bound.window_s
         changes = self.max_per_window[account]
--- a/bench/quota_ways.py
+++ b/bench/quota_ways.py
@@ -23,18 +23,18 @@
     "large": Quota(198.0, 198.0),
 }
 # Share of their quotas that the users' callers send on a normal day.
-CALM = 0.625
-FLOOD = 8 * CALM
+NORMAL_LOAD = 0.625
+FLOOD_LOAD = 8 * NORMAL_LOAD
 # Fraction of the bound's spare requests that the simple ways use too.
-SPARE_PART = 0.9
+SPARE_FRACTION = 0.9
 # Interval at which hosts announce their demand, in seconds, and the delay before a host
 # raises its share. All other hosts have lowered theirs by then.
-TELL_S = 0.5
+DEMAND_EVERY_S = 0.5
 RAISE_AFTER_S = 1.0
 DEMAND_WEIGHT = 0.3
 
 
-class Way(Protocol):
+class FleetModel(Protocol):
     """Hosts that admit requests of accounts in virtual time."""
 
     nodes: dict
@@ -57,7 +57,7 @@
     at: float = 0.0
     raised_at: float = float("-inf")
     wanted: float = 0.0
-    asked: int = 0
+    request_count: int = 0
     demand: float = 0.0
 
 
@@ -78,9 +78,9 @@
             self.now += STEP_S
             if load is not None:
                 load(self)
-            self.turn()
+            self.run_hosts()
 
-    def turn(self):
+    def run_hosts(self):
         """Run the tasks of the hosts other than admission; here there are none."""
 
     def restart_all(self):
@@ -91,11 +91,11 @@
     def request(self, name, account):
         bucket = self.buckets[name, account]
         quota = self.quotas[account]
-        most = quota.burst + SPARE_PART * self.bound.spare(quota)
+        max_level = quota.burst + SPARE_FRACTION * self.bound.spare(quota)
         grown = bucket.level + quota.rate * bucket.share * (self.now - bucket.at)
-        bucket.level = min(grown, most * bucket.share)
+        bucket.level = min(grown, max_level * bucket.share)
         bucket.at = self.now
-        bucket.asked += 1
+        bucket.request_count += 1
         if bucket.level >= 1.0:
             bucket.level -= 1.0
             self.runs[account].append(self.now)
@@ -110,27 +110,29 @@
     theirs. A host that cannot be reached keeps its last share.
     """
 
-    def turn(self):
-        if round(self.now / STEP_S) % round(TELL_S / STEP_S):
+    def run_hosts(self):
+        if round(self.now / STEP_S) % round(DEMAND_EVERY_S / STEP_S):
             return
         hosts = list(self.nodes)
         self.messages += len(hosts) * (len(hosts) - 1)
         for bucket in self.buckets.values():
-            rate = bucket.asked / TELL_S
+            rate = bucket.request_count / DEMAND_EVERY_S
             bucket.demand += DEMAND_WEIGHT * (rate - bucket.demand)
-            bucket.asked = 0
+            bucket.request_count = 0
         for account in self.quotas:
             for name in hosts:
-                self._take_share(name, account, hosts)
-
-    def _take_share(self, name, account, hosts):
-        heard = [h for h in hosts if frozenset((h, name)) not in self.cut]
-        least = 0.2 / len(hosts)
-        total = sum(self.buckets[h, account].demand for h in heard) or 1.0
-        unheard = sum(self.buckets[h, account].share for h in hosts if h not in heard)
+                self._update_share(name, account, hosts)
+
+    def _update_share(self, name, account, hosts):
+        reachable = [h for h in hosts if frozenset((h, name)) not in self.cut]
+        min_share = 0.2 / len(hosts)
+        total = sum(self.buckets[h, account].demand for h in reachable) or 1.0
+        unreachable_share = sum(
+            self.buckets[h, account].share for h in hosts if h not in reachable
+        )
         bucket = self.buckets[name, account]
-        free = max(0.0, 1.0 - unheard - least * len(heard))
-        wanted = least + free * bucket.demand / total
+        divisible = max(0.0, 1.0 - unreachable_share - min_share * len(reachable))
+        wanted = min_share + divisible * bucket.demand / total
         if wanted <= bucket.share:
             bucket.share = wanted
             bucket.raised_at = self.now
@@ -150,12 +152,12 @@
         The hosts that get the requests; all hosts if empty.
     """
 
-    times: dict[str, float]
+    quota_multiples: dict[str, float]
     hosts: list[str] = field(default_factory=list)
 
     def __call__(self, fleet):
         rates = {
-            account: quota.rate * self.times.get(account, CALM)
+            account: quota.rate * self.quota_multiples.get(account, NORMAL_LOAD)
             for account, quota in fleet.quotas.items()
         }
         send_step(fleet, rates, self.hosts or sorted(fleet.nodes))
@@ -173,18 +175,18 @@
 
 def flood(fleet):
     """Let the largest account send eight times its normal rate."""
-    fleet.play(40.0, Load({"large": FLOOD}))
+    fleet.play(40.0, Load({"large": FLOOD_LOAD}))
 
 
 def cut(fleet):
     """Partition the fleet into halves for 30 s while all accounts exceed their quota."""
     names = sorted(fleet.nodes)
     half = len(names) // 2
-    fleet.play(6.0, Load(dict.fromkeys(ACCOUNTS, FLOOD)))
+    fleet.play(6.0, Load(dict.fromkeys(ACCOUNTS, FLOOD_LOAD)))
     fleet.cut = {frozenset((a, b)) for a in names[:half] for b in names[half:]}
-    fleet.play(30.0, Load(dict.fromkeys(ACCOUNTS, FLOOD)))
+    fleet.play(30.0, Load(dict.fromkeys(ACCOUNTS, FLOOD_LOAD)))
     fleet.cut.clear()
-    fleet.play(6.0, Load(dict.fromkeys(ACCOUNTS, FLOOD)))
+    fleet.play(6.0, Load(dict.fromkeys(ACCOUNTS, FLOOD_LOAD)))
 
 
 LOADS = (calm, one_host, flood, cut)
@@ -228,17 +230,23 @@
     """Print the cost of keepers: messages per host and second, time per decision."""
     print(f"{'hosts':>5}{'accounts':>9}{'messages/s':>11}{'items/s':>9}{'us/ask':>8}")
     for count in counts:
-        for number in accounts:
-            weights = [1.0 / (n + 1) for n in range(number)]
-            each = rate / CALM / sum(weights)
-            quotas = {f"a{n}": Quota(each * w, each * w) for n, w in enumerate(weights)}
+        for account_count in accounts:
+            weights = [1.0 / (n + 1) for n in range(account_count)]
+            total_rate = rate / NORMAL_LOAD / sum(weights)
+            quotas = {
+                f"a{n}": Quota(total_rate * w, total_rate * w)
+                for n, w in enumerate(weights)
+            }
             fleet = QuotaFleet(count, quotas, seed=3)
             fleet.play(8.0)
             before = (fleet.messages, fleet.message_items)
             fleet.play(5.0, Load({}))
-            told, items = fleet.messages - before[0], fleet.message_items - before[1]
+            message_count, items = (
+                fleet.messages - before[0],
+                fleet.message_items - before[1],
+            )
             print(
-                f"{count:>5}{number:>9}{told / count / 5:>11.1f}"
+                f"{count:>5}{account_count:>9}{message_count / count / 5:>11.1f}"
                 f"{items / count / 5:>9.1f}{ask_us(fleet):>8.2f}"
             )
 
@@ -248,12 +256,12 @@
     node = next(iter(fleet.nodes.values()))
     names = deque(sorted(fleet.quotas))
     at = fleet._times(node)
-    began = time.process_time()
+    began_at = time.process_time()
     for _ in range(asks):
         names.rotate(1)
         node.quotas.ask(names[0], at)
         node.quotas.ledger.cancel(names[0])
-    return (time.process_time() - began) / asks * 1e6
+    return (time.process_time() - began_at) / asks * 1e6
 
 
 if __name__ == "__main__":
--- a/bench/slots.py
+++ b/bench/slots.py
@@ -27,9 +27,9 @@
 ONE_WAY_S = 0.0005
 REPORT_LAG_S = 0.25
 SECONDS = 10.0
-WARM_S = 2.0
+SURGE_AT_S = 2.0
 TICK_S = 0.02
-SURGE_PART = 0.1
+SURGE_FRACTION = 0.1
 LOADS = (0.8, 1.0, 2.0, 5.0)
 
 
@@ -37,7 +37,7 @@
 class Job:
     """One request of the simulation."""
 
-    number: int
+    sequence: int
     arrived: float
     service_s: float
     deadline: float
@@ -54,7 +54,7 @@
     busy: int = 0
     queue: deque[Job] = field(default_factory=deque)
     reported: int = 0
-    most_busy: int = 0
+    max_busy: int = 0
 
 
 class Trial:
@@ -69,7 +69,7 @@
         self.now = 0.0
         self.shed = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
+        self._event_count = 0
         self.jobs = list(self._arrivals(rng, load * self.capacity, surge))
 
     def _arrivals(self, rng: random.Random, rate: float, surge: bool) -> Iterator[Job]:
@@ -78,37 +78,37 @@
         total = int(rate * SECONDS)
         times = []
         for _ in range(total):
-            if surge and rng.random() < SURGE_PART:
-                times.append(WARM_S + rng.random())
+            if surge and rng.random() < SURGE_FRACTION:
+                times.append(SURGE_AT_S + rng.random())
             else:
                 times.append(rng.uniform(0, SECONDS))
-        for number, at in enumerate(sorted(times)):
+        for sequence, at in enumerate(sorted(times)):
             yield Job(
-                number,
+                sequence,
                 at,
                 rng.expovariate(1 / mean),
                 at + self.shape.deadline_ms / 1000,
                 rng.randrange(HOSTS),
             )
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
+    def schedule_at(self, when: float, callback: Callable[[], None]) -> None:
         """Schedule a call at a point in virtual time."""
-        self._count += 1
-        heapq.heappush(self._events, (when, self._count, call))
+        self._event_count += 1
+        heapq.heappush(self._events, (when, self._event_count, callback))
 
-    def after(self, delay: float, call: Callable[[], None]) -> None:
+    def schedule_after(self, delay: float, callback: Callable[[], None]) -> None:
         """Schedule a call after a delay in virtual time."""
-        self.at(self.now + delay, call)
+        self.schedule_at(self.now + delay, callback)
 
     def run(self) -> None:
         """Run until no event is left, or until 60 s after the last arrival."""
         end = SECONDS + 60.0
         while self._events and self._events[0][0] <= end:
-            self.now, _, call = heapq.heappop(self._events)
-            call()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
 
 
-class Way:
+class Strategy:
     """One way of sharing slots; subclasses decide which server gets a job."""
 
     name = ""
@@ -120,7 +120,7 @@
     def start(self) -> None:
         """Schedule all arrivals."""
         for job in self.trial.jobs:
-            self.trial.at(job.arrived, lambda job=job: self.arrive(job))
+            self.trial.schedule_at(job.arrived, lambda job=job: self.arrive(job))
 
     def arrive(self, job: Job) -> None:
         raise NotImplementedError
@@ -135,10 +135,10 @@
             server.queue.append(job)
             return
         server.busy += 1
-        server.most_busy = max(server.most_busy, server.busy)
-        self.trial.after(job.service_s, lambda: self._end(job, index))
+        server.max_busy = max(server.max_busy, server.busy)
+        self.trial.schedule_after(job.service_s, lambda: self._complete(job, index))
 
-    def _end(self, job: Job, index: int) -> None:
+    def _complete(self, job: Job, index: int) -> None:
         server = self.trial.servers[index]
         server.busy -= 1
         job.done_at = self.trial.now + ONE_WAY_S
@@ -147,7 +147,7 @@
             self.serve(server.queue.popleft(), index)
 
 
-class IdealQueue(Way):
+class IdealQueue(Strategy):
     """One queue that knows the state of every slot, without any delay or refusal."""
 
     name = "ideal joint queue"
@@ -169,7 +169,7 @@
                 self.serve(self._queue.popleft(), index)
 
 
-class ReportedLoad(Way):
+class ReportedLoad(Strategy):
     """The naive way: each host picks the less loaded of two servers, as reported."""
 
     name = "local choice on reported load"
@@ -182,17 +182,17 @@
         for server in self.trial.servers:
             server.reported = server.busy + len(server.queue)
         if self.trial.now < SECONDS + 5:
-            self.trial.after(REPORT_LAG_S, self._report)
+            self.trial.schedule_after(REPORT_LAG_S, self._report)
 
     def arrive(self, job: Job) -> None:
         servers = self.trial.servers
         first, second = (self.rng.randrange(len(servers)) for _ in range(2))
         fewer = servers[first].reported <= servers[second].reported
         better = first if fewer else second
-        self.trial.after(ONE_WAY_S, lambda: self.serve(job, better))
+        self.trial.schedule_after(ONE_WAY_S, lambda: self.serve(job, better))
 
 
-class FixedSplit(Way):
+class FixedSplit(Strategy):
     """Each host owns a fixed share of the slots and has its own queue for them."""
 
     name = "fixed split"
@@ -219,7 +219,7 @@
             self.serve(self._queues[host].popleft(), index)
 
 
-class KeeperWay(Way):
+class KeeperStrategy(Strategy):
     """The product's slot keeper, which runs on host 0."""
 
     name = "slot keeper"
@@ -230,15 +230,15 @@
     def __init__(self, trial: Trial, seed: int) -> None:
         super().__init__(trial, seed)
         self._keeper = SlotKeeper("s", "r", 1, self.rng, self.policy)
-        declared = [
+        declared_servers = [
             BackendServer(
                 str(index), "127.0.0.1:1", "r", "d", srv.slots, 400, self.queue
             )
             for index, srv in enumerate(trial.servers)
         ]
-        self._keeper.servers.declare(iter(declared), set(), 0.0)
-        self._keeper.limit = float(sum(srv.max_concurrent for srv in declared))
-        self._jobs = {str(job.number): job for job in trial.jobs}
+        self._keeper.servers.declare(iter(declared_servers), set(), 0.0)
+        self._keeper.limit = float(sum(srv.max_concurrent for srv in declared_servers))
+        self._jobs = {str(job.sequence): job for job in trial.jobs}
         self._permits: dict[int, tuple[msg.Grant, int]] = {}
         self._waiting: list[deque[Job]] = [deque() for _ in range(HOSTS)]
 
@@ -247,81 +247,94 @@
         self._tick()
 
     def _tick(self) -> None:
-        self._act(self._keeper.tick(self.trial.now))
+        self._deliver(self._keeper.tick(self.trial.now))
         if self.trial.now < SECONDS + 10:
-            self.trial.after(TICK_S, self._tick)
+            self.trial.schedule_after(TICK_S, self._tick)
 
     def _delay(self, host: int) -> float:
         return 0.0 if host == 0 else ONE_WAY_S
 
     def arrive(self, job: Job) -> None:
         self._waiting[job.host].append(job)
-        self.trial.after(self._delay(job.host), lambda: self._ask(job))
+        self.trial.schedule_after(
+            self._delay(job.host), lambda: self._request_permit(job)
+        )
 
-    def _ask(self, job: Job) -> None:
-        if job.number in self._permits:
+    def _request_permit(self, job: Job) -> None:
+        if job.sequence in self._permits:
             return
-        left = job.deadline - self.trial.now
-        ask = msg.Acquire("s", "r", str(job.number), left, [])
-        self._act(self._keeper.acquire(f"h{job.host}", ask, self.trial.now))
+        remaining_s = job.deadline - self.trial.now
+        request_message = msg.Acquire("s", "r", str(job.sequence), remaining_s, [])
+        self._deliver(
+            self._keeper.acquire(f"h{job.host}", request_message, self.trial.now)
+        )
 
-    def _act(self, replies: Iterator) -> None:
+    def _deliver(self, replies: Iterator) -> None:
         for reply in list(replies):
             message = reply.message
             job = self._jobs[message.request_id]
             delay = self._delay(job.host)
             if isinstance(message, msg.Grant):
-                self.trial.after(delay, lambda j=job, m=message: self._granted(j, m))
-            elif job.number not in self._permits:
+                self.trial.schedule_after(
+                    delay, lambda j=job, m=message: self._granted(j, m)
+                )
+            elif job.sequence not in self._permits:
                 job.refused = message.reason
                 job.done_at = self.trial.now + delay
 
-    def _begin(self, job: Job, index: int) -> None:
+    def _start_service(self, job: Job, index: int) -> None:
         server = self.trial.servers[index]
         if server.busy + len(server.queue) >= server.slots + self.queue:
             self.trial.shed += 1
         self.serve(job, index)
 
     def _granted(self, job: Job, grant: msg.Grant) -> None:
-        if job.number in self._permits or job.done_at:
+        if job.sequence in self._permits or job.done_at:
             unused = msg.Release("s", "r", grant.permit, grant.server_id, "unused", 0.0)
-            self.trial.after(self._delay(job.host), lambda: self._send(unused))
+            self.trial.schedule_after(self._delay(job.host), lambda: self._send(unused))
             return
-        self._use(job, grant, 0)
+        self._use_permit(job, grant, 0)
 
-    def _use(self, job: Job, grant: msg.Grant, reuses: int) -> None:
-        self._permits[job.number] = (grant, reuses)
+    def _use_permit(self, job: Job, grant: msg.Grant, reuses: int) -> None:
+        self._permits[job.sequence] = (grant, reuses)
         index = int(grant.server_id)
-        self.trial.after(ONE_WAY_S, lambda: self._begin(job, index))
+        self.trial.schedule_after(ONE_WAY_S, lambda: self._start_service(job, index))
 
     def _send(self, release: msg.Release) -> None:
-        self._act(self._keeper.release(release, self.trial.now))
+        self._deliver(self._keeper.release(release, self.trial.now))
 
     def finished(self, job: Job, index: int) -> None:
-        self.trial.after(ONE_WAY_S, lambda: self._done(job))
+        self.trial.schedule_after(ONE_WAY_S, lambda: self._done(job))
 
     def _done(self, job: Job) -> None:
-        grant, reuses = self._permits[job.number]
-        heir = self._heir(job.host) if reuses < self.reuses else None
-        if heir is None:
-            self.trial.after(self._delay(job.host), lambda: self._release(grant, job))
+        grant, reuses = self._permits[job.sequence]
+        next_job = self._next_waiting(job.host) if reuses < self.reuses else None
+        if next_job is None:
+            self.trial.schedule_after(
+                self._delay(job.host), lambda: self._release(grant, job)
+            )
             return
         reuse = msg.Reuse(
-            "s", "r", grant.permit, grant.server_id, job.service_s, str(heir.number)
+            "s",
+            "r",
+            grant.permit,
+            grant.server_id,
+            job.service_s,
+            str(next_job.sequence),
         )
         now = self.trial.now
         delay = self._delay(job.host)
-        self.trial.at(now + delay, lambda: self._reused(job.host, reuse))
-        self._use(heir, grant, reuses + 1)
+        self.trial.schedule_at(now + delay, lambda: self._reused(job.host, reuse))
+        self._use_permit(next_job, grant, reuses + 1)
 
     def _reused(self, host: int, reuse: msg.Reuse) -> None:
         self._keeper.reuse(f"h{host}", reuse, self.trial.now)
 
-    def _heir(self, host: int) -> Job | None:
+    def _next_waiting(self, host: int) -> Job | None:
         waiting = self._waiting[host]
         while waiting:
             job = waiting.popleft()
-            if job.number not in self._permits and not job.done_at:
+            if job.sequence not in self._permits and not job.done_at:
                 return job
         return None
 
@@ -329,45 +342,45 @@
         done = msg.Release(
             "s", "r", grant.permit, grant.server_id, "answered", job.service_s
         )
-        self._act(self._keeper.release(done, self.trial.now))
+        self._deliver(self._keeper.release(done, self.trial.now))
 
 
-class KeeperNoTest(KeeperWay):
+class KeeperNoTest(KeeperStrategy):
     """The keeper without the acceptance test."""
 
     name = "slot keeper, no acceptance test"
     policy = KeeperPolicy(accept_test=False)
 
 
-class KeeperQueueOne(KeeperWay):
+class KeeperQueueOne(KeeperStrategy):
     """The keeper with backend servers that each queue one request themselves."""
 
     name = "slot keeper, servers queue one"
     queue = 1
 
 
-class KeeperNoReuse(KeeperWay):
+class KeeperNoReuse(KeeperStrategy):
     """The keeper without reuse: hosts return every permit after one request."""
 
     name = "slot keeper, no reuse"
     reuses = 0
 
 
-class KeeperTestOnly(KeeperWay):
+class KeeperTestOnly(KeeperStrategy):
     """The paper's rule alone: refuse at dispatch a request that is probably late."""
 
     name = "slot keeper, acceptance test only"
     policy = KeeperPolicy(queue_wait_fraction=1e9)
 
 
-class KeeperNoRefusal(KeeperWay):
+class KeeperNoRefusal(KeeperStrategy):
     """The keeper without any refusal when a request arrives."""
 
     name = "slot keeper, dismissed only when late"
     policy = KeeperPolicy(accept_test=False, queue_wait_fraction=1e9)
 
 
-WAYS = (
+STRATEGIES = (
     IdealQueue,
     ReportedLoad,
     FixedSplit,
@@ -375,7 +388,7 @@
     KeeperTestOnly,
     KeeperNoTest,
     KeeperNoReuse,
-    KeeperWay,
+    KeeperStrategy,
     KeeperQueueOne,
 )
 
@@ -383,12 +396,12 @@
 def measure(shape: ServiceShape, load: float, surge: bool, seed: int) -> dict:
     """Return the figures of every way for the same arrivals."""
     rows = {}
-    for way_class in WAYS:
+    for strategy_class in STRATEGIES:
         trial = Trial(shape, load, seed, surge)
-        way = way_class(trial, seed)
-        way.start()
+        strategy = strategy_class(trial, seed)
+        strategy.start()
         trial.run()
-        rows[way_class.name] = _figures(trial)
+        rows[strategy_class.name] = _figures(trial)
     return rows
 
 
@@ -406,10 +419,10 @@
             good += 1
         end = job.done_at or SECONDS + 60.0
         hist.record_value(max(1, int((end - job.arrived) * 1e6)))
-    able = min(len(trial.jobs), trial.capacity * SECONDS)
+    achievable = min(len(trial.jobs), trial.capacity * SECONDS)
     return {
         "offered": len(trial.jobs),
-        "goodput_of_capacity": good / able,
+        "goodput_of_capacity": good / achievable,
         "late": late,
         "refused": dict(refusals),
         "refused_part": sum(refusals.values()) / max(1, len(trial.jobs)),
@@ -417,7 +430,7 @@
         "p99_ms": hist.get_value_at_percentile(99) / 1000,
         "p999_ms": hist.get_value_at_percentile(99.9) / 1000,
         "shed": trial.shed,
-        "most_busy_over_slots": max(srv.most_busy / srv.slots for srv in trial.servers),
+        "most_busy_over_slots": max(srv.max_busy / srv.slots for srv in trial.servers),
     }
 
 
