--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -44,7 +44,7 @@
         Hosts that are separated from all the others.
     arrivals : deque of float
         When requests reached the server.
-    asked : int
+    request_count : int
         Requests of callers.
     messages : int
         Messages between hosts.
@@ -64,16 +64,15 @@
         """Return whether two hosts are on the same side of a network partition."""
         return (a in self.cut) == (b in self.cut)
 
-
-def max_arrivals(self, window_s: float) -> int:
-    """Return the largest number of arrivals in any window."""
-    times = list(self.arrivals)
-    first = worst = 0
-    for last, at in enumerate(times):
-        while times[first] <= at - window_s:
-            first += 1
-        worst = max(worst, last - first + 1)
-    return worst
+    def max_arrivals(self, window_s: float) -> int:
+        """Return the largest number of arrivals in any window."""
+        times = list(self.arrivals)
+        first = worst = 0
+        for last, at in enumerate(times):
+            while times[first] <= at - window_s:
+                first += 1
+            worst = max(worst, last - first + 1)
+        return worst
 
 
 class Strategy(Protocol):
--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -41,7 +41,7 @@
 
 
 def send_step(fleet, rates: dict[str, float], hosts: list[str]) -> None:
-    """Send the requests of one step, at rates per second by account, to random hosts."""
+    """Send one step's requests, at rates per second by account, to random hosts."""
     for account, rate in rates.items():
         for _ in range(poisson(fleet.rng, rate * STEP_S)):
             fleet.request(fleet.rng.choice(hosts), account)
@@ -291,7 +291,7 @@
         waiting = node.waiting.get(account)
         if not waiting:
             return
-        decisions = node.quotas.ledger.decisions(account, at.now)
+        decisions = node.quotas.ledger.decided(account, at.now)
         for _ in range(decisions.admitted):
             waiting.popleft()
             self.runs[account].append(self.now)
--- a/bench/quota_ways.py
+++ b/bench/quota_ways.py
@@ -34,7 +34,7 @@
 DEMAND_WEIGHT = 0.3
 
 
-class FleetModel(Protocol):
+class QuotaStrategy(Protocol):
     """Hosts that admit requests of accounts in virtual time."""
 
     nodes: dict
@@ -146,7 +146,7 @@
 
     Attributes
     ----------
-    times : dict of str to float
+    quota_multiples : dict of str to float
         For each account, the rate that it sends as a multiple of its quota.
     hosts : list of str
         The hosts that get the requests; all hosts if empty.
@@ -179,7 +179,7 @@
 
 
 def cut(fleet):
-    """Partition the fleet into halves for 30 s while all accounts exceed their quota."""
+    """Partition the fleet into halves for 30 s while all accounts flood it."""
     names = sorted(fleet.nodes)
     half = len(names) // 2
     fleet.play(6.0, Load(dict.fromkeys(ACCOUNTS, FLOOD_LOAD)))
@@ -232,9 +232,9 @@
     for count in counts:
         for account_count in accounts:
             weights = [1.0 / (n + 1) for n in range(account_count)]
-            total_rate = rate / NORMAL_LOAD / sum(weights)
+            base_rate = rate / NORMAL_LOAD / sum(weights)
             quotas = {
-                f"a{n}": Quota(total_rate * w, total_rate * w)
+                f"a{n}": Quota(base_rate * w, base_rate * w)
                 for n, w in enumerate(weights)
             }
             fleet = QuotaFleet(count, quotas, seed=3)
--- a/bench/slots.py
+++ b/bench/slots.py
@@ -73,7 +73,7 @@
         self.jobs = list(self._arrivals(rng, load * self.capacity, surge))
 
     def _arrivals(self, rng: random.Random, rate: float, surge: bool) -> Iterator[Job]:
-        """Yield random arrivals; in a surge, a share of them falls within one second."""
+        """Yield random arrivals; in a surge, a share of them falls in one second."""
         mean = self.shape.service_ms / 1000
         total = int(rate * SECONDS)
         times = []
--- a/bench/soak/servers.py
+++ b/bench/soak/servers.py
@@ -31,19 +31,19 @@
 
     Attributes
     ----------
-    slow : float
+    service_time_factor : float
         Factor on the service time.
-    lost, garbled : float
+    lost_share, garbled_share : float
         Share of the responses, 0 to 1, that are not sent or that break off halfway.
     shed : bool
         Refuse all requests.
-    dark : bool
+    unresponsive : bool
         Send no responses and no heartbeats.
     limit : float or None
         Requests per second that the server names as its limit.
-    leaving_word : bool
+    announces_leaving : bool
         Announce in responses that the server is draining; the store gets no report.
-    rest_s : float
+    back_off_s : float
         Refuse all requests and request this back-off, in seconds; 0 for none.
     """
 
--- a/bench/soak/signals.py
+++ b/bench/soak/signals.py
@@ -55,11 +55,11 @@
     ----------
     limits : list of tuple
         Time, host and rate of each response that named a limit.
-    limit_ended : float
+    limit_ended_at : float
         When the server stopped to name a limit.
-    left : dict of int to float
+    announced_at : dict of int to float
         For each host, when the server first announced to it that it is draining.
-    rests : list of tuple
+    back_offs : list of tuple
         Time, host and duration in seconds of each back-off that it requested.
     """
 
