--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,8 +1,8 @@
-"""Plays days with one mechanism of placing switched off at a time.
+"""Measures the worth of each placement mechanism by switching it off.
 
 ``python -m bench.ablation PLAYER --sites SITE...`` copies the checkout once for each
-switch of `Policy`, writes the switch into the settings template of the copy, plays the
-days with the users' player and prints a table of what each mechanism is worth. The
+switch of `Policy` and turns the switch off in the settings template of the copy. It
+plays the days with the users' player and prints a table of each mechanism's worth. The
 player's journal entries are copied back.
 """
 
@@ -25,14 +25,15 @@
 ROOT = Path(__file__).resolve().parent.parent
 TEMPLATE = Path("deploy/host.json.tmpl")
 NOTHING = "(nothing)"
-# A play of the longest day takes some minutes beside others, in seconds.
+# Timeout of one play, in seconds. The longest day takes some minutes when other plays
+# run at the same time.
 PLAY_MOST_S = 1800.0
 _WORTH = re.compile(r"^worth (-?\d+\.\d+) =", re.MULTILINE)
 
 
 @dataclass(slots=True, frozen=True)
 class Play:
-    """One day of one site with one switch off."""
+    """One day of one site, played with one switch off."""
 
     switch: str
     site: Path
@@ -42,14 +43,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Played:
-    """A play and its worth, None when it gave none."""
+    """A play and its worth, or None if the player printed none."""
 
     play: Play
     worth: float | None
 
 
 def copy_checkout(folder: Path) -> None:
-    """Copy what git tracks, and what the build has made, into a folder."""
+    """Copy the files that git tracks and the build output into a folder."""
     listed = subprocess.run(
         ["git", "ls-files"], cwd=ROOT, check=True, capture_output=True, text=True
     )
@@ -64,10 +65,11 @@
 
 
 def switch_off(folder: Path, switch: str) -> None:
-    """Write a switch into the settings template of a copy."""
+    """Turn a switch off in the settings template of a copy."""
     path = folder / TEMPLATE
     text = path.read_text().rstrip().removesuffix("}").rstrip()
-    # A brace before a placeholder needs a space, as the platform's template says.
+    # The template format of the platform needs a space between a brace and a
+    # placeholder.
     policy = json.dumps({switch: False})
     path.write_text(f'{text},\n  "policy": {policy}\n}}\n')
 
@@ -83,7 +85,7 @@
 
 
 def worth_of(output: str) -> float | None:
-    """Return the worth that a play printed, or None."""
+    """Return the worth that the player printed, or None."""
     found = _WORTH.search(output)
     return float(found.group(1)) if found else None
 
@@ -139,7 +141,7 @@
     jobs: int = 4,
     switches: list[str] | None = None,
 ) -> None:
-    """Play days with each mechanism switched off and print what it is worth.
+    """Play days with each mechanism switched off and print its worth.
 
     Parameters
     ----------
@@ -150,9 +152,9 @@
     days
         Names of days in the site files; by default ``scale-1`` and ``trouble-1``.
     seeds
-        Seeds, 0 for a day's own; by default only that.
+        Seeds; 0 means the day's own seed, which is the default.
     jobs
-        Plays at the same time.
+        Number of plays that run at the same time.
     switches
         Switches to try; by default all.
     """
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Fills the tables of docs/CAPACITY.md from the measured slopes."""
+"""Fills in the tables of docs/CAPACITY.md from the measured slopes."""
 
 import json
 import re
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Measured:
-    """The measured file."""
+    """The contents of the measured JSON file."""
 
     slopes: dict[str, Slope]
     path: dict[str, float]
@@ -52,7 +52,7 @@
 
 
 def slopes_table(measured: Measured) -> str:
-    """Return every slope with the error of its fit."""
+    """Return the table of slopes, with the error of each fit."""
     lines = ["| slope | fixed | for each | worst residual |", "|---|---|---|---|"]
     for name, slope in sorted(measured.slopes.items()):
         lines.append(
@@ -63,7 +63,7 @@
 
 
 def path_table(measured: Measured) -> str:
-    """Return the path's figures."""
+    """Return the table of the path's figures."""
     lines = ["| figure | value |", "|---|---|"]
     for name, value in sorted(measured.path.items()):
         lines.append(f"| {name} | {value:.4g} |")
@@ -71,13 +71,16 @@
 
 
 def _beats(measured: Measured) -> tuple[float, float]:
-    """Return heartbeats a second of an ordinary host and of a region's relay."""
+    """Return the heartbeats per second of an ordinary host and of a region's relay."""
     far = measured.slopes["most_neighbours"].at(NODES) - NEAR
     return float(NEAR), NEAR + far / 5.0
 
 
 def roles_table(measured: Measured) -> str:
-    """Return processor time, bytes and memory of each role at the target."""
+    """Return the table of processor time, bytes and memory of each role.
+
+    The fleet has the target size.
+    """
     slopes = measured.slopes
     ordinary, relay = _beats(measured)
     beat_us = slopes["heartbeat_us"].each
@@ -170,10 +173,10 @@
 
 
 def _at_rest(measured: Measured) -> float:
-    """Return microseconds a second of a host at rest, at the target.
+    """Return the processor time of an idle host at the target size, in µs per second.
 
-    The share of a whole process in a fleet of twelve, the highest one, and what a
-    tick costs more at the target's hosts and groups.
+    It is the highest share of a whole process in a fleet of twelve, plus the additional
+    cost of a tick with the target's number of hosts and groups.
     """
     slopes = measured.slopes
     hosts = slopes["tick_us"].each * NODES
@@ -182,7 +185,7 @@
 
 
 def node_table(measured: Measured) -> str:
-    """Return the control costs of a whole node against the limits."""
+    """Return the table of a whole node's control costs, compared with the limits."""
     slopes = measured.slopes
     ordinary, relay = _beats(measured)
     beat_us = slopes["heartbeat_us"].each
@@ -239,7 +242,7 @@
 
 
 def platform_table(_measured: Measured) -> str:
-    """Return the platform's calls a second at the target."""
+    """Return the table of the platform's calls per second at the target size."""
     report_pause = max(0.25, 0.01 * DOMAINS)
     burst = DOMAINS / report_pause
     rows = [
@@ -263,7 +266,7 @@
 
 
 def replacement_table(measured: Measured) -> str:
-    """Return what a replaced node needs before it serves."""
+    """Return the table of the data that a replaced node needs before it serves."""
     slopes = measured.slopes
     blocks = BLOCKS / SHARD_BLOCKS * slopes["table_stored_bytes"].at(SHARD_BLOCKS)
     sites = slopes["site_stored_bytes"].at(SITES)
@@ -305,7 +308,7 @@
 
 
 def fill(text: str, measured: Measured) -> str:
-    """Return the page with every table computed anew."""
+    """Return the page with every table replaced by a newly computed one."""
     for name, make in TABLES.items():
         block = f"<!-- table:{name} -->\n{make(measured)}\n<!-- end -->"
         pattern = rf"<!-- table:{name} -->.*?<!-- end -->"
@@ -315,7 +318,7 @@
 
 
 def main() -> None:
-    """Rewrite the page."""
+    """Update the tables of the page."""
     PAGE.write_text(fill(PAGE.read_text(), load()))
 
 
--- a/bench/fit.py
+++ b/bench/fit.py
@@ -1,11 +1,11 @@
-"""Straight lines through measurements, with the error of the fit."""
+"""Fits straight lines to measurements, and reports the error of the fit."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Slope:
-    """cost = fixed + each * size, with the largest relative residual."""
+    """The line cost = fixed + each * size, with the largest relative residual."""
 
     fixed: float
     each: float
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Our load tool: closed-loop raw HTTP connections, cheap for the sender."""
+"""Load generator with closed-loop HTTP connections that cost the sender little."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 class RawLoop(asyncio.Protocol):
     """Sends prepared requests one after the other on one connection.
 
-    Responses must have a Content-Length; nothing else is parsed.
+    It parses only the status and the Content-Length, which every response must have.
     """
 
     def __init__(self, payloads: Sequence[bytes], hist: HdrHistogram) -> None:
@@ -57,7 +57,17 @@
 
 
 class LoadResult:
-    """Figures of one load run."""
+    """The figures of one load run.
+
+    Attributes
+    ----------
+    done, bad : int
+        Number of responses, and of those with a status other than 200.
+    seconds : float
+        Duration of the run.
+    hist : HdrHistogram
+        Response times in microseconds.
+    """
 
     def __init__(self, done: int, bad: int, seconds: float, hist: HdrHistogram):
         self.done = done
@@ -72,7 +82,7 @@
 async def closed_loop(
     address: str, payloads: Sequence[bytes], connections: int, seconds: float
 ) -> LoadResult:
-    """Run `connections` loops against `address` for `seconds`."""
+    """Send requests on `connections` connections to `address` for `seconds`."""
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     hist = HdrHistogram(1, HIST_TOP_US, 3)
@@ -94,7 +104,7 @@
 
 
 def get_request(target: str, headers: Sequence[tuple[str, str]] = ()) -> bytes:
-    """Return the bytes of a GET."""
+    """Return the bytes of a GET request."""
     lines = [f"GET {target} HTTP/1.1", "Host: bench"]
     lines += [f"{name}: {value}" for name, value in headers]
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,4 +1,8 @@
-"""Cost of the path: look-ups, added latency, requests a second and core."""
+"""Measures the cost of the data path.
+
+The figures are the cost of look-ups, the added latency, and requests per second and
+core.
+"""
 
 import asyncio
 from statistics import fmean
@@ -32,7 +36,7 @@
 
 
 class BareServer(asyncio.Protocol):
-    """The naive baseline: a bare h11 server that answers each look-up afresh."""
+    """The naive baseline: a bare h11 server that builds every look-up response anew."""
 
     BODY = b'{"hosts":[{"id":"h","address":"127.0.0.1:1","region":"r"}],"ttl_s":30}'
 
@@ -70,7 +74,7 @@
 
 
 async def measure_path() -> dict[str, float]:
-    """Return the figures of the path, baselines measured in the same run."""
+    """Return the figures of the path; the baselines are measured in the same run."""
     layout = lay_out(FAST, Ports(free_ports()), log_level="ERROR")
     async with BenchProcesses(layout) as procs:
         host = layout.hosts[0]
@@ -87,7 +91,7 @@
 
 
 async def measure_idle() -> dict[str, float]:
-    """Return the share of a core that hosts spend at rest, in a fleet of twelve."""
+    """Return the share of a core that idle hosts use, in a fleet of twelve."""
     layout = lay_out(
         GRUPO_VISITAS, Ports(free_ports()), worker_divisor=3, log_level="ERROR"
     )
@@ -144,10 +148,10 @@
 
 
 async def _bare_cost() -> float:
-    """Return microseconds of processor time a look-up on the bare server.
+    """Return the processor time per look-up of the bare server, in microseconds.
 
-    Both sides run in this process; the sender's share is measured against a
-    server that answers without parsing, and taken off.
+    Sender and server run in this process. The sender's share is measured with a server
+    that responds without parsing, and is subtracted.
     """
     with_h11 = await _in_process(BareServer)
     without = await _in_process(EchoServer)
@@ -155,7 +159,7 @@
 
 
 class EchoServer(asyncio.Protocol):
-    """Answers anything with the same bytes; shows what the sender costs."""
+    """Responds to any input with the same bytes, to measure the cost of the sender."""
 
     REPLY = (
         b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(BareServer.BODY)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,7 @@
-"""Processes of a bench: started from a layout, CPU and memory read from /proc."""
+"""Starts the processes of a layout for benchmarks.
+
+Their processor time and memory are read from /proc.
+"""
 
 import asyncio
 import json
@@ -20,7 +23,7 @@
 
 
 class BenchProcesses:
-    """A layout as real processes."""
+    """The processes of a layout."""
 
     def __init__(self, layout: Layout) -> None:
         self.layout = layout
@@ -55,7 +58,7 @@
         )
 
     def start_naive(self, cfg: object, servers: list[str]) -> None:
-        """Start a naive host in the place of one of ours."""
+        """Start a naive host in place of the product's host."""
         path = Path(self._dir.name) / f"{cfg.host_id}.json"
         data = {"host_id": cfg.host_id, "entry": cfg.entry, "servers": servers}
         path.write_text(json.dumps(data))
@@ -87,20 +90,20 @@
         return bool(status) and bool(status["plans"])
 
     def cpu_s(self, name: str) -> float:
-        """Return user and system time of a process so far, in seconds."""
+        """Return the user and system time that a process has used, in seconds."""
         pid = self._procs[name].pid
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     def rss_bytes(self, name: str) -> int:
-        """Return the resident size of a process."""
+        """Return the resident memory of a process, in bytes."""
         pid = self._procs[name].pid
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE")
 
 
 async def fetch(address: str, target: str) -> dict | None:
-    """Return the JSON answer of a GET, or None."""
+    """Return the decoded JSON response to a GET request, or None on failure."""
     client = HttpClient(address)
     try:
         return json.loads((await client.request("GET", target)).body)
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,4 +1,4 @@
-"""Runs every measurement and writes bench/results: make bench."""
+"""Runs every measurement and writes the results to bench/results (`make bench`)."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Measure the path, the ways of sharing slots, and the scenarios."""
+    """Measure the path, the ways of sharing slots and the scenarios."""
     RESULTS.mkdir(exist_ok=True)
     path = asyncio.run(measure_path())
     _save("path.json", path)
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,7 +1,8 @@
-"""Whole path against the naive version: real processes, the same arrivals for both.
+"""Compares the whole path with the naive version, in separate processes.
 
-One service of ten workers with three slots in three regions, six entry hosts, callers
-as an open loop through the caller library.
+Both get the same arrivals. There is one service of ten workers with three slots each in
+three regions, and there are six entry hosts. The callers form an open loop and use the
+caller library.
 """
 
 import asyncio
@@ -39,7 +40,7 @@
 
 
 class Record:
-    """What callers, samplers and ledgers saw in one run."""
+    """The observations of one run, from callers, samplers and servers' ledgers."""
 
     def __init__(self) -> None:
         self.hist = HdrHistogram(1, 600_000_000, 3)
@@ -54,7 +55,7 @@
 
 
 class Scenario:
-    """One scenario against one version."""
+    """One scenario, run with one version."""
 
     def __init__(self, name: str, load: float, *, naive: bool, surge: bool = False):
         self.name = name
@@ -111,7 +112,7 @@
             await caller.lookup("booking")
 
     def _region_weights(self) -> list[float]:
-        """Return the traffic of each region in proportion to its slots."""
+        """Return the traffic weight of each region, in proportion to its slots."""
         counts = Counter(num % len(REGIONS) for num in range(SHAPE.workers))
         return [float(counts[index]) for index in range(len(REGIONS))]
 
@@ -240,7 +241,7 @@
         }
 
     def _headroom(self, over: Callable[[list[float]], float]) -> dict[str, float]:
-        """Return each region's free part of its slots, over all samples."""
+        """Return each region's free share of its slots, aggregated over all samples."""
         result = {}
         for region in REGIONS:
             ids = [server["id"] for server in self._servers(region)]
@@ -253,7 +254,7 @@
         return result
 
     def _most_moved(self) -> float:
-        """Return the most buckets of a group moved in a window, over the cap."""
+        """Return the most buckets of a group moved in a window, relative to the cap."""
         most = 0
         plans = self.record.plans
         for index, (at, groups) in enumerate(plans):
@@ -270,7 +271,7 @@
 
 
 class _Processes(BenchProcesses):
-    """Processes of a layout; naive hosts in place of ours where asked."""
+    """Processes of a layout, with naive hosts in place of the product's if `naive`."""
 
     def __init__(self, layout: Layout, naive: bool) -> None:
         super().__init__(layout)
@@ -300,7 +301,7 @@
 
 
 async def config_propagation(changes: int = 60) -> dict[str, float]:
-    """Return how long changes take until in force on all 12 hosts, in ms."""
+    """Return how long changes take to be in force on all 12 hosts, in milliseconds."""
     shape = dataclasses.replace(SHAPE, workers=6)
     deployment = dataclasses.replace(DEPLOYMENT, hosts=12, services=(shape,))
     layout = lay_out(deployment, Ports(free_ports()), log_level="ERROR")
@@ -337,7 +338,7 @@
 
 
 async def measure_scenarios() -> dict:
-    """Return every case for both versions, and the time of configuration changes."""
+    """Return the figures of every case and version, and of configuration changes."""
     result = {}
     for name, load, surge in CASES:
         for naive in (False, True):
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,6 +1,7 @@
-"""Slopes behind docs/CAPACITY.md: cost for each block, site, peer, change, look-up.
+"""Measures the slopes behind docs/CAPACITY.md.
 
-Every slope has at least four sizes; processor time is taken, not wall time.
+A slope is the cost for each further block, site, peer, change or look-up. Each is
+measured at four sizes or more, in processor time and not in wall time.
 """
 
 import asyncio
@@ -73,7 +74,7 @@
 
 
 def block_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return build time, size and look-up time against the number of blocks."""
+    """Return build time, size and look-up time by number of blocks."""
     build, size, find = [], [], []
     rng = random.Random(1)
     for count in BLOCK_SIZES:
@@ -88,7 +89,7 @@
 
 
 def table_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return decoding time and stored size of packed shards against their blocks."""
+    """Return decoding time and stored size of packed shards by number of blocks."""
     decode, stored = [], []
     for count in TABLE_SIZES:
         pairs = [(net, f"group-{group}") for net, group in networks(count)]
@@ -132,7 +133,7 @@
 
 
 def site_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return parse time, memory and stored bytes against the number of sites."""
+    """Return parse time, memory and stored bytes by number of sites."""
     parse, size, stored = [], [], []
     for count in SITE_SIZES:
         text = pool_text(count)
@@ -166,7 +167,7 @@
 
 
 def fleet_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return memory, list handling and live-set time against the fleet's size."""
+    """Return memory, the time to handle the host list and the live-set time by hosts."""
     size, listing, live, degree = [], [], [], []
     for count in HOST_SIZES:
         hosts = host_list(count)
@@ -188,7 +189,7 @@
 
 
 def _live_sets(core: HostCore) -> None:
-    """Make the live set five times from nothing."""
+    """Compute the live set five times, without a cached result."""
     for num in range(5):
         core.view.members.set_drained({core.view.own.host_id, f"host-{num + 1}"})
         core.view.members.live(2.0 + num * 0.01)
@@ -201,7 +202,7 @@
 
 
 def change_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return the cost of changes in force against their number in a second."""
+    """Return the cost of putting changes into force, by their number."""
     cpu = []
     for count in CHANGE_SIZES:
         core = _core_with(host_list(4_500))
@@ -222,7 +223,7 @@
 
 
 def push_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return the bytes on the wire of a change against the size of its JSON."""
+    """Return the bytes on the wire of a change by the size of its JSON."""
     points = []
     for count in (10, 20, 40, 80):
         text = pool_text(count)
@@ -232,7 +233,7 @@
 
 
 def keeper_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return the cost of permits (ask, grant, release, both codecs)."""
+    """Return the cost of permits: request, grant and release, encoded and decoded."""
     cpu = []
     for count in PERMIT_SIZES:
         keeper = SlotKeeper("s", "region-0", 1, random.Random(1))
@@ -257,7 +258,7 @@
 
 
 def planner_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return the time of a planning step and the plan's size against regions."""
+    """Return the time of a planning step and the plan's size by number of regions."""
     cpu, stored = [], []
     for count in REGION_SIZES:
         names = [f"region-{num}" for num in range(count)]
@@ -297,7 +298,7 @@
 
 
 async def _beat_streams(count: int, beat: msg.Heartbeat) -> float:
-    """Return the receiver's and sender's seconds for one beat with each peer."""
+    """Return the processor seconds to send and receive one heartbeat for each peer."""
     hosts = host_list(count + 1)
     core = _core_with(hosts)
     received = 0
@@ -335,7 +336,7 @@
 
 
 def tick_cost() -> dict[str, list[tuple[float, float]]]:
-    """Return the time of an idle tick against the fleet's size."""
+    """Return the time of an idle tick by the number of hosts."""
     points = []
     for count in HOST_SIZES:
         core = _core_with(host_list(count))
@@ -347,7 +348,7 @@
 
 
 def plan_tick_cost() -> dict[str, list[tuple[float, float]]]:
-    """Return the time of a tick of a host that follows plans, against its groups."""
+    """Return the time of a tick of a host that has plans, by their number of groups."""
     points = []
     for count in REGION_SIZES:
         core = _core_with(host_list(200))
@@ -367,7 +368,7 @@
 
 
 def main() -> None:
-    """Measure everything and write the JSON file."""
+    """Measure all slopes and write the JSON file."""
     points = block_slopes()
     points.update(table_slopes())
     points.update(site_slopes())
--- a/tests/naive_wire.py
+++ b/tests/naive_wire.py
@@ -1,4 +1,4 @@
-"""A slow decoder of frames, written from their description, to compare with."""
+"""A slow frame decoder, written from the frame description, as a test reference."""
 
 import typing
 
@@ -11,7 +11,7 @@
 
 
 def decode(body):
-    """Return the message in a frame's body, checked field by field."""
+    """Return the message in a frame's body; each field is checked."""
     try:
         raw = msgpack.unpackb(body, raw=False, strict_map_key=True)
     except (ValueError, msgpack.UnpackException, RecursionError) as exc:
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -1,4 +1,4 @@
-"""The command that switches mechanisms off: settings of a copy, and its table."""
+"""The ablation command: the switch in a copy's settings, and the table of worths."""
 
 import json
 from pathlib import Path
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page must show what was measured."""
+"""The capacity page must show the measured figures."""
 
 from bench.capacity import PAGE, fill, load
 
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The committed examples are what the product writes, and load."""
+"""The committed examples equal what the product writes, and can be loaded."""
 
 from pathlib import Path
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -51,11 +51,12 @@
 
 
 def test_whole_path_survives_a_host_and_a_backend_server():
-    """Callers of three regions read and book while processes die.
+    """Callers of three regions read and book while processes are killed.
 
-    What a user would see: a booking run twice, one refused as "not run" that ran,
-    or an answer that belongs to somebody else. First host-2 is killed with requests
-    in flight, then a backend server; the ledgers of the others tell what ran.
+    Guards against a booking that runs twice, a booking that is refused as "not run" and
+    still ran, and a response that belongs to another caller. First host-2 is killed
+    with requests in flight, then a backend server. The ledgers of the remaining servers
+    show what ran.
     """
     answers, ledger, dead_server = asyncio.run(_scenario())
     ran = Counter(item["request_id"] for item in ledger)
