--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -24,10 +24,10 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 TEMPLATE = Path("deploy/host.json.tmpl")
-NOTHING = "(nothing)"
+ALL_ON = "(nothing)"
 # Timeout of one play, in seconds. The longest day takes some minutes when other plays
 # run at the same time.
-PLAY_MOST_S = 1800.0
+PLAY_TIMEOUT_S = 1800.0
 _WORTH = re.compile(r"^worth (-?\d+\.\d+) =", re.MULTILINE)
 
 
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Played:
+class PlayResult:
     """A play and its worth, or None if the player printed none."""
 
     play: Play
@@ -51,10 +51,10 @@
 
 def copy_checkout(folder: Path) -> None:
     """Copy the files that git tracks and the build output into a folder."""
-    listed = subprocess.run(
+    tracked = subprocess.run(
         ["git", "ls-files"], cwd=ROOT, check=True, capture_output=True, text=True
     )
-    for name in listed.stdout.splitlines():
+    for name in tracked.stdout.splitlines():
         if name.startswith("journal/") or not (ROOT / name).is_file():
             continue
         (folder / name).parent.mkdir(parents=True, exist_ok=True)
@@ -74,59 +74,59 @@
     path.write_text(f'{text},\n  "policy": {policy}\n}}\n')
 
 
-def prepared(work: Path, switch: str) -> Path:
+def prepare_copy(work: Path, switch: str) -> Path:
     """Return a copy of the checkout with a switch off."""
-    folder = work / (switch if switch != NOTHING else "all-on")
+    folder = work / (switch if switch != ALL_ON else "all-on")
     folder.mkdir(parents=True)
     copy_checkout(folder)
-    if switch != NOTHING:
+    if switch != ALL_ON:
         switch_off(folder, switch)
     return folder
 
 
 def worth_of(output: str) -> float | None:
     """Return the worth that the player printed, or None."""
-    found = _WORTH.search(output)
-    return float(found.group(1)) if found else None
+    match = _WORTH.search(output)
+    return float(match.group(1)) if match else None
 
 
-def run_play(player: Path, folder: Path, play: Play) -> Played:
+def run_play(player: Path, folder: Path, play: Play) -> PlayResult:
     """Play one day in a copy."""
-    words = [str(player), "run", str(play.site.resolve()), play.day, "--no-cpu"]
-    words += ["--jobs", "1", "--why", f"ablation: {play.switch} off"]
+    command = [str(player), "run", str(play.site.resolve()), play.day, "--no-cpu"]
+    command += ["--jobs", "1", "--why", f"ablation: {play.switch} off"]
     if play.seed:
-        words += ["--seed", str(play.seed)]
-    done = subprocess.run(
-        words, cwd=folder, capture_output=True, text=True, timeout=PLAY_MOST_S
+        command += ["--seed", str(play.seed)]
+    process = subprocess.run(
+        command, cwd=folder, capture_output=True, text=True, timeout=PLAY_TIMEOUT_S
     )
-    return Played(play, worth_of(done.stdout))
+    return PlayResult(play, worth_of(process.stdout))
 
 
-def table(played: list[Played]) -> Iterator[str]:
+def table(results: list[PlayResult]) -> Iterator[str]:
     """Yield the lines of a table: a row for each switch, a column for each site."""
-    sites = sorted({item.play.site for item in played})
+    sites = sorted({item.play.site for item in results})
     yield "| off | " + " | ".join(site.stem for site in sites) + " |"
     yield "|---|" + "---|" * len(sites)
-    switches = dict.fromkeys(item.play.switch for item in played)
+    switches = dict.fromkeys(item.play.switch for item in results)
     for switch in switches:
-        cells = [_cell(played, switch, site) for site in sites]
+        cells = [_cell(results, switch, site) for site in sites]
         yield f"| {switch} | " + " | ".join(cells) + " |"
 
 
-def _cell(played: list[Played], switch: str, site: Path) -> str:
-    worths = _worths(played, switch, site)
+def _cell(results: list[PlayResult], switch: str, site: Path) -> str:
+    worths = _worths(results, switch, site)
     if not worths:
         return "-"
-    on = _worths(played, NOTHING, site)
-    if switch == NOTHING or not on:
+    all_on_worths = _worths(results, ALL_ON, site)
+    if switch == ALL_ON or not all_on_worths:
         return f"{mean(worths):.3f}"
-    return f"{mean(worths):.3f} ({mean(worths) - mean(on):+.3f})"
+    return f"{mean(worths):.3f} ({mean(worths) - mean(all_on_worths):+.3f})"
 
 
-def _worths(played: list[Played], switch: str, site: Path) -> list[float]:
+def _worths(results: list[PlayResult], switch: str, site: Path) -> list[float]:
     return [
         item.worth
-        for item in played
+        for item in results
         if (item.play.switch, item.play.site) == (switch, site)
         and item.worth is not None
     ]
@@ -160,7 +160,7 @@
     """
     names = switches or [field.name for field in fields(Policy)]
     with tempfile.TemporaryDirectory(dir=ROOT.parent, prefix="ablation-") as work:
-        folders = {name: prepared(Path(work), name) for name in [NOTHING, *names]}
+        folders = {name: prepare_copy(Path(work), name) for name in [ALL_ON, *names]}
         plays = [
             Play(name, site, day, seed)
             for site in sites
@@ -169,14 +169,14 @@
             for seed in seeds or [0]
         ]
         with ThreadPoolExecutor(jobs) as pool:
-            played = list(
+            results = list(
                 pool.map(
                     lambda play: run_play(player, folders[play.switch], play), plays
                 )
             )
         for folder in folders.values():
             shutil.copytree(folder / "journal", ROOT / "journal", dirs_exist_ok=True)
-    lines = list(table(played))
+    lines = list(table(results))
     sys.stdout.write("\n".join(lines) + "\n")
 
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -14,44 +14,44 @@
 NODES = 4_500
 BLOCKS = 160_000
 SITES = 4_200
-LOOKUPS_S = 8_500_000
+LOOKUPS_PER_S = 8_500_000
 REGIONS = 56
 DOMAINS = 203
-CHANGES_S = 27_000 / 86_400
-CORE_LIMIT = 2.9
+CHANGES_PER_S = 27_000 / 86_400
+CORE_LIMIT_PERCENT = 2.9
 MEMORY_LIMIT_MB = 256
-BYTES_LIMIT = 7_000
+BYTES_LIMIT_PER_S = 7_000
 PACKET_BYTES = 52
 CHANGE_BYTES = 2_000
 RELAYS = DOMAINS * 2
 SERVICES = 3
-NEAR = NODES // DOMAINS
-TICKS_S = 5
+HOSTS_PER_DOMAIN = NODES // DOMAINS
+TICKS_PER_S = 5
 WATCH_WAIT_S = 20
-HOST_LIST_S = 10
+HOST_LIST_INTERVAL_S = 10
 HOST_ENTRY_BYTES = 150
-REPORT_S = 5
+REPORT_INTERVAL_S = 5
 STEP_PAUSE_S = max(1.0, 0.04 * REGIONS)
 LOAD_PAUSE_S = max(0.5, 0.03 * REGIONS)
-CALLERS_REMEMBERED = 50_000
+CACHED_CALLERS = 50_000
 
 
 @dataclass(slots=True, frozen=True)
-class Measured:
+class Measurements:
     """The contents of the measured JSON file."""
 
     slopes: dict[str, Slope]
     path: dict[str, float]
 
 
-def load(path: Path = RESULT) -> Measured:
+def load(path: Path = RESULT) -> Measurements:
     """Read the measured JSON."""
     data = json.loads(path.read_text())
     slopes = {name: Slope(**value) for name, value in data["slopes"].items()}
-    return Measured(slopes, data["path"])
+    return Measurements(slopes, data["path"])
 
 
-def slopes_table(measured: Measured) -> str:
+def slopes_table(measured: Measurements) -> str:
     """Return the table of slopes, with the error of each fit."""
     lines = ["| slope | fixed | for each | worst residual |", "|---|---|---|---|"]
     for name, slope in sorted(measured.slopes.items()):
@@ -62,7 +62,7 @@
     return "\n".join(lines)
 
 
-def path_table(measured: Measured) -> str:
+def path_table(measured: Measurements) -> str:
     """Return the table of the path's figures."""
     lines = ["| figure | value |", "|---|---|"]
     for name, value in sorted(measured.path.items()):
@@ -70,69 +70,69 @@
     return "\n".join(lines)
 
 
-def _beats(measured: Measured) -> tuple[float, float]:
+def _heartbeats_per_s(measured: Measurements) -> tuple[float, float]:
     """Return the heartbeats per second of an ordinary host and of a region's relay."""
-    far = measured.slopes["most_neighbours"].at(NODES) - NEAR
-    return float(NEAR), NEAR + far / 5.0
+    remote_peers = measured.slopes["most_neighbours"].at(NODES) - HOSTS_PER_DOMAIN
+    return float(HOSTS_PER_DOMAIN), HOSTS_PER_DOMAIN + remote_peers / 5.0
 
 
-def roles_table(measured: Measured) -> str:
+def roles_table(measured: Measurements) -> str:
     """Return the table of processor time, bytes and memory of each role.
 
     The fleet has the target size.
     """
     slopes = measured.slopes
-    ordinary, relay = _beats(measured)
-    beat_us = slopes["heartbeat_us"].each
-    beat_bytes = slopes["heartbeat_bytes"].each + PACKET_BYTES
+    ordinary, relay = _heartbeats_per_s(measured)
+    heartbeat_us = slopes["heartbeat_us"].each
+    heartbeat_bytes = slopes["heartbeat_bytes"].each + PACKET_BYTES
     change_us = slopes["change_us"].each
     site_us = slopes["site_parse_us"].each
     step_us = slopes["plan_step_us"].at(REGIONS)
-    loads_s = REGIONS / LOAD_PAUSE_S
+    loads_per_s = REGIONS / LOAD_PAUSE_S
     members_mb = slopes["host_bytes"].at(NODES) / 1e6
     sites_mb = slopes["site_bytes"].at(SITES) / 1e6
     blocks_mb = slopes["block_bytes"].at(BLOCKS) / 1e6
-    tick_us = slopes["tick_us"].at(NODES) * TICKS_S
+    tick_us = slopes["tick_us"].at(NODES) * TICKS_PER_S
     pushed = slopes["push_bytes"].at(CHANGE_BYTES)
-    change_bytes = CHANGES_S * (pushed + PACKET_BYTES)
-    announce = CHANGES_S * NEAR * beat_bytes
-    lookups = LOOKUPS_S / NODES
+    change_bytes = CHANGES_PER_S * (pushed + PACKET_BYTES)
+    announce = CHANGES_PER_S * HOSTS_PER_DOMAIN * heartbeat_bytes
+    lookups = LOOKUPS_PER_S / NODES
     lookup_us = measured.path["lookup_cpu_us"]
-    callers_mb = measured.path["rss_each_caller_bytes"] * CALLERS_REMEMBERED / 1e6
+    callers_mb = measured.path["rss_each_caller_bytes"] * CACHED_CALLERS / 1e6
     rows = [
         ("clock of the core", tick_us, 0.0, 0.0, "one tick, kept live set"),
         (
             "membership, ordinary host",
-            ordinary * beat_us,
-            ordinary * beat_bytes,
+            ordinary * heartbeat_us,
+            ordinary * heartbeat_bytes,
             members_mb,
             "heartbeats inside a failure domain",
         ),
         (
             "membership, relay of a region",
-            relay * beat_us,
-            relay * beat_bytes,
+            relay * heartbeat_us,
+            relay * heartbeat_bytes,
             members_mb,
             "relays beat relays every 5 s",
         ),
         (
             "configuration, follower",
-            CHANGES_S * change_us,
+            CHANGES_PER_S * change_us,
             announce,
             sites_mb + blocks_mb,
             "pull from a peer by version, tell neighbours at once",
         ),
         (
             "configuration, relay",
-            CHANGES_S * change_us,
-            announce + change_bytes * NEAR / 2,
+            CHANGES_PER_S * change_us,
+            announce + change_bytes * HOSTS_PER_DOMAIN / 2,
             sites_mb + blocks_mb,
             "watch; two relays answer the pulls of a failure domain",
         ),
         (
             "planner of one service",
-            step_us / STEP_PAUSE_S + loads_s * beat_us,
-            loads_s * (60 + PACKET_BYTES),
+            step_us / STEP_PAUSE_S + loads_per_s * heartbeat_us,
+            loads_per_s * (60 + PACKET_BYTES),
             0.0,
             "a step each 2.2 s, loads of 56 keepers (bytes received)",
         ),
@@ -155,9 +155,9 @@
         "| role | % of a core | bytes/s sent | MB | mechanism |",
         "|---|---|---|---|---|",
     ]
-    for name, micros, sent, memory, how in rows:
+    for name, micros, sent, memory, mechanism in rows:
         lines.append(
-            f"| {name} | {micros / 1e4:.2f} | {sent:.0f} | {memory:.1f} | {how} |"
+            f"| {name} | {micros / 1e4:.2f} | {sent:.0f} | {memory:.1f} | {mechanism} |"
         )
     whole_pool = site_us * SITES / 1e3
     block_build = slopes["block_build_us"].at(BLOCKS) / 1e6
@@ -172,7 +172,7 @@
     return "\n".join(lines)
 
 
-def _at_rest(measured: Measured) -> float:
+def _idle_us_per_s(measured: Measurements) -> float:
     """Return the processor time of an idle host at the target size, in µs per second.
 
     It is the highest share of a whole process in a fleet of twelve, plus the additional
@@ -181,58 +181,62 @@
     slopes = measured.slopes
     hosts = slopes["tick_us"].each * NODES
     groups = max(0.0, slopes["plan_tick_us"].each) * SERVICES * REGIONS
-    return measured.path["idle_percent_most"] * 1e4 + (hosts + groups) * TICKS_S
+    return measured.path["idle_percent_most"] * 1e4 + (hosts + groups) * TICKS_PER_S
 
 
-def node_table(measured: Measured) -> str:
+def node_table(measured: Measurements) -> str:
     """Return the table of a whole node's control costs, compared with the limits."""
     slopes = measured.slopes
-    ordinary, relay = _beats(measured)
-    beat_us = slopes["heartbeat_us"].each
-    beat_bytes = slopes["heartbeat_bytes"].each + PACKET_BYTES
-    base = _at_rest(measured) + CHANGES_S * slopes["change_us"].each
+    ordinary, relay = _heartbeats_per_s(measured)
+    heartbeat_us = slopes["heartbeat_us"].each
+    heartbeat_bytes = slopes["heartbeat_bytes"].each + PACKET_BYTES
+    base = _idle_us_per_s(measured) + CHANGES_PER_S * slopes["change_us"].each
     pushed = slopes["push_bytes"].at(CHANGE_BYTES)
-    change_bytes = CHANGES_S * (pushed + PACKET_BYTES)
+    change_bytes = CHANGES_PER_S * (pushed + PACKET_BYTES)
     memory = (
         measured.path["rss_idle_mb"]
         + slopes["host_bytes"].at(NODES) / 1e6
         + slopes["site_bytes"].at(SITES) / 1e6
         + slopes["block_bytes"].at(BLOCKS) / 1e6
     )
-    list_bytes = NODES * HOST_ENTRY_BYTES / HOST_LIST_S
-    loads_s = REGIONS / LOAD_PAUSE_S
-    plan = slopes["plan_step_us"].at(REGIONS) / STEP_PAUSE_S + loads_s * beat_us
-    announce = CHANGES_S * NEAR * beat_bytes
-    pushes = change_bytes * NEAR / 2
+    list_bytes = NODES * HOST_ENTRY_BYTES / HOST_LIST_INTERVAL_S
+    loads_per_s = REGIONS / LOAD_PAUSE_S
+    plan = (
+        slopes["plan_step_us"].at(REGIONS) / STEP_PAUSE_S + loads_per_s * heartbeat_us
+    )
+    announce = CHANGES_PER_S * HOSTS_PER_DOMAIN * heartbeat_bytes
+    pushes = change_bytes * HOSTS_PER_DOMAIN / 2
     rows = [
         (
             "ordinary host",
-            base + ordinary * beat_us,
-            ordinary * beat_bytes + announce,
+            base + ordinary * heartbeat_us,
+            ordinary * heartbeat_bytes + announce,
         ),
         (
             "relay of a failure domain and region",
-            base + relay * beat_us,
-            relay * beat_bytes + announce + pushes,
+            base + relay * heartbeat_us,
+            relay * heartbeat_bytes + announce + pushes,
         ),
         (
             "the same, with today's whole host list",
-            base + relay * beat_us + slopes["host_list_us"].at(NODES) / HOST_LIST_S,
-            relay * beat_bytes + announce + pushes + list_bytes,
+            base
+            + relay * heartbeat_us
+            + slopes["host_list_us"].at(NODES) / HOST_LIST_INTERVAL_S,
+            relay * heartbeat_bytes + announce + pushes + list_bytes,
         ),
         (
             "ordinary host that plans one service",
-            base + ordinary * beat_us + plan,
-            ordinary * beat_bytes + announce + loads_s * (60 + PACKET_BYTES),
+            base + ordinary * heartbeat_us + plan,
+            ordinary * heartbeat_bytes + announce + loads_per_s * (60 + PACKET_BYTES),
         ),
     ]
     lines = [
-        f"| node | % of a core (limit {CORE_LIMIT}) | bytes/s (limit {BYTES_LIMIT}) "
+        f"| node | % of a core (limit {CORE_LIMIT_PERCENT}) | bytes/s (limit {BYTES_LIMIT_PER_S}) "
         f"| MB (limit {MEMORY_LIMIT_MB}) | within |",
         "|---|---|---|---|---|",
     ]
     for name, micros, sent, *_ in rows:
-        fits = micros / 1e4 <= CORE_LIMIT and sent <= BYTES_LIMIT
+        fits = micros / 1e4 <= CORE_LIMIT_PERCENT and sent <= BYTES_LIMIT_PER_S
         fits = fits and memory <= MEMORY_LIMIT_MB
         verdict = "yes" if fits else "**no**"
         lines.append(
@@ -241,18 +245,18 @@
     return "\n".join(lines)
 
 
-def platform_table(_measured: Measured) -> str:
+def platform_table(_measured: Measurements) -> str:
     """Return the table of the platform's calls per second at the target size."""
     report_pause = max(0.25, 0.01 * DOMAINS)
     burst = DOMAINS / report_pause
     rows = [
-        ("watches that end by a change", RELAYS * CHANGES_S, "reads"),
+        ("watches that end by a change", RELAYS * CHANGES_PER_S, "reads"),
         ("watches that time out", RELAYS / WATCH_WAIT_S, "reads"),
-        ("host list", RELAYS / HOST_LIST_S, "reads"),
-        ("reports, loads renewed", DOMAINS / REPORT_S, "writes"),
+        ("host list", RELAYS / HOST_LIST_INTERVAL_S, "reads"),
+        ("reports, loads renewed", DOMAINS / REPORT_INTERVAL_S, "writes"),
         ("reports, changes without pause (bound)", burst, "writes"),
         ("plans, every service in a shift", SERVICES * 1.0, "writes"),
-        ("operators' changes", CHANGES_S, "writes"),
+        ("operators' changes", CHANGES_PER_S, "writes"),
     ]
     lines = ["| call | a second | kind |", "|---|---|---|"]
     for name, rate, kind in rows:
@@ -265,7 +269,7 @@
     return "\n".join(lines)
 
 
-def replacement_table(measured: Measured) -> str:
+def replacement_table(measured: Measurements) -> str:
     """Return the table of the data that a replaced node needs before it serves."""
     slopes = measured.slopes
     blocks = BLOCKS / SHARD_BLOCKS * slopes["table_stored_bytes"].at(SHARD_BLOCKS)
@@ -291,8 +295,8 @@
     lines.append("")
     lines.append(
         f"Reading it takes {parse_s:.1f} s of processor time. 740 replacements a day "
-        f"move {mean / 1e3:.1f} KB/s over the whole fleet; a failure domain of {NEAR} "
-        f"hosts at once moves {NEAR * total / 1e6:.0f} MB."
+        f"move {mean / 1e3:.1f} KB/s over the whole fleet; a failure domain of {HOSTS_PER_DOMAIN} "
+        f"hosts at once moves {HOSTS_PER_DOMAIN * total / 1e6:.0f} MB."
     )
     return "\n".join(lines)
 
@@ -307,7 +311,7 @@
 }
 
 
-def fill(text: str, measured: Measured) -> str:
+def fill(text: str, measured: Measurements) -> str:
     """Return the page with every table replaced by a newly computed one."""
     for name, make in TABLES.items():
         block = f"<!-- table:{name} -->\n{make(measured)}\n<!-- end -->"
--- a/bench/load.py
+++ b/bench/load.py
@@ -6,7 +6,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-HIST_TOP_US = 60_000_000
+MAX_RECORDED_US = 60_000_000
 
 
 class RawLoop(asyncio.Protocol):
@@ -18,27 +18,27 @@
     def __init__(self, payloads: Sequence[bytes], hist: HdrHistogram) -> None:
         self._payloads = payloads
         self._hist = hist
-        self._next = 0
+        self._next_index = 0
         self._buffer = b""
         self._sent_at = 0.0
         self._transport: asyncio.Transport | None = None
         self.done = 0
-        self.bad = 0
+        self.failed = 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self._transport = transport
         self._send()
 
     def _send(self) -> None:
-        payload = self._payloads[self._next % len(self._payloads)]
-        self._next += 1
+        payload = self._payloads[self._next_index % len(self._payloads)]
+        self._next_index += 1
         self._sent_at = time.perf_counter()
         self._transport.write(payload)
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
-        head, gap, body = self._buffer.partition(b"\r\n\r\n")
-        if not gap:
+        head, separator, body = self._buffer.partition(b"\r\n\r\n")
+        if not separator:
             return
         length = int(head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0])
         if len(body) < length:
@@ -48,7 +48,7 @@
         self._buffer = b""
         self.done += 1
         if not head.startswith(b"HTTP/1.1 200"):
-            self.bad += 1
+            self.failed += 1
         self._send()
 
     def close(self) -> None:
@@ -61,7 +61,7 @@
 
     Attributes
     ----------
-    done, bad : int
+    done, failed : int
         Number of responses, and of those with a status other than 200.
     seconds : float
         Duration of the run.
@@ -69,9 +69,9 @@
         Response times in microseconds.
     """
 
-    def __init__(self, done: int, bad: int, seconds: float, hist: HdrHistogram):
+    def __init__(self, done: int, failed: int, seconds: float, hist: HdrHistogram):
         self.done = done
-        self.bad = bad
+        self.failed = failed
         self.seconds = seconds
         self.hist = hist
 
@@ -85,12 +85,14 @@
     """Send requests on `connections` connections to `address` for `seconds`."""
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
-    hist = HdrHistogram(1, HIST_TOP_US, 3)
+    hist = HdrHistogram(1, MAX_RECORDED_US, 3)
     protocols = []
-    for num in range(connections):
-        mine = payloads[num::connections] or payloads
+    for connection_index in range(connections):
+        own_payloads = payloads[connection_index::connections] or payloads
         _, protocol = await loop.create_connection(
-            lambda mine=mine: RawLoop(mine, hist), host, int(port)
+            lambda own_payloads=own_payloads: RawLoop(own_payloads, hist),
+            host,
+            int(port),
         )
         protocols.append(protocol)
     started = time.perf_counter()
@@ -99,8 +101,8 @@
     for protocol in protocols:
         protocol.close()
     done = sum(protocol.done for protocol in protocols)
-    bad = sum(protocol.bad for protocol in protocols)
-    return LoadResult(done, bad, elapsed, hist)
+    failed = sum(protocol.failed for protocol in protocols)
+    return LoadResult(done, failed, elapsed, hist)
 
 
 def get_request(target: str, headers: Sequence[tuple[str, str]] = ()) -> bytes:
--- a/bench/naive.py
+++ b/bench/naive.py
@@ -18,8 +18,8 @@
 from lacewingcross.http1_json import read_body, send_json
 from lacewingcross.http1_server import HttpServer
 
-REPORT_S = 0.25
-BODY_MAX = 1_000_000
+POLL_INTERVAL_S = 0.25
+MAX_BODY_BYTES = 1_000_000
 
 
 class NaiveHost:
@@ -42,7 +42,7 @@
                     self._busy[address] = json.loads(answer.body)["busy"]
                 except (HttpError, ValueError):
                     pass
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _handle(self, exchange: Exchange) -> None:
         if exchange.head.target.startswith("/v1/lookup"):
@@ -52,9 +52,9 @@
             return
         pair = self._rng.choices(list(self._clients), k=2)
         address = min(pair, key=lambda addr: self._busy[addr])
-        body = await read_body(exchange, BODY_MAX)
-        keep = (hd.REQUEST_ID, hd.CALLER_ID)
-        fields = [item for item in exchange.head.headers if item[0] in keep]
+        body = await read_body(exchange, MAX_BODY_BYTES)
+        forwarded_names = (hd.REQUEST_ID, hd.CALLER_ID)
+        fields = [item for item in exchange.head.headers if item[0] in forwarded_names]
         try:
             answer = await self._clients[address].request(
                 exchange.head.method, exchange.head.target, fields, body, 30.0
--- a/bench/path.py
+++ b/bench/path.py
@@ -25,7 +25,7 @@
 SETTLE_S = 4.0
 IDLE_S = 10.0
 LOOKUP_CALLERS = 4000
-FAST = Deployment(
+FAST_DEPLOYMENT = Deployment(
     "path",
     ("one",),
     1,
@@ -75,14 +75,14 @@
 
 async def measure_path() -> dict[str, float]:
     """Return the figures of the path; the baselines are measured in the same run."""
-    layout = lay_out(FAST, Ports(free_ports()), log_level="ERROR")
+    layout = lay_out(FAST_DEPLOYMENT, Ports(free_ports()), log_level="ERROR")
     async with BenchProcesses(layout) as procs:
         host = layout.hosts[0]
         idle = procs.rss_bytes("host-1")
         result = await _lookup_cost(procs, host.entry)
         result["rss_idle_mb"] = idle / 1e6
-        grown = procs.rss_bytes("host-1") - idle
-        result["rss_each_caller_bytes"] = max(0, grown) / LOOKUP_CALLERS
+        growth_bytes = procs.rss_bytes("host-1") - idle
+        result["rss_each_caller_bytes"] = max(0, growth_bytes) / LOOKUP_CALLERS
         result.update(await _request_cost(procs, host.entry))
     result.update(await measure_idle())
     result["bare_h11_us"] = await _bare_cost()
@@ -100,19 +100,19 @@
         before = {cfg.host_id: procs.cpu_s(cfg.host_id) for cfg in layout.hosts}
         await asyncio.sleep(IDLE_S)
         shares = [
-            100 * (procs.cpu_s(host_id) - used) / IDLE_S
-            for host_id, used in before.items()
+            100 * (procs.cpu_s(host_id) - used_s) / IDLE_S
+            for host_id, used_s in before.items()
         ]
     return {"idle_percent_mean": fmean(shares), "idle_percent_most": max(shares)}
 
 
 async def _lookup_cost(procs: BenchProcesses, entry: str) -> dict[str, float]:
-    first = await _cpu_per_call(procs, entry, _lookups(), 1.0)
-    again = await _cpu_per_call(procs, entry, _lookups(), SECONDS)
+    first_calls = await _cpu_per_call(procs, entry, _lookups(), 1.0)
+    repeated = await _cpu_per_call(procs, entry, _lookups(), SECONDS)
     return {
-        "lookup_first_cpu_us": first[0],
-        "lookup_cpu_us": again[0],
-        "lookups_per_core_s": 1e6 / again[0],
+        "lookup_first_cpu_us": first_calls[0],
+        "lookup_cpu_us": repeated[0],
+        "lookups_per_core_s": 1e6 / repeated[0],
     }
 
 
@@ -121,9 +121,9 @@
 ) -> tuple[float, float]:
     before = procs.cpu_s("host-1")
     load = await closed_loop(entry, payloads, 16, seconds)
-    used = procs.cpu_s("host-1") - before
-    assert load.bad == 0, load.bad
-    return used / load.done * 1e6, load.percentile_us(50)
+    used_s = procs.cpu_s("host-1") - before
+    assert load.failed == 0, load.failed
+    return used_s / load.done * 1e6, load.percentile_us(50)
 
 
 async def _request_cost(procs: BenchProcesses, entry: str) -> dict[str, float]:
@@ -133,8 +133,8 @@
     direct = await closed_loop(backend, request, 1, SECONDS)
     before = procs.cpu_s("host-1")
     through = await closed_loop(entry, request, 1, SECONDS)
-    used = procs.cpu_s("host-1") - before
-    assert through.bad == 0, through.bad
+    used_s = procs.cpu_s("host-1") - before
+    assert through.failed == 0, through.failed
     return {
         "direct_p50_us": direct.percentile_us(50),
         "direct_p99_us": direct.percentile_us(99),
@@ -142,8 +142,8 @@
         "through_p99_us": through.percentile_us(99),
         "added_p50_us": through.percentile_us(50) - direct.percentile_us(50),
         "added_p99_us": through.percentile_us(99) - direct.percentile_us(99),
-        "request_cpu_us": used / through.done * 1e6,
-        "requests_per_core_s": through.done / used,
+        "request_cpu_us": used_s / through.done * 1e6,
+        "requests_per_core_s": through.done / used_s,
     }
 
 
@@ -180,9 +180,9 @@
     port = server.sockets[0].getsockname()[1]
     before = time.process_time()
     load = await closed_loop(f"127.0.0.1:{port}", _lookups()[:64], 16, 2.0)
-    used = time.process_time() - before
+    used_s = time.process_time() - before
     server.close()
-    return used / load.done * 1e6
+    return used_s / load.done * 1e6
 
 
 if __name__ == "__main__":
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -19,7 +19,7 @@
 from lacewingcross.settings import as_data
 
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-WAIT_S = 60.0
+READY_TIMEOUT_S = 60.0
 
 
 class BenchProcesses:
@@ -48,11 +48,11 @@
         self._dir.cleanup()
         self.operator.platform.close()
 
-    def start(self, name: str, words: list[str], cfg: object) -> None:
+    def start(self, name: str, command: list[str], cfg: object) -> None:
         path = Path(self._dir.name) / f"{name}.json"
         path.write_text(json.dumps(as_data(cfg)))
         self._procs[name] = subprocess.Popen(
-            [sys.executable, "-m", "lacewingcross", *words, "--cfg", str(path)],
+            [sys.executable, "-m", "lacewingcross", *command, "--cfg", str(path)],
             stderr=subprocess.DEVNULL,
             stdout=subprocess.DEVNULL,
         )
@@ -74,18 +74,18 @@
         proc.wait()
 
     async def _ready(self) -> None:
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while await fetch(self.layout.platform.listen, "/v1/hosts") is None:
                 await asyncio.sleep(0.1)
             newest = 0
             for document in read_documents(self.layout.resources, "layout"):
                 newest = max(newest, (await self.operator.apply(document)).version)
-            await self.operator.wait_in_force(newest, WAIT_S)
+            await self.operator.wait_in_force(newest, READY_TIMEOUT_S)
             for cfg in self.layout.hosts:
-                while not await self._planned(cfg.operators):
+                while not await self._has_plan(cfg.operators):
                     await asyncio.sleep(0.1)
 
-    async def _planned(self, operators: str) -> bool:
+    async def _has_plan(self, operators: str) -> bool:
         status = await fetch(operators, "/status")
         return bool(status) and bool(status["plans"])
 
--- a/bench/run.py
+++ b/bench/run.py
@@ -20,16 +20,16 @@
 def main() -> None:
     """Measure the path, the ways of sharing slots and the scenarios."""
     RESULTS.mkdir(exist_ok=True)
-    path = asyncio.run(measure_path())
-    _save("path.json", path)
-    for name, value in path.items():
+    path_figures = asyncio.run(measure_path())
+    _save("path.json", path_figures)
+    for name, value in path_figures.items():
         print(f"{name} {value:.1f}")
-    trial = slots.measure_slots()
-    _save("slots.json", trial)
-    slots.print_rows(trial)
-    whole = asyncio.run(scenarios.measure_scenarios())
-    _save("scenarios.json", whole)
-    (RESULTS / "report.html").write_text(render(whole), encoding="utf-8")
+    slot_figures = slots.measure_slots()
+    _save("slots.json", slot_figures)
+    slots.print_rows(slot_figures)
+    scenario_figures = asyncio.run(scenarios.measure_scenarios())
+    _save("scenarios.json", scenario_figures)
+    (RESULTS / "report.html").write_text(render(scenario_figures), encoding="utf-8")
     print("bench/results/report.html: written")
 
 
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -32,10 +32,10 @@
 REGIONS = ("north", "south", "west")
 SHAPE = ServiceShape("booking", 10, 3, 330, 100.0, 2_000, 0.1, 4.0)
 DEPLOYMENT = Deployment("scenario", REGIONS, HOSTS, (SHAPE,), 0.0, 10)
-CAPACITY_S = SHAPE.workers * SHAPE.slots / (SHAPE.service_ms / 1000)
-CALLERS_EACH = 40
+CAPACITY_PER_S = SHAPE.workers * SHAPE.slots / (SHAPE.service_ms / 1000)
+CALLERS_PER_REGION = 40
 SAMPLE_S = 0.1
-NAIVE_QUEUE = 100_000
+NAIVE_QUEUE_LENGTH = 100_000
 FAULT_AT_S = 3.0
 
 
@@ -62,9 +62,9 @@
         self.load = load
         self.naive = naive
         self.surge = surge
-        self.tries = 3 if name == "region-loss" else 1
+        self.max_tries = 3 if name == "region-loss" else 1
         self.record = Record()
-        queue = NAIVE_QUEUE if naive else 1
+        queue = NAIVE_QUEUE_LENGTH if naive else 1
         self.layout = lay_out(
             DEPLOYMENT, Ports(free_ports()), queue=queue, log_level="ERROR"
         )
@@ -81,11 +81,11 @@
         layout = self.layout
         async with _Processes(layout, self.naive) as procs:
             self._make_callers()
-            await self._warm()
+            await self._look_up_hosts()
             sampler = asyncio.create_task(self._sample(procs))
-            fault = asyncio.create_task(self._fault(procs))
-            await self._offer()
-            await fault
+            fault_task = asyncio.create_task(self._inject_fault(procs))
+            await self._send_requests()
+            await fault_task
             sampler.cancel()
             ledger = await self._ledger(procs)
         for caller in self._callers:
@@ -97,7 +97,7 @@
         for cfg in self.layout.hosts:
             entries.setdefault(cfg.region, []).append(cfg.entry)
         for index, region in enumerate(REGIONS):
-            for num in range(CALLERS_EACH):
+            for num in range(CALLERS_PER_REGION):
                 seeds = entries[region] if self.naive else sum(entries.values(), [])
                 self._callers.append(
                     Caller(
@@ -107,7 +107,7 @@
                     )
                 )
 
-    async def _warm(self) -> None:
+    async def _look_up_hosts(self) -> None:
         for caller in self._callers:
             await caller.lookup("booking")
 
@@ -116,8 +116,8 @@
         counts = Counter(num % len(REGIONS) for num in range(SHAPE.workers))
         return [float(counts[index]) for index in range(len(REGIONS))]
 
-    async def _offer(self) -> None:
-        total = int(self.load * CAPACITY_S * SECONDS)
+    async def _send_requests(self) -> None:
+        total = int(self.load * CAPACITY_PER_S * SECONDS)
         times = []
         for _ in range(total):
             early = self.surge and self._rng.random() < 0.1
@@ -127,19 +127,21 @@
         loop = asyncio.get_running_loop()
         start = loop.time()
         tasks = []
-        for number, at in enumerate(sorted(times)):
+        for sequence, at in enumerate(sorted(times)):
             await asyncio.sleep(max(0.0, start + at - loop.time()))
             region = self._rng.choices(range(len(REGIONS)), weights)[0]
-            index = region * CALLERS_EACH + self._rng.randrange(CALLERS_EACH)
+            index = region * CALLERS_PER_REGION + self._rng.randrange(
+                CALLERS_PER_REGION
+            )
             post = self._rng.random() < 0.5
             tasks.append(
-                loop.create_task(self._call(self._callers[index], number, post))
+                loop.create_task(self._call(self._callers[index], sequence, post))
             )
         await asyncio.gather(*tasks)
 
-    async def _call(self, caller: Caller, number: int, post: bool) -> None:
+    async def _call(self, caller: Caller, sequence: int, post: bool) -> None:
         record = self.record
-        request_id = f"r{number}"
+        request_id = f"r{sequence}"
         if post:
             record.post_ids.add(request_id)
         started = time.perf_counter()
@@ -150,7 +152,7 @@
             body=b"x" if post else b"",
             deadline_s=DEADLINE_S,
             request_id=request_id,
-            max_tries=self.tries,
+            max_tries=self.max_tries,
         )
         elapsed = time.perf_counter() - started
         record.outcomes[answer.outcome] += 1
@@ -182,7 +184,7 @@
                     self.record.plans.append((at, status["plans"]["booking"]))
             await asyncio.sleep(SAMPLE_S)
 
-    async def _fault(self, procs: "_Processes") -> None:
+    async def _inject_fault(self, procs: "_Processes") -> None:
         await asyncio.sleep(FAULT_AT_S)
         if self.name == "drain" and not self.naive:
             started = time.perf_counter()
@@ -216,13 +218,13 @@
         record = self.record
         ran = Counter(item["request_id"] for item in ledger)
         offered = sum(record.outcomes.values())
-        able = min(offered, CAPACITY_S * SECONDS)
+        achievable = min(offered, CAPACITY_PER_S * SECONDS)
         hist = record.hist
         return {
             "offered": offered,
             "outcomes": dict(record.outcomes),
             "reasons": dict(record.reasons),
-            "goodput": record.in_time / able,
+            "goodput": record.in_time / achievable,
             "p50_ms": hist.get_value_at_percentile(50) / 1000,
             "p99_ms": hist.get_value_at_percentile(99) / 1000,
             "p999_ms": hist.get_value_at_percentile(99.9) / 1000,
@@ -231,7 +233,7 @@
             "lowest_headroom": self._headroom(min),
             "mean_headroom": self._headroom(fmean),
             "drain_s": record.drain_s,
-            "most_moved_over_cap": self._most_moved(),
+            "most_moved_over_cap": self._max_moved_over_cap(),
             "series": {
                 "busy": [sum(item.values()) for item in record.busy],
                 "plans": [
@@ -240,7 +242,7 @@
             },
         }
 
-    def _headroom(self, over: Callable[[list[float]], float]) -> dict[str, float]:
+    def _headroom(self, aggregate: Callable[[list[float]], float]) -> dict[str, float]:
         """Return each region's free share of its slots, aggregated over all samples."""
         result = {}
         for region in REGIONS:
@@ -250,24 +252,24 @@
                 1.0 - sum(sample.get(server_id, 0) for server_id in ids) / slots
                 for sample in self.record.busy
             ]
-            result[region] = over(free) if free else 0.0
+            result[region] = aggregate(free) if free else 0.0
         return result
 
-    def _most_moved(self) -> float:
+    def _max_moved_over_cap(self) -> float:
         """Return the most buckets of a group moved in a window, relative to the cap."""
-        most = 0
+        max_moved = 0
         plans = self.record.plans
         for index, (at, groups) in enumerate(plans):
             for later, after in plans[index:]:
                 if later - at > SHAPE.cap_window_s - 2 * SAMPLE_S:
                     break
                 for name, counts in groups.items():
-                    kept = sum(
+                    unmoved = sum(
                         min(count, after[name].get(region, 0))
                         for region, count in counts.items()
                     )
-                    most = max(most, 1000 - kept)
-        return most / (1000 * SHAPE.cap_fraction)
+                    max_moved = max(max_moved, 1000 - unmoved)
+        return max_moved / (1000 * SHAPE.cap_fraction)
 
 
 class _Processes(BenchProcesses):
@@ -347,8 +349,8 @@
             version = "naive" if naive else "lacewingcross"
             figures = await scenario.run()
             result.setdefault(key, {})[version] = figures
-            shown = {k: v for k, v in figures.items() if k != "series"}
-            print(f"{key} {version} {json.dumps(shown)}", file=sys.stderr)
+            printed = {k: v for k, v in figures.items() if k != "series"}
+            print(f"{key} {version} {json.dumps(printed)}", file=sys.stderr)
     result["configuration"] = {"lacewingcross": await config_propagation()}
     return result
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -49,17 +49,17 @@
 DOMAINS = 203
 
 
-def cpu_of(work, *args) -> tuple[float, object]:
+def cpu_of(function, *args) -> tuple[float, object]:
     """Return the processor seconds of one call, and its result."""
     before = time.process_time()
-    result = work(*args)
+    result = function(*args)
     return time.process_time() - before, result
 
 
-def memory_of(work, *args) -> tuple[int, object]:
+def memory_of(function, *args) -> tuple[int, object]:
     """Return the bytes that one call leaves allocated, and its result."""
     tracemalloc.start()
-    result = work(*args)
+    result = function(*args)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size, result
@@ -178,8 +178,8 @@
         seconds, _ = cpu_of(_live_sets, core)
         live.append((count, seconds / 5 * 1e6))
         places = [Place(h.host_id, h.region, h.failure_domain) for h in hosts]
-        most = max(len(neighbours(place, places)) for place in places[:60])
-        degree.append((count, most))
+        max_neighbours = max(len(neighbours(place, places)) for place in places[:60])
+        degree.append((count, max_neighbours))
     return {
         "host_bytes": size,
         "host_list_us": listing,
@@ -247,14 +247,14 @@
 def _permits(keeper: SlotKeeper, count: int) -> None:
     for num in range(count):
         now = num * 0.001
-        ask = msg.Acquire("s", "region-0", f"r{num}", 2.0, [])
-        ask = wire.decode(wire.encode(ask)[4:])
-        (reply,) = keeper.acquire("h", ask, now)
+        acquire_message = msg.Acquire("s", "region-0", f"r{num}", 2.0, [])
+        acquire_message = wire.decode(wire.encode(acquire_message)[4:])
+        (reply,) = keeper.acquire("h", acquire_message, now)
         grant = wire.decode(wire.encode(reply.message)[4:])
-        done = msg.Release(
+        release = msg.Release(
             "s", "region-0", grant.permit, grant.server_id, "answered", 0.01
         )
-        list(keeper.release(wire.decode(wire.encode(done)[4:]), now))
+        list(keeper.release(wire.decode(wire.encode(release)[4:]), now))
 
 
 def planner_slopes() -> dict[str, list[tuple[float, float]]]:
@@ -266,7 +266,7 @@
         tables = {name: fresh_table(apportion({name: 1.0})) for name in names}
         planner = Planner("s", "p.1")
         pool = BackendPool("s", servers(75 * count))
-        given = PlannerInput(
+        planner_input = PlannerInput(
             SteeringPolicy("s", groups),
             pool,
             ShiftCap("s"),
@@ -277,7 +277,7 @@
         for name in names:
             load = msg.RegionLoad("s", name, 50, 0, 600.0, 100.0)
             planner.on_load(load, 10.0)
-        seconds, step = cpu_of(planner.step, plan, given, 11.5)
+        seconds, step = cpu_of(planner.step, plan, planner_input, 11.5)
         cpu.append((count, seconds * 1e6))
         stored.append((count, len(encode_value(encode_plan(step.plan)))))
     return {"plan_step_us": cpu, "plan_bytes": stored}
@@ -286,18 +286,18 @@
 async def peer_slopes() -> dict[str, list[tuple[float, float]]]:
     """Return processor time and bytes of heartbeats on real loopback streams."""
     cpu, size = [], []
-    beat = msg.Heartbeat("live", 123_456, 0, [], [])
+    heartbeat = msg.Heartbeat("live", 123_456, 0, [], [])
     for count in PEER_SIZES:
-        seconds = await _beat_streams(count, beat)
+        seconds = await _heartbeat_streams_s(count, heartbeat)
         cpu.append((count, seconds * 1e6))
-        size.append((count, count * len(wire.encode(beat))))
+        size.append((count, count * len(wire.encode(heartbeat))))
     return {"heartbeat_us": cpu, "heartbeat_bytes": size}
 
 
-BEATS = 40
+HEARTBEATS = 40
 
 
-async def _beat_streams(count: int, beat: msg.Heartbeat) -> float:
+async def _heartbeat_streams_s(count: int, heartbeat: msg.Heartbeat) -> float:
     """Return the processor seconds to send and receive one heartbeat for each peer."""
     hosts = host_list(count + 1)
     core = _core_with(hosts)
@@ -307,11 +307,11 @@
     async def accept(reader: asyncio.StreamReader, _writer) -> None:
         nonlocal received
         hello = await wire.read_message(reader)
-        while received < count * BEATS:
+        while received < count * HEARTBEATS:
             message = await wire.read_message(reader)
             core.handle(PeerMessage(hello.host_id, message), 2.0)
             received += 1
-            if received == count * BEATS:
+            if received == count * HEARTBEATS:
                 done.set()
 
     server = await asyncio.start_server(accept, "127.0.0.1", 0)
@@ -323,12 +323,12 @@
         writer.write(wire.encode(msg.Hello(info.host_id, 1, wire.PROTOCOL, *fields)))
         writers.append(writer)
     before = time.process_time()
-    for _ in range(BEATS):
+    for _ in range(HEARTBEATS):
         for writer in writers:
-            writer.write(wire.encode(beat))
+            writer.write(wire.encode(heartbeat))
         await asyncio.sleep(0)
     await done.wait()
-    seconds = (time.process_time() - before) / BEATS
+    seconds = (time.process_time() - before) / HEARTBEATS
     for writer in writers:
         writer.close()
     server.close()
--- a/tests/naive_wire.py
+++ b/tests/naive_wire.py
@@ -24,8 +24,8 @@
     hints = typing.get_type_hints(cls)
     values = raw[1:]
     fields = cls.__struct_fields__
-    least = len(fields) - len(cls.__struct_defaults__)
-    if not least <= len(values) <= len(fields):
+    min_fields = len(fields) - len(cls.__struct_defaults__)
+    if not min_fields <= len(values) <= len(fields):
         raise FrameError("bad-frame", "another number of fields")
     if not all(map(_matches, values, (hints[name] for name in fields))):
         raise FrameError("bad-frame", f"fields do not fit {cls.__name__}")
@@ -44,11 +44,11 @@
         return isinstance(value, list) and all(_matches(item, inner) for item in value)
     if origin is tuple:
         inner = typing.get_args(hint)
-        whole = isinstance(value, list) and len(value) == len(inner)
-        return whole and all(map(_matches, value, inner))
+        has_all_items = isinstance(value, list) and len(value) == len(inner)
+        return has_all_items and all(map(_matches, value, inner))
     if hint is float:
-        good = isinstance(value, float) or _is_int(value)
-        return good and abs(value) <= msg.MAX_FLOAT
+        is_number = isinstance(value, float) or _is_int(value)
+        return is_number and abs(value) <= msg.MAX_FLOAT
     if hint is int:
         return _is_int(value)
     return isinstance(value, hint)
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -5,7 +5,15 @@
 
 import pytest
 
-from bench.ablation import NOTHING, TEMPLATE, Play, Played, switch_off, table, worth_of
+from bench.ablation import (
+    ALL_ON,
+    TEMPLATE,
+    Play,
+    PlayResult,
+    switch_off,
+    table,
+    worth_of,
+)
 from lacewingcross.core.policy import Policy
 from lacewingcross.errors import SettingsError
 from lacewingcross.platform.settings import load_gateway
@@ -44,9 +52,9 @@
 
 
 def test_the_table_tells_what_each_mechanism_is_worth():
-    plays = [(NOTHING, 0.6), (NOTHING, 0.7), ("fastest", 0.6), ("fastest", None)]
-    played = [Played(Play(name, SITE, "day", 0), worth) for name, worth in plays]
-    assert list(table(played)) == [
+    plays = [(ALL_ON, 0.6), (ALL_ON, 0.7), ("fastest", 0.6), ("fastest", None)]
+    results = [PlayResult(Play(name, SITE, "day", 0), worth) for name, worth in plays]
+    assert list(table(results)) == [
         "| off | site |",
         "|---|---|",
         "| (nothing) | 0.650 |",
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -12,15 +12,17 @@
 REQUESTS = 25
 
 
-async def _caller_run(procs, num, answers):
-    region = num % 3 + 1
+async def _caller_run(procs, caller_index, answers):
+    region = caller_index % 3 + 1
     caller = Caller(
-        procs.entries(), caller_id=f"c{num}", address=f"10.{region}.0.{num + 1}"
+        procs.entries(),
+        caller_id=f"c{caller_index}",
+        address=f"10.{region}.0.{caller_index + 1}",
     )
     for index in range(REQUESTS):
-        request_id = f"c{num}-{index}"
+        request_id = f"c{caller_index}-{index}"
         method = "POST" if index % 2 else "GET"
-        body = b"seat" * num if method == "POST" else b""
+        body = b"seat" * caller_index if method == "POST" else b""
         answer = await caller.request(
             method,
             f"/booking/{request_id}",
@@ -28,26 +30,26 @@
             body=body,
             request_id=request_id,
         )
-        answers.append((request_id, f"c{num}", method, len(body), answer))
+        answers.append((request_id, f"c{caller_index}", method, len(body), answer))
     caller.close()
 
 
-async def _scenario():
+async def _run_with_kills():
     async with Processes(small_layout()) as procs:
         answers = []
         tasks = [
-            asyncio.create_task(_caller_run(procs, num, answers))
-            for num in range(CALLERS)
+            asyncio.create_task(_caller_run(procs, caller_index, answers))
+            for caller_index in range(CALLERS)
         ]
         while len(answers) < CALLERS * REQUESTS // 4:
             await asyncio.sleep(0.01)
         procs.kill("host-2")
         while len(answers) < CALLERS * REQUESTS // 2:
             await asyncio.sleep(0.01)
-        dead_server = procs.layout.backends[3].server_id
-        procs.kill(dead_server)
+        killed_server = procs.layout.backends[3].server_id
+        procs.kill(killed_server)
         await asyncio.gather(*tasks)
-        return answers, await procs.ledgers(), dead_server
+        return answers, await procs.ledgers(), killed_server
 
 
 def test_whole_path_survives_a_host_and_a_backend_server():
@@ -58,7 +60,7 @@
     with requests in flight, then a backend server. The ledgers of the remaining servers
     show what ran.
     """
-    answers, ledger, dead_server = asyncio.run(_scenario())
+    answers, ledger, killed_server = asyncio.run(_run_with_kills())
     ran = Counter(item["request_id"] for item in ledger)
     assert len(answers) == CALLERS * REQUESTS
     outcomes = Counter(answer.outcome for *_, answer in answers)
@@ -69,7 +71,7 @@
             assert body["request_id"] == request_id
             assert body["caller"] == caller
             assert body["body_bytes"] == size
-            assert ran[request_id] or body["server_id"] == dead_server
+            assert ran[request_id] or body["server_id"] == killed_server
         if answer.outcome == NOT_RUN:
             assert ran[request_id] == 0, (request_id, answer)
         if method == "POST":
