--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -231,7 +231,8 @@
         ),
     ]
     lines = [
-        f"| node | % of a core (limit {CORE_LIMIT_PERCENT}) | bytes/s (limit {BYTES_LIMIT_PER_S}) "
+        f"| node | % of a core (limit {CORE_LIMIT_PERCENT}) "
+        f"| bytes/s (limit {BYTES_LIMIT_PER_S}) "
         f"| MB (limit {MEMORY_LIMIT_MB}) | within |",
         "|---|---|---|---|---|",
     ]
@@ -295,7 +296,8 @@
     lines.append("")
     lines.append(
         f"Reading it takes {parse_s:.1f} s of processor time. 740 replacements a day "
-        f"move {mean / 1e3:.1f} KB/s over the whole fleet; a failure domain of {HOSTS_PER_DOMAIN} "
+        f"move {mean / 1e3:.1f} KB/s over the whole fleet; "
+        f"a failure domain of {HOSTS_PER_DOMAIN} "
         f"hosts at once moves {HOSTS_PER_DOMAIN * total / 1e6:.0f} MB."
     )
     return "\n".join(lines)
--- a/bench/naive.py
+++ b/bench/naive.py
@@ -1,8 +1,8 @@
 """The naive version of an entry host, as a baseline.
 
-It has no admission and no plan. Each host polls the load of its region's backend servers
-and sends a request to the less loaded of two random servers, by the last report. It
-forwards nothing to other hosts and retries nothing.
+It has no admission and no plan. Each host polls the load of its region's backend
+servers and sends a request to the less loaded of two random servers, by the last
+report. It forwards nothing to other hosts and retries nothing.
 """
 
 import asyncio
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -167,7 +167,7 @@
 
 
 def fleet_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return memory, the time to handle the host list and the live-set time by hosts."""
+    """Return memory, host-list time and live-set time by number of hosts."""
     size, listing, live, degree = [], [], [], []
     for count in HOST_SIZES:
         hosts = host_list(count)
