--- a/bench/soak/ledger.py
+++ b/bench/soak/ledger.py
@@ -290,11 +290,11 @@
         """Return whether an undisturbed host exceeded a bound that began at `since`."""
         if at <= since + bound_s:
             return False
-        calm = self._undisturbed(sent.host, since, at)
-        if calm and self._max_loop_lag(since, at) > MAX_LOOP_LAG_S:
+        undisturbed = self._undisturbed(sent.host, since, at)
+        if undisturbed and self._max_loop_lag(since, at) > MAX_LOOP_LAG_S:
             self.unjudged += 1
             return False
-        return calm
+        return undisturbed
 
     def _undisturbed(self, host: int, begin: float, end: float) -> bool:
         return not self.host_disturbances[host].causes_near(
@@ -410,7 +410,7 @@
 
     def _recovery_violations(self) -> list[Violation]:
         status_of = {reply.request_id: reply.status for reply in self.replies}
-        calm = [
+        statuses = [
             status_of.get(sent.request_id, 0)
             for sent in self.sent.values()
             if sent.kind == "read"
@@ -418,8 +418,8 @@
             and sent.account in ("", UNLIMITED)
             and self.calm_from <= sent.at < self.calm_to
         ]
-        served = sum(status == 200 for status in calm)
-        if calm and served < MIN_RECOVERED_SHARE * len(calm):
-            text = f"{served} of {len(calm)} reads served in the calm at the end"
+        served = sum(status == 200 for status in statuses)
+        if statuses and served < MIN_RECOVERED_SHARE * len(statuses):
+            text = f"{served} of {len(statuses)} reads served in the calm at the end"
             return [Violation("RECOVER", self.calm_from, text)]
         return []
--- a/bench/soak/signals.py
+++ b/bench/soak/signals.py
@@ -107,8 +107,14 @@
         for at, host, back_off_s in signals.back_offs:
             first_index = bisect_left(times[host], at + SIGNAL_APPLY_S)
             count = bisect_left(times[host], at + back_off_s) - first_index
-            calm = not ledger.host_disturbances[host].causes_near(at, at + back_off_s)
-            if count > MAX_REQUESTS_IN_BACK_OFF and calm and host not in violated_hosts:
+            undisturbed = not ledger.host_disturbances[host].causes_near(
+                at, at + back_off_s
+            )
+            if (
+                count > MAX_REQUESTS_IN_BACK_OFF
+                and undisturbed
+                and host not in violated_hosts
+            ):
                 violated_hosts.add(host)
                 text = f"{server_id}: {count} requests of host {host} in its rest"
                 yield Violation("REST", at + back_off_s, text)
