--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,8 +1,8 @@
-"""Plays days with one mechanism of placing switched off at a time.
+"""Measures the worth of each placement mechanism by switching it off.
 
 ``python -m bench.ablation PLAYER --sites SITE...`` copies the checkout once for each
-switch of `Policy`, writes the switch into the settings template of the copy, plays the
-days with the users' player and prints a table of what each mechanism is worth. The
+switch of `Policy` and turns the switch off in the settings template of the copy. It
+plays the days with the users' player and prints a table of each mechanism's worth. The
 player's journal entries are copied back.
 """
 
@@ -24,15 +24,16 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 TEMPLATE = Path("deploy/host.json.tmpl")
-NOTHING = "(nothing)"
-# A play of the longest day takes some minutes beside others, in seconds.
-PLAY_MOST_S = 1800.0
+ALL_ON = "(nothing)"
+# Timeout of one play, in seconds. The longest day takes some minutes when other plays
+# run at the same time.
+PLAY_TIMEOUT_S = 1800.0
 _WORTH = re.compile(r"^worth (-?\d+\.\d+) =", re.MULTILINE)
 
 
 @dataclass(slots=True, frozen=True)
 class Play:
-    """One day of one site with one switch off."""
+    """One day of one site, played with one switch off."""
 
     switch: str
     site: Path
@@ -41,19 +42,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Played:
-    """A play and its worth, None when it gave none."""
+class PlayResult:
+    """A play and its worth, or None if the player printed none."""
 
     play: Play
     worth: float | None
 
 
 def copy_checkout(folder: Path) -> None:
-    """Copy what git tracks, and what the build has made, into a folder."""
-    listed = subprocess.run(
+    """Copy the files that git tracks and the build output into a folder."""
+    tracked = subprocess.run(
         ["git", "ls-files"], cwd=ROOT, check=True, capture_output=True, text=True
     )
-    for name in listed.stdout.splitlines():
+    for name in tracked.stdout.splitlines():
         if name.startswith("journal/") or not (ROOT / name).is_file():
             continue
         (folder / name).parent.mkdir(parents=True, exist_ok=True)
@@ -64,67 +65,68 @@
 
 
 def switch_off(folder: Path, switch: str) -> None:
-    """Write a switch into the settings template of a copy."""
+    """Turn a switch off in the settings template of a copy."""
     path = folder / TEMPLATE
     text = path.read_text().rstrip().removesuffix("}").rstrip()
-    # A brace before a placeholder needs a space, as the platform's template says.
+    # The template format of the platform needs a space between a brace and a
+    # placeholder.
     policy = json.dumps({switch: False})
     path.write_text(f'{text},\n  "policy": {policy}\n}}\n')
 
 
-def prepared(work: Path, switch: str) -> Path:
+def prepare_copy(work: Path, switch: str) -> Path:
     """Return a copy of the checkout with a switch off."""
-    folder = work / (switch if switch != NOTHING else "all-on")
+    folder = work / (switch if switch != ALL_ON else "all-on")
     folder.mkdir(parents=True)
     copy_checkout(folder)
-    if switch != NOTHING:
+    if switch != ALL_ON:
         switch_off(folder, switch)
     return folder
 
 
 def worth_of(output: str) -> float | None:
-    """Return the worth that a play printed, or None."""
-    found = _WORTH.search(output)
-    return float(found.group(1)) if found else None
+    """Return the worth that the player printed, or None."""
+    match = _WORTH.search(output)
+    return float(match.group(1)) if match else None
 
 
-def run_play(player: Path, folder: Path, play: Play) -> Played:
+def run_play(player: Path, folder: Path, play: Play) -> PlayResult:
     """Play one day in a copy."""
-    words = [str(player), "run", str(play.site.resolve()), play.day, "--no-cpu"]
-    words += ["--jobs", "1", "--why", f"ablation: {play.switch} off"]
+    command = [str(player), "run", str(play.site.resolve()), play.day, "--no-cpu"]
+    command += ["--jobs", "1", "--why", f"ablation: {play.switch} off"]
     if play.seed:
-        words += ["--seed", str(play.seed)]
-    done = subprocess.run(
-        words, cwd=folder, capture_output=True, text=True, timeout=PLAY_MOST_S
+        command += ["--seed", str(play.seed)]
+    process = subprocess.run(
+        command, cwd=folder, capture_output=True, text=True, timeout=PLAY_TIMEOUT_S
     )
-    return Played(play, worth_of(done.stdout))
+    return PlayResult(play, worth_of(process.stdout))
 
 
-def table(played: list[Played]) -> Iterator[str]:
+def table(results: list[PlayResult]) -> Iterator[str]:
     """Yield the lines of a table: a row for each switch, a column for each site."""
-    sites = sorted({item.play.site for item in played})
+    sites = sorted({item.play.site for item in results})
     yield "| off | " + " | ".join(site.stem for site in sites) + " |"
     yield "|---|" + "---|" * len(sites)
-    switches = dict.fromkeys(item.play.switch for item in played)
+    switches = dict.fromkeys(item.play.switch for item in results)
     for switch in switches:
-        cells = [_cell(played, switch, site) for site in sites]
+        cells = [_cell(results, switch, site) for site in sites]
         yield f"| {switch} | " + " | ".join(cells) + " |"
 
 
-def _cell(played: list[Played], switch: str, site: Path) -> str:
-    worths = _worths(played, switch, site)
+def _cell(results: list[PlayResult], switch: str, site: Path) -> str:
+    worths = _worths(results, switch, site)
     if not worths:
         return "-"
-    on = _worths(played, NOTHING, site)
-    if switch == NOTHING or not on:
+    all_on_worths = _worths(results, ALL_ON, site)
+    if switch == ALL_ON or not all_on_worths:
         return f"{mean(worths):.3f}"
-    return f"{mean(worths):.3f} ({mean(worths) - mean(on):+.3f})"
+    return f"{mean(worths):.3f} ({mean(worths) - mean(all_on_worths):+.3f})"
 
 
-def _worths(played: list[Played], switch: str, site: Path) -> list[float]:
+def _worths(results: list[PlayResult], switch: str, site: Path) -> list[float]:
     return [
         item.worth
-        for item in played
+        for item in results
         if (item.play.switch, item.play.site) == (switch, site)
         and item.worth is not None
     ]
@@ -139,7 +141,7 @@
     jobs: int = 4,
     switches: list[str] | None = None,
 ) -> None:
-    """Play days with each mechanism switched off and print what it is worth.
+    """Play days with each mechanism switched off and print its worth.
 
     Parameters
     ----------
@@ -150,15 +152,15 @@
     days
         Names of days in the site files; by default ``scale-1`` and ``trouble-1``.
     seeds
-        Seeds, 0 for a day's own; by default only that.
+        Seeds; 0 means the day's own seed, which is the default.
     jobs
-        Plays at the same time.
+        Number of plays that run at the same time.
     switches
         Switches to try; by default all.
     """
     names = switches or [field.name for field in fields(Policy)]
     with tempfile.TemporaryDirectory(dir=ROOT.parent, prefix="ablation-") as work:
-        folders = {name: prepared(Path(work), name) for name in [NOTHING, *names]}
+        folders = {name: prepare_copy(Path(work), name) for name in [ALL_ON, *names]}
         plays = [
             Play(name, site, day, seed)
             for site in sites
@@ -167,14 +169,14 @@
             for seed in seeds or [0]
         ]
         with ThreadPoolExecutor(jobs) as pool:
-            played = list(
+            results = list(
                 pool.map(
                     lambda play: run_play(player, folders[play.switch], play), plays
                 )
             )
         for folder in folders.values():
             shutil.copytree(folder / "journal", ROOT / "journal", dirs_exist_ok=True)
-    lines = list(table(played))
+    lines = list(table(results))
     sys.stdout.write("\n".join(lines) + "\n")
 
 
--- a/bench/naive.py
+++ b/bench/naive.py
@@ -1,7 +1,8 @@
-"""The naive version: local choice on reported load, no admission, no plan.
+"""The naive version of an entry host, as a baseline.
 
-Each host polls the load of its region's backend servers and sends every request to the
-better of two by the last report. It forwards and retries nothing.
+It has no admission and no plan. Each host polls the load of its region's backend
+servers and sends a request to the less loaded of two random servers, by the last
+report. It forwards nothing to other hosts and retries nothing.
 """
 
 import asyncio
@@ -17,8 +18,8 @@
 from lacewingcross.http1_json import read_body, send_json
 from lacewingcross.http1_server import HttpServer
 
-REPORT_S = 0.25
-BODY_MAX = 1_000_000
+POLL_INTERVAL_S = 0.25
+MAX_BODY_BYTES = 1_000_000
 
 
 class NaiveHost:
@@ -41,7 +42,7 @@
                     self._busy[address] = json.loads(answer.body)["busy"]
                 except (HttpError, ValueError):
                     pass
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _handle(self, exchange: Exchange) -> None:
         if exchange.head.target.startswith("/v1/lookup"):
@@ -51,9 +52,9 @@
             return
         pair = self._rng.choices(list(self._clients), k=2)
         address = min(pair, key=lambda addr: self._busy[addr])
-        body = await read_body(exchange, BODY_MAX)
-        keep = (hd.REQUEST_ID, hd.CALLER_ID)
-        fields = [item for item in exchange.head.headers if item[0] in keep]
+        body = await read_body(exchange, MAX_BODY_BYTES)
+        forwarded_names = (hd.REQUEST_ID, hd.CALLER_ID)
+        fields = [item for item in exchange.head.headers if item[0] in forwarded_names]
         try:
             answer = await self._clients[address].request(
                 exchange.head.method, exchange.head.target, fields, body, 30.0
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,4 +1,8 @@
-"""Cost of the path: look-ups, added latency, requests a second and core."""
+"""Measures the cost of the data path.
+
+The figures are the cost of look-ups, the added latency, and requests per second and
+core.
+"""
 
 import asyncio
 from statistics import fmean
@@ -21,7 +25,7 @@
 SETTLE_S = 4.0
 IDLE_S = 10.0
 LOOKUP_CALLERS = 4000
-FAST = Deployment(
+FAST_DEPLOYMENT = Deployment(
     "path",
     ("one",),
     1,
@@ -32,7 +36,7 @@
 
 
 class BareServer(asyncio.Protocol):
-    """The naive baseline: a bare h11 server that answers each look-up afresh."""
+    """The naive baseline: a bare h11 server that builds every look-up response anew."""
 
     BODY = b'{"hosts":[{"id":"h","address":"127.0.0.1:1","region":"r"}],"ttl_s":30}'
 
@@ -70,15 +74,15 @@
 
 
 async def measure_path() -> dict[str, float]:
-    """Return the figures of the path, baselines measured in the same run."""
-    layout = lay_out(FAST, Ports(free_ports()), log_level="ERROR")
+    """Return the figures of the path; the baselines are measured in the same run."""
+    layout = lay_out(FAST_DEPLOYMENT, Ports(free_ports()), log_level="ERROR")
     async with BenchProcesses(layout) as procs:
         host = layout.hosts[0]
         idle = procs.rss_bytes("host-1")
         result = await _lookup_cost(procs, host.entry)
         result["rss_idle_mb"] = idle / 1e6
-        grown = procs.rss_bytes("host-1") - idle
-        result["rss_each_caller_bytes"] = max(0, grown) / LOOKUP_CALLERS
+        growth_bytes = procs.rss_bytes("host-1") - idle
+        result["rss_each_caller_bytes"] = max(0, growth_bytes) / LOOKUP_CALLERS
         result.update(await _request_cost(procs, host.entry))
     result.update(await measure_idle())
     result["bare_h11_us"] = await _bare_cost()
@@ -87,7 +91,7 @@
 
 
 async def measure_idle() -> dict[str, float]:
-    """Return the share of a core that hosts spend at rest, in a fleet of twelve."""
+    """Return the share of a core that idle hosts use, in a fleet of twelve."""
     layout = lay_out(
         GRUPO_VISITAS, Ports(free_ports()), worker_divisor=3, log_level="ERROR"
     )
@@ -96,19 +100,19 @@
         before = {cfg.host_id: procs.cpu_s(cfg.host_id) for cfg in layout.hosts}
         await asyncio.sleep(IDLE_S)
         shares = [
-            100 * (procs.cpu_s(host_id) - used) / IDLE_S
-            for host_id, used in before.items()
+            100 * (procs.cpu_s(host_id) - used_s) / IDLE_S
+            for host_id, used_s in before.items()
         ]
     return {"idle_percent_mean": fmean(shares), "idle_percent_most": max(shares)}
 
 
 async def _lookup_cost(procs: BenchProcesses, entry: str) -> dict[str, float]:
-    first = await _cpu_per_call(procs, entry, _lookups(), 1.0)
-    again = await _cpu_per_call(procs, entry, _lookups(), SECONDS)
+    first_calls = await _cpu_per_call(procs, entry, _lookups(), 1.0)
+    repeated = await _cpu_per_call(procs, entry, _lookups(), SECONDS)
     return {
-        "lookup_first_cpu_us": first[0],
-        "lookup_cpu_us": again[0],
-        "lookups_per_core_s": 1e6 / again[0],
+        "lookup_first_cpu_us": first_calls[0],
+        "lookup_cpu_us": repeated[0],
+        "lookups_per_core_s": 1e6 / repeated[0],
     }
 
 
@@ -117,9 +121,9 @@
 ) -> tuple[float, float]:
     before = procs.cpu_s("host-1")
     load = await closed_loop(entry, payloads, 16, seconds)
-    used = procs.cpu_s("host-1") - before
-    assert load.bad == 0, load.bad
-    return used / load.done * 1e6, load.percentile_us(50)
+    used_s = procs.cpu_s("host-1") - before
+    assert load.failed == 0, load.failed
+    return used_s / load.done * 1e6, load.percentile_us(50)
 
 
 async def _request_cost(procs: BenchProcesses, entry: str) -> dict[str, float]:
@@ -129,8 +133,8 @@
     direct = await closed_loop(backend, request, 1, SECONDS)
     before = procs.cpu_s("host-1")
     through = await closed_loop(entry, request, 1, SECONDS)
-    used = procs.cpu_s("host-1") - before
-    assert through.bad == 0, through.bad
+    used_s = procs.cpu_s("host-1") - before
+    assert through.failed == 0, through.failed
     return {
         "direct_p50_us": direct.percentile_us(50),
         "direct_p99_us": direct.percentile_us(99),
@@ -138,16 +142,16 @@
         "through_p99_us": through.percentile_us(99),
         "added_p50_us": through.percentile_us(50) - direct.percentile_us(50),
         "added_p99_us": through.percentile_us(99) - direct.percentile_us(99),
-        "request_cpu_us": used / through.done * 1e6,
-        "requests_per_core_s": through.done / used,
+        "request_cpu_us": used_s / through.done * 1e6,
+        "requests_per_core_s": through.done / used_s,
     }
 
 
 async def _bare_cost() -> float:
-    """Return microseconds of processor time a look-up on the bare server.
+    """Return the processor time per look-up of the bare server, in microseconds.
 
-    Both sides run in this process; the sender's share is measured against a
-    server that answers without parsing, and taken off.
+    Sender and server run in this process. The sender's share is measured with a server
+    that responds without parsing, and is subtracted.
     """
     with_h11 = await _in_process(BareServer)
     without = await _in_process(EchoServer)
@@ -155,7 +159,7 @@
 
 
 class EchoServer(asyncio.Protocol):
-    """Answers anything with the same bytes; shows what the sender costs."""
+    """Responds to any input with the same bytes, to measure the cost of the sender."""
 
     REPLY = (
         b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(BareServer.BODY)
@@ -176,9 +180,9 @@
     port = server.sockets[0].getsockname()[1]
     before = time.process_time()
     load = await closed_loop(f"127.0.0.1:{port}", _lookups()[:64], 16, 2.0)
-    used = time.process_time() - before
+    used_s = time.process_time() - before
     server.close()
-    return used / load.done * 1e6
+    return used_s / load.done * 1e6
 
 
 if __name__ == "__main__":
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,7 @@
-"""Processes of a bench: started from a layout, CPU and memory read from /proc."""
+"""Starts the processes of a layout for benchmarks.
+
+Their processor time and memory are read from /proc.
+"""
 
 import asyncio
 import json
@@ -16,11 +19,11 @@
 from lacewingcross.settings import as_data
 
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-WAIT_S = 60.0
+READY_TIMEOUT_S = 60.0
 
 
 class BenchProcesses:
-    """A layout as real processes."""
+    """The processes of a layout."""
 
     def __init__(self, layout: Layout) -> None:
         self.layout = layout
@@ -45,17 +48,17 @@
         self._dir.cleanup()
         self.operator.platform.close()
 
-    def start(self, name: str, words: list[str], cfg: object) -> None:
+    def start(self, name: str, command: list[str], cfg: object) -> None:
         path = Path(self._dir.name) / f"{name}.json"
         path.write_text(json.dumps(as_data(cfg)))
         self._procs[name] = subprocess.Popen(
-            [sys.executable, "-m", "lacewingcross", *words, "--cfg", str(path)],
+            [sys.executable, "-m", "lacewingcross", *command, "--cfg", str(path)],
             stderr=subprocess.DEVNULL,
             stdout=subprocess.DEVNULL,
         )
 
     def start_naive(self, cfg: object, servers: list[str]) -> None:
-        """Start a naive host in the place of one of ours."""
+        """Start a naive host in place of the product's host."""
         path = Path(self._dir.name) / f"{cfg.host_id}.json"
         data = {"host_id": cfg.host_id, "entry": cfg.entry, "servers": servers}
         path.write_text(json.dumps(data))
@@ -71,36 +74,36 @@
         proc.wait()
 
     async def _ready(self) -> None:
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while await fetch(self.layout.platform.listen, "/v1/hosts") is None:
                 await asyncio.sleep(0.1)
             newest = 0
             for document in read_documents(self.layout.resources, "layout"):
                 newest = max(newest, (await self.operator.apply(document)).version)
-            await self.operator.wait_in_force(newest, WAIT_S)
+            await self.operator.wait_in_force(newest, READY_TIMEOUT_S)
             for cfg in self.layout.hosts:
-                while not await self._planned(cfg.operators):
+                while not await self._has_plan(cfg.operators):
                     await asyncio.sleep(0.1)
 
-    async def _planned(self, operators: str) -> bool:
+    async def _has_plan(self, operators: str) -> bool:
         status = await fetch(operators, "/status")
         return bool(status) and bool(status["plans"])
 
     def cpu_s(self, name: str) -> float:
-        """Return user and system time of a process so far, in seconds."""
+        """Return the user and system time that a process has used, in seconds."""
         pid = self._procs[name].pid
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     def rss_bytes(self, name: str) -> int:
-        """Return the resident size of a process."""
+        """Return the resident memory of a process, in bytes."""
         pid = self._procs[name].pid
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE")
 
 
 async def fetch(address: str, target: str) -> dict | None:
-    """Return the JSON answer of a GET, or None."""
+    """Return the decoded JSON response to a GET request, or None on failure."""
     client = HttpClient(address)
     try:
         return json.loads((await client.request("GET", target)).body)
--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet in virtual time that keeps quotas: real decisions, modelled network.
+"""Simulates a fleet of hosts that share quotas, in virtual time.
 
-Serves the tests of the promise and the comparison of ways to divide quotas
-(`bench.quota_ways`).
+The hosts run the real quota code; the network is modelled. The tests of the quota bound
+use it, and so does the comparison of ways to divide quotas (`bench.quota_ways`).
 """
 
 import math
@@ -19,72 +19,74 @@
 from lacewingcross.gateway.quota_admission import SEND_INTERVAL_S
 
 STEP_S = 0.01
-# How often hosts show each other that they live, in seconds.
+# Interval at which hosts announce to each other that they are alive, in seconds.
 ALIVE_EVERY_S = 0.1
 DOMAINS = ("a1", "a2", "b1", "b2", "c1", "c2")
 
 
 def host_info(number: int) -> HostInfo:
-    """Return one of any number of equal hosts."""
+    """Return the host with this number; all hosts are equal but for their domain."""
     domain = DOMAINS[number % len(DOMAINS)]
     name = f"{domain}-{number}"
     return HostInfo(name, domain[0], domain, f"10.0.0.{number}:1", f"10.0.0.{number}:2")
 
 
 def poisson(rng: random.Random, mean: float) -> int:
-    """Return a Poisson number; numpy's would be a dependency for one line."""
-    least, count, product = math.exp(-mean), 0, rng.random()
-    while product > least:
+    """Return a Poisson-distributed number, to avoid numpy as a dependency."""
+    threshold, count, product = math.exp(-mean), 0, rng.random()
+    while product > threshold:
         count += 1
         product *= rng.random()
     return count
 
 
 def send_step(fleet, rates: dict[str, float], hosts: list[str]) -> None:
-    """Send one step's requests of accounts, at rates a second, to hosts at random."""
+    """Send one step's requests, at rates per second by account, to random hosts."""
     for account, rate in rates.items():
         for _ in range(poisson(fleet.rng, rate * STEP_S)):
             fleet.request(fleet.rng.choice(hosts), account)
 
 
 def accounts_with(quotas: dict[str, Quota]) -> Accounts:
-    """Return accounts with quotas and no keys."""
+    """Return accounts that have these quotas and no keys."""
     return Accounts((ClientAccount(n, quota=q), []) for n, q in quotas.items())
 
 
 @dataclass
 class Node:
-    """One run of a host."""
+    """One incarnation of a host."""
 
     roster: Roster
     quotas: Quotas
     incarnation: int
     frozen_until: float = 0.0
     frozen_s: float = 0.0
-    # When requests that wait began to, by account.
+    # For each account, when each waiting request began to wait.
     waiting: dict[str, deque[float]] = field(default_factory=dict)
 
 
 class QuotaFleet:
-    """Hosts that keep quotas.
+    """Hosts that share quotas.
 
     Parameters
     ----------
     count : int
-        Hosts at the start, which is the first start of all.
+        Number of hosts at the start; it is the first start of each.
     quotas : dict of str to Quota
         Quotas by account.
-    way_s : tuple of float
-        Shortest and longest way between two hosts, in seconds.
+    network_s : tuple of float
+        Shortest and longest delay of a message between two hosts, in seconds.
 
     Attributes
     ----------
     runs : dict of str to list of float
         When requests of each account were run.
-    refused, late : dict of str to int
-        Refused requests, and admitted ones that had to wait.
+    refused : dict of str to int
+        Number of refused requests by account.
+    waited : int
+        Number of requests that had to wait for a decision.
     messages, message_items : int
-        What hosts told each other.
+        Number of quota messages between hosts, and of the items in them.
     """
 
     def __init__(self, count, quotas, *, seed=0, network_s=(0.001, 0.03)):
@@ -96,11 +98,11 @@
         self.nodes: dict[str, Node] = {}
         self.infos: dict[str, HostInfo] = {}
         self.listed: set[str] = set()
-        # Pairs of hosts that cannot reach each other; what they send waits.
+        # Pairs of hosts that cannot reach each other. Messages between them wait.
         self.cut: set[frozenset[str]] = set()
-        self._on_way: dict[tuple[str, str], deque] = {}
-        self._made = 0
-        self._started = 0
+        self._in_transit: dict[tuple[str, str], deque] = {}
+        self._hosts_created = 0
+        self._starts = 0
         self.runs: dict[str, list[float]] = {name: [] for name in quotas}
         self.refused: dict[str, int] = dict.fromkeys(quotas, 0)
         self.waited = 0
@@ -116,18 +118,16 @@
             for other in self.infos.values():
                 node.roster.learn(other, self.now)
 
-    # Hosts
-
     def join(self, *, first_start=False):
         """Add a host under a new name."""
-        info = host_info(self._made)
-        self._made += 1
+        info = host_info(self._hosts_created)
+        self._hosts_created += 1
         self.infos[info.host_id] = info
         self.start(info.host_id, first_start=first_start)
         return info.host_id
 
     def start(self, name, *, first_start=False):
-        """Start a host, or start it again."""
+        """Start or restart a host."""
         roster = Roster(self.infos[name])
         roster.starting = False
         roster.was_listed = name in self.listed
@@ -136,22 +136,22 @@
             roster.learn(self.infos[other], self.now)
         roster.listed = True
         quotas = Quotas(roster, self.bound, self.rng, first_start=first_start)
-        self._started += 1
-        node = Node(roster, quotas, self._started)
+        self._starts += 1
+        node = Node(roster, quotas, self._starts)
         self.nodes[name] = node
         quotas.configure(accounts_with(self.quotas), self._times(node))
 
     def kill(self, name):
-        """End a host at once; its name stays listed, and its address refuses."""
+        """Crash a host; its name stays listed and its address refuses connections."""
         self.nodes.pop(name, None)
         for other, node in self.nodes.items():
             entry = node.roster.entries.get(name)
             if entry is not None and frozenset((name, other)) not in self.cut:
                 entry.refused_at = self._times(node).now
-        self._drop_way(name)
+        self._drop_messages(name)
 
     def leave(self, name):
-        """End a host in order."""
+        """Shut a host down, after it has announced this to the others."""
         node = self.nodes[name]
         node.roster.leaving = True
         node.quotas.leave(self._times(node))
@@ -161,33 +161,33 @@
             if entry is not None:
                 entry.leaving = True
         self.nodes.pop(name, None)
-        self._drop_way(name)
+        self._drop_messages(name)
 
     def lose_power(self, name):
-        """End a host at once; its address does not answer."""
+        """Crash a host; its address does not answer."""
         self.nodes.pop(name, None)
-        self._drop_way(name)
+        self._drop_messages(name)
 
-    def _drop_way(self, name):
-        for pair, way in self._on_way.items():
+    def _drop_messages(self, name):
+        for pair, transit_queue in self._in_transit.items():
             if name in pair:
-                way.clear()
+                transit_queue.clear()
 
     def freeze(self, name, seconds):
-        """Suspend a host; its ordinary clock stops."""
+        """Suspend a host; its monotonic clock stops meanwhile."""
         node = self.nodes[name]
         node.frozen_until = self.now + seconds
         node.frozen_s += seconds
 
     def split(self, *groups):
-        """Cut groups of hosts from one another."""
+        """Partition the network between groups of hosts."""
         for group in groups:
             for other in groups:
                 if other is not group:
                     self.cut.update(frozenset((a, b)) for a in group for b in other)
 
     def configure(self, quotas):
-        """Change quotas; hosts take them over within half a second."""
+        """Change the quotas on all hosts."""
         self.quotas = dict(quotas)
         for name, quota in quotas.items():
             self.max_per_window[name].append(
@@ -196,14 +196,12 @@
         for node in self.nodes.values():
             node.quotas.configure(accounts_with(quotas), self._times(node))
 
-    # Time
-
     def _times(self, node):
         frozen = node.frozen_s if self.now >= node.frozen_until else 0.0
         return ClockReading(self.now - frozen, self.now)
 
     def play(self, seconds, load=None):
-        """Let time pass; `load` is called each step and may send requests."""
+        """Advance the time; `load` is called at each step and may send requests."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             if load is not None:
@@ -211,13 +209,13 @@
             self._deliver()
             for name, node in list(self.nodes.items()):
                 if self.now >= node.frozen_until:
-                    self._turn(name, node)
+                    self._run_host(name, node)
 
     def _every(self, name, period_s):
-        place = sum(name.encode()) % round(period_s / STEP_S)
-        return round(self.now / STEP_S) % round(period_s / STEP_S) == place
+        offset = sum(name.encode()) % round(period_s / STEP_S)
+        return round(self.now / STEP_S) % round(period_s / STEP_S) == offset
 
-    def _turn(self, name, node):
+    def _run_host(self, name, node):
         at = self._times(node)
         if self._every(name, ALIVE_EVERY_S):
             node.roster.review(at.now)
@@ -229,38 +227,36 @@
             for other, message in node.quotas.outgoing(at):
                 self._send(name, other, message)
         for account, waiting in node.waiting.items():
-            self._decide(node, account, at)
+            self._apply_decisions(node, account, at)
             while waiting and waiting[0] < self.now - MAX_WAIT_S:
                 waiting.popleft()
                 node.quotas.ledger.give_up(account)
                 self.refused[account] += 1
 
-    # Network
-
     def _send(self, source, target, message):
         if target not in self.nodes:
             return
         if message is not None:
             self.messages += 1
             self.message_items += len(getattr(message, "items", ())) or 1
-        way = self._on_way.setdefault((source, target), deque())
-        soonest = way[-1][0] if way else 0.0
-        at = max(soonest, self.now + self.rng.uniform(*self.network_s))
+        transit_queue = self._in_transit.setdefault((source, target), deque())
+        earliest = transit_queue[-1][0] if transit_queue else 0.0
+        at = max(earliest, self.now + self.rng.uniform(*self.network_s))
         sender = self.nodes[source]
-        way.append((at, sender.roster.own, sender.incarnation, message))
+        transit_queue.append((at, sender.roster.own, sender.incarnation, message))
 
     def _deliver(self):
-        for (source, target), way in self._on_way.items():
+        for (source, target), transit_queue in self._in_transit.items():
             if frozenset((source, target)) in self.cut or target not in self.nodes:
                 continue
             node = self.nodes[target]
             if self.now < node.frozen_until:
                 continue
-            while way and way[0][0] <= self.now:
-                _, info, incarnation, message = way.popleft()
-                self._hear(target, node, info, incarnation, message)
+            while transit_queue and transit_queue[0][0] <= self.now:
+                _, info, incarnation, message = transit_queue.popleft()
+                self._receive(target, node, info, incarnation, message)
 
-    def _hear(self, name, node, info, incarnation, message):
+    def _receive(self, name, node, info, incarnation, message):
         at = self._times(node)
         if message is None:
             node.roster.note_alive(info, incarnation, at.now, leaving=False)
@@ -274,9 +270,7 @@
                 self._send(name, info.host_id, answer)
         else:
             for account in node.quotas.on_receipts(info.host_id, message, at):
-                self._decide(node, account, at)
-
-    # Requests
+                self._apply_decisions(node, account, at)
 
     def request(self, name, account):
         """Send one request to a host."""
@@ -293,22 +287,20 @@
             self.waited += 1
             node.waiting.setdefault(account, deque()).append(self.now)
 
-    def _decide(self, node, account, at):
+    def _apply_decisions(self, node, account, at):
         waiting = node.waiting.get(account)
         if not waiting:
             return
-        decided = node.quotas.ledger.decide_waiting(account, at.now)
-        for _ in range(decided.admitted):
+        decisions = node.quotas.ledger.decide_waiting(account, at.now)
+        for _ in range(decisions.admitted):
             waiting.popleft()
             self.runs[account].append(self.now)
-        for _ in range(decided.refused):
+        for _ in range(decisions.refused):
             waiting.pop()
             self.refused[account] += 1
 
-    # The promise
-
     def excess(self):
-        """Return by how much the worst window of any account exceeds its bound."""
+        """Return by how many requests the worst window exceeds its account's bound."""
         return max(self._excess(account) for account in self.runs)
 
     def _excess(self, account):
@@ -318,11 +310,11 @@
             window.append(at)
             while window[0] <= at - self.bound.window_s:
                 window.popleft()
-            worst = max(worst, len(window) - self._most_at(account, at))
+            worst = max(worst, len(window) - self._max_bound_at(account, at))
         return worst
 
-    def _most_at(self, account, at):
-        """Return the highest bound that was in force within the last two windows."""
+    def _max_bound_at(self, account, at):
+        """Return the account's highest bound in force within the last two windows."""
         since = at - 2 * self.bound.window_s
         changes = self.max_per_window[account]
         before = [
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,6 +1,7 @@
-"""Slopes behind docs/CAPACITY.md: cost for each block, site, peer, change, look-up.
+"""Measures the slopes behind docs/CAPACITY.md.
 
-Every slope has at least four sizes; processor time is taken, not wall time.
+A slope is the cost for each further block, site, peer, change or look-up. Each is
+measured at four sizes or more, in processor time and not in wall time.
 """
 
 import asyncio
@@ -48,17 +49,17 @@
 DOMAINS = 203
 
 
-def cpu_of(work, *args) -> tuple[float, object]:
+def cpu_of(function, *args) -> tuple[float, object]:
     """Return the processor seconds of one call, and its result."""
     before = time.process_time()
-    result = work(*args)
+    result = function(*args)
     return time.process_time() - before, result
 
 
-def memory_of(work, *args) -> tuple[int, object]:
+def memory_of(function, *args) -> tuple[int, object]:
     """Return the bytes that one call leaves allocated, and its result."""
     tracemalloc.start()
-    result = work(*args)
+    result = function(*args)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size, result
@@ -73,7 +74,7 @@
 
 
 def block_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return build time, size and look-up time against the number of blocks."""
+    """Return build time, size and look-up time by number of blocks."""
     build, size, find = [], [], []
     rng = random.Random(1)
     for count in BLOCK_SIZES:
@@ -88,7 +89,7 @@
 
 
 def table_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return decoding time and stored size of packed shards against their blocks."""
+    """Return decoding time and stored size of packed shards by number of blocks."""
     decode, stored = [], []
     for count in TABLE_SIZES:
         pairs = [(net, f"group-{group}") for net, group in networks(count)]
@@ -132,7 +133,7 @@
 
 
 def site_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return parse time, memory and stored bytes against the number of sites."""
+    """Return parse time, memory and stored bytes by number of sites."""
     parse, size, stored = [], [], []
     for count in SITE_SIZES:
         text = pool_text(count)
@@ -166,7 +167,7 @@
 
 
 def fleet_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return memory, list handling and live-set time against the fleet's size."""
+    """Return memory, host-list time and live-set time by number of hosts."""
     size, listing, live, degree = [], [], [], []
     for count in HOST_SIZES:
         hosts = host_list(count)
@@ -177,8 +178,8 @@
         seconds, _ = cpu_of(_live_sets, core)
         live.append((count, seconds / 5 * 1e6))
         places = [Place(h.host_id, h.region, h.failure_domain) for h in hosts]
-        most = max(len(neighbours(place, places)) for place in places[:60])
-        degree.append((count, most))
+        max_neighbours = max(len(neighbours(place, places)) for place in places[:60])
+        degree.append((count, max_neighbours))
     return {
         "host_bytes": size,
         "host_list_us": listing,
@@ -188,7 +189,7 @@
 
 
 def _live_sets(core: HostCore) -> None:
-    """Make the live set five times from nothing."""
+    """Compute the live set five times, without a cached result."""
     for num in range(5):
         core.view.members.set_drained({core.view.own.host_id, f"host-{num + 1}"})
         core.view.members.live(2.0 + num * 0.01)
@@ -201,7 +202,7 @@
 
 
 def change_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return the cost of changes in force against their number in a second."""
+    """Return the cost of putting changes into force, by their number."""
     cpu = []
     for count in CHANGE_SIZES:
         core = _core_with(host_list(4_500))
@@ -222,7 +223,7 @@
 
 
 def push_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return the bytes on the wire of a change against the size of its JSON."""
+    """Return the bytes on the wire of a change by the size of its JSON."""
     points = []
     for count in (10, 20, 40, 80):
         text = pool_text(count)
@@ -232,7 +233,7 @@
 
 
 def keeper_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return the cost of permits (ask, grant, release, both codecs)."""
+    """Return the cost of permits: request, grant and release, encoded and decoded."""
     cpu = []
     for count in PERMIT_SIZES:
         keeper = SlotKeeper("s", "region-0", 1, random.Random(1))
@@ -246,18 +247,18 @@
 def _permits(keeper: SlotKeeper, count: int) -> None:
     for num in range(count):
         now = num * 0.001
-        ask = msg.Acquire("s", "region-0", f"r{num}", 2.0, [])
-        ask = wire.decode(wire.encode(ask)[4:])
-        (reply,) = keeper.acquire("h", ask, now)
+        acquire_message = msg.Acquire("s", "region-0", f"r{num}", 2.0, [])
+        acquire_message = wire.decode(wire.encode(acquire_message)[4:])
+        (reply,) = keeper.acquire("h", acquire_message, now)
         grant = wire.decode(wire.encode(reply.message)[4:])
-        done = msg.Release(
+        release = msg.Release(
             "s", "region-0", grant.permit, grant.server_id, "answered", 0.01
         )
-        list(keeper.release(wire.decode(wire.encode(done)[4:]), now))
+        list(keeper.release(wire.decode(wire.encode(release)[4:]), now))
 
 
 def planner_slopes() -> dict[str, list[tuple[float, float]]]:
-    """Return the time of a planning step and the plan's size against regions."""
+    """Return the time of a planning step and the plan's size by number of regions."""
     cpu, stored = [], []
     for count in REGION_SIZES:
         names = [f"region-{num}" for num in range(count)]
@@ -265,7 +266,7 @@
         tables = {name: fresh_table(apportion({name: 1.0})) for name in names}
         planner = Planner("s", "p.1")
         pool = BackendPool("s", servers(75 * count))
-        given = PlannerInput(
+        planner_input = PlannerInput(
             SteeringPolicy("s", groups),
             pool,
             ShiftCap("s"),
@@ -276,7 +277,7 @@
         for name in names:
             load = msg.RegionLoad("s", name, 50, 0, 600.0, 100.0)
             planner.on_load(load, 10.0)
-        seconds, step = cpu_of(planner.step, plan, given, 11.5)
+        seconds, step = cpu_of(planner.step, plan, planner_input, 11.5)
         cpu.append((count, seconds * 1e6))
         stored.append((count, len(encode_value(encode_plan(step.plan)))))
     return {"plan_step_us": cpu, "plan_bytes": stored}
@@ -285,19 +286,19 @@
 async def peer_slopes() -> dict[str, list[tuple[float, float]]]:
     """Return processor time and bytes of heartbeats on real loopback streams."""
     cpu, size = [], []
-    beat = msg.Heartbeat("live", 123_456, 0, [], [])
+    heartbeat = msg.Heartbeat("live", 123_456, 0, [], [])
     for count in PEER_SIZES:
-        seconds = await _beat_streams(count, beat)
+        seconds = await _heartbeat_streams_s(count, heartbeat)
         cpu.append((count, seconds * 1e6))
-        size.append((count, count * len(wire.encode(beat))))
+        size.append((count, count * len(wire.encode(heartbeat))))
     return {"heartbeat_us": cpu, "heartbeat_bytes": size}
 
 
-BEATS = 40
+HEARTBEATS = 40
 
 
-async def _beat_streams(count: int, beat: msg.Heartbeat) -> float:
-    """Return the receiver's and sender's seconds for one beat with each peer."""
+async def _heartbeat_streams_s(count: int, heartbeat: msg.Heartbeat) -> float:
+    """Return the processor seconds to send and receive one heartbeat for each peer."""
     hosts = host_list(count + 1)
     core = _core_with(hosts)
     received = 0
@@ -306,11 +307,11 @@
     async def accept(reader: asyncio.StreamReader, _writer) -> None:
         nonlocal received
         hello = await wire.read_message(reader)
-        while received < count * BEATS:
+        while received < count * HEARTBEATS:
             message = await wire.read_message(reader)
             core.handle(PeerMessage(hello.host_id, message), 2.0)
             received += 1
-            if received == count * BEATS:
+            if received == count * HEARTBEATS:
                 done.set()
 
     server = await asyncio.start_server(accept, "127.0.0.1", 0)
@@ -322,12 +323,12 @@
         writer.write(wire.encode(msg.Hello(info.host_id, 1, wire.PROTOCOL, *fields)))
         writers.append(writer)
     before = time.process_time()
-    for _ in range(BEATS):
+    for _ in range(HEARTBEATS):
         for writer in writers:
-            writer.write(wire.encode(beat))
+            writer.write(wire.encode(heartbeat))
         await asyncio.sleep(0)
     await done.wait()
-    seconds = (time.process_time() - before) / BEATS
+    seconds = (time.process_time() - before) / HEARTBEATS
     for writer in writers:
         writer.close()
     server.close()
@@ -335,7 +336,7 @@
 
 
 def tick_cost() -> dict[str, list[tuple[float, float]]]:
-    """Return the time of an idle tick against the fleet's size."""
+    """Return the time of an idle tick by the number of hosts."""
     points = []
     for count in HOST_SIZES:
         core = _core_with(host_list(count))
@@ -347,7 +348,7 @@
 
 
 def plan_tick_cost() -> dict[str, list[tuple[float, float]]]:
-    """Return the time of a tick of a host that follows plans, against its groups."""
+    """Return the time of a tick of a host that has plans, by their number of groups."""
     points = []
     for count in REGION_SIZES:
         core = _core_with(host_list(200))
@@ -367,7 +368,7 @@
 
 
 def main() -> None:
-    """Measure everything and write the JSON file."""
+    """Measure all slopes and write the JSON file."""
     points = block_slopes()
     points.update(table_slopes())
     points.update(site_slopes())
--- a/bench/soak/ledger.py
+++ b/bench/soak/ledger.py
@@ -1,58 +1,69 @@
-"""What callers and backend servers saw, and which promises that breaks."""
+"""Records what callers and backend servers observed, and finds violated guarantees."""
 
 import hashlib
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from .accounts import USUAL, broken_accounts, broken_keys, broken_quota
-from .findings import Broken
+from .accounts import UNLIMITED, account_violations, key_violations, quota_violations
+from .findings import Violation
 from .signals import (
     DRAIN_S,
     SignalLedger,
-    broken_limits,
-    broken_rests,
-    broken_words,
+    back_off_violations,
+    leaving_violations,
+    limit_violations,
 )
 
-# The promises of the deployment that the soak settings give, in seconds.
+# Time bounds in seconds that the soak's settings and the deployment guarantee.
 EVACUATION_S = 5.0
 CONFIG_APPLY_S = 2.5
 STABLE_S = 3.0
-# A route of an older version may be seen this long after a newer one, in seconds: two
-# requests may cross.
+# Seconds for which a route of an older version may still be served after a newer one
+# was: two concurrent requests may overtake each other.
 REVERT_SLACK_S = 0.25
 RETRY_RATIO = 0.2
 RETRY_EXTRA = 64
 RETRY_WINDOW_S = 10.0
-# Part of the reads of the last calm seconds that must succeed. The users ask for a
-# quarter of what was served before.
-RECOVERED = 0.8
-# Callers' deadline, in seconds.
+# Share of the reads in the last, undisturbed seconds that must succeed. The users
+# require only a quarter of what was served before the faults.
+MIN_RECOVERED_SHARE = 0.8
+# Deadline of the callers' requests, in seconds.
 DEADLINE_S = 2.0
-# Answers that promise that the request has not run and never will.
+# Status codes that guarantee that the request has not run and never will.
 NOT_RUN = (408, 421, 429, 503)
-# A read that ends each server which begins to run it, and its kind.
-BAD = "bad"
-BAD_TARGET = "/calendar/ends-servers"
-REPEATABLE = ("read", BAD)
-# Servers that may end under one request, and its runs that may come later than
-# `STABLE_S` after that from hosts that nothing has disturbed.
+# Kind and target of a read that crashes each server which begins to run it.
+CRASHING = "bad"
+CRASHING_TARGET = "/calendar/ends-servers"
+REPEATABLE = ("read", CRASHING)
+# Servers that may crash while they run one request, and how many more runs of it
+# undisturbed hosts may cause later than `STABLE_S` after that.
 MAX_CRASHES_PER_REQUEST = 3
-LATE_MOST = 3
-# Time bounds are judged while the soak's own loop is late by less, in seconds.
-OWN_LAG_S = 0.25
+MAX_LATE_CRASHES = 3
+# Time bounds are judged only while the soak's own event loop is late by at most this
+# many seconds.
+MAX_LOOP_LAG_S = 0.25
 
 
 def signature(server_id: str, request_id: str, status: int, body: bytes) -> str:
-    """Return what a server signs its answer with."""
+    """Return the signature of a response: the server's id and a hash."""
     text = f"{server_id}.{request_id}.{status}.".encode() + body
     return f"{server_id}.{hashlib.blake2b(text, digest_size=8).hexdigest()}"
 
 
 @dataclass(slots=True, frozen=True)
 class Sent:
-    """One request as its caller sent it; `version` for those that probe it."""
+    """One request as its caller sent it.
+
+    Attributes
+    ----------
+    host, incarnation : int
+        Index of the host, and how often its process had been started.
+    at : float
+        When it was sent, in seconds from the start of the run.
+    version : int
+        The configuration version that the request probes, or 0.
+    """
 
     request_id: str
     kind: str
@@ -68,21 +79,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """How a request ended for its caller; status 0 when there was no whole answer."""
+    """The outcome of a request for its caller.
+
+    `status` is 0 when no complete response arrived; `failure` then names the failure.
+    """
 
     request_id: str
     status: int
-    signed: str
+    response_signature: str
     body: bytes
     at: float
-    why: str = ""
+    failure: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """One request that a server began to work on.
+    """One request that a server began to run.
 
-    `account` is what the server was told, `key_claims` whether it got credentials.
+    `account` is the account named to the server. `has_credentials` says whether the
+    server received the caller's credentials.
     """
 
     request_id: str
@@ -91,158 +106,207 @@
     body: bytes
     at: float
     account: str = ""
-    keyed: bool = False
+    has_credentials: bool = False
 
 
 @dataclass(slots=True)
-class Spans:
-    """Spans of time in which something was disturbed."""
+class Disturbances:
+    """Periods of time in which faults disturbed a host or the store."""
 
-    spans: list[tuple[float, float, str]] = field(default_factory=list)
+    periods: list[tuple[float, float, str]] = field(default_factory=list)
 
-    def add(self, begin: float, end: float, why: str) -> None:
-        """Note a disturbance."""
-        self.spans.append((begin, end, why))
+    def add(self, begin: float, end: float, cause: str) -> None:
+        """Record a disturbance and its cause."""
+        self.periods.append((begin, end, cause))
 
-    def near(self, begin: float, end: float) -> set[str]:
-        """Return what was disturbed between two moments or shortly before."""
+    def causes_near(self, begin: float, end: float) -> set[str]:
+        """Return the causes of disturbances in a period or up to `STABLE_S` before."""
         return {
-            why
-            for start, stop, why in self.spans
+            cause
+            for start, stop, cause in self.periods
             if start <= end and stop >= begin - STABLE_S
         }
 
 
 @dataclass(slots=True)
 class Ledger:
-    """Everything that was seen in one run."""
+    """The observations of one run.
+
+    Attributes
+    ----------
+    sent : dict of str to Sent
+        The callers' requests by id.
+    runs : dict of str to list of Run
+        The runs of each request at servers.
+    crashes : list of tuple
+        Time and request id of each crash of a server by a request.
+    arrivals : list of tuple
+        Time, service and request id of each request that reached a server.
+    left_at : dict of str to float
+        For each server, when the store accepted that it is draining or dropped its
+        entry.
+    evacuated : dict of str to list of tuple
+        For each failure domain, begin and end of its evacuations.
+    accepted : dict of int to float
+        When each configuration version was stored.
+    host_disturbances : dict of int to Disturbances
+        Disturbances of each host.
+    store_disturbances : Disturbances
+        Disturbances of the store.
+    loop_lags : list of tuple
+        Time and lag in seconds whenever the soak's own event loop was late.
+    unexpected_exits : list of tuple
+        Time, host and exit code of each process that exited without a fault.
+    calm_from, calm_to : float
+        The undisturbed period at the end, in which reads must succeed.
+    unjudged : int
+        Time bounds that were not judged because the event loop was late.
+    """
 
     sent: dict[str, Sent] = field(default_factory=dict)
     replies: list[Reply] = field(default_factory=list)
     runs: dict[str, list[Run]] = field(default_factory=lambda: defaultdict(list))
-    ends: list[tuple[float, str]] = field(default_factory=list)
+    crashes: list[tuple[float, str]] = field(default_factory=list)
     arrivals: list[tuple[float, str, str]] = field(default_factory=list)
-    left: dict[str, float] = field(default_factory=dict)
+    left_at: dict[str, float] = field(default_factory=dict)
     evacuated: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
     domain_of: dict[str, str] = field(default_factory=dict)
     service_of: dict[str, str] = field(default_factory=dict)
     accepted: dict[int, float] = field(default_factory=dict)
-    hosts: dict[int, Spans] = field(default_factory=lambda: defaultdict(Spans))
-    core: Spans = field(default_factory=Spans)
-    own_lags: list[tuple[float, float]] = field(default_factory=list)
-    ended_alone: list[tuple[float, int, int]] = field(default_factory=list)
+    host_disturbances: dict[int, Disturbances] = field(
+        default_factory=lambda: defaultdict(Disturbances)
+    )
+    store_disturbances: Disturbances = field(default_factory=Disturbances)
+    loop_lags: list[tuple[float, float]] = field(default_factory=list)
+    unexpected_exits: list[tuple[float, int, int]] = field(default_factory=list)
     signals: SignalLedger = field(default_factory=SignalLedger)
     calm_from: float = float("inf")
     calm_to: float = float("inf")
     unjudged: int = 0
 
-    def broken(self) -> list[Broken]:
-        """Return every promise that did not hold, in order of time."""
-        found: list[Broken] = []
+    def violations(self) -> list[Violation]:
+        """Return every violation of a guarantee, in order of time."""
+        found: list[Violation] = []
         for reply in self.replies:
-            found += self._of_reply(reply)
+            found += self._reply_violations(reply)
         for runs in self.runs.values():
-            found += self._of_runs(runs)
-        found += self._configuration()
-        found += self._retries()
-        found += self._recovery()
-        found += self._late_bad_runs()
-        found += broken_accounts(self)
-        found += broken_keys(self)
-        found += broken_quota(self)
-        found += broken_limits(self)
-        found += broken_words(self)
-        found += broken_rests(self)
+            found += self._run_violations(runs)
+        found += self._configuration_violations()
+        found += self._retry_violations()
+        found += self._recovery_violations()
+        found += self._crash_violations()
+        found += account_violations(self)
+        found += key_violations(self)
+        found += quota_violations(self)
+        found += limit_violations(self)
+        found += leaving_violations(self)
+        found += back_off_violations(self)
         found += [
-            Broken("ENDED", at, f"host {host} ended by itself with {code}")
-            for at, host, code in self.ended_alone
+            Violation("ENDED", at, f"host {host} ended by itself with {code}")
+            for at, host, code in self.unexpected_exits
         ]
         return sorted(found, key=lambda item: item.at)
 
-    # Requests and answers
-
-    def _of_reply(self, reply: Reply) -> list[Broken]:
+    def _reply_violations(self, reply: Reply) -> list[Violation]:
         sent = self.sent[reply.request_id]
         found = []
-        if 200 <= reply.status < 300 and not reply.signed:
-            found.append(self._say("MIXED", reply, "success without signature"))
-        if reply.signed and reply.signed != self._expected(reply):
-            found.append(self._say("MIXED", reply, "the answer is not the server's"))
+        if 200 <= reply.status < 300 and not reply.response_signature:
+            found.append(self._violation("MIXED", reply, "success without signature"))
+        if (
+            reply.response_signature
+            and reply.response_signature != self._expected_signature(reply)
+        ):
+            found.append(
+                self._violation("MIXED", reply, "the answer is not the server's")
+            )
         ran = self.runs.get(reply.request_id, [])
         refused = reply.status in NOT_RUN and sent.kind not in REPEATABLE
         if refused and ran:
-            found.append(self._say("REFUSED", reply, f"{reply.status}, and it ran"))
-        if reply.why == "held":
-            found.append(self._say("HELD", reply, "no answer by its deadline"))
-        if reply.why == "cut" and ran and self._only_leaving(sent, reply):
-            found.append(self._say("LOST", reply, "cut by a planned stop"))
+            found.append(
+                self._violation("REFUSED", reply, f"{reply.status}, and it ran")
+            )
+        if reply.failure == "held":
+            found.append(self._violation("HELD", reply, "no answer by its deadline"))
+        if reply.failure == "cut" and ran and self._only_terminated(sent, reply):
+            found.append(self._violation("LOST", reply, "cut by a planned stop"))
         return found
 
-    def _say(self, rule: str, reply: Reply, what: str) -> Broken:
+    def _violation(self, rule: str, reply: Reply, what: str) -> Violation:
         sent = self.sent[reply.request_id]
-        return Broken(rule, reply.at, f"{reply.request_id} at host {sent.host}: {what}")
+        return Violation(
+            rule, reply.at, f"{reply.request_id} at host {sent.host}: {what}"
+        )
 
-    def _expected(self, reply: Reply) -> str:
-        server_id = reply.signed.partition(".")[0]
+    def _expected_signature(self, reply: Reply) -> str:
+        server_id = reply.response_signature.partition(".")[0]
         return signature(server_id, reply.request_id, reply.status, reply.body)
 
-    def _only_leaving(self, sent: Sent, reply: Reply) -> bool:
-        return self.hosts[sent.host].near(sent.at, reply.at) == {"host-term"}
+    def _only_terminated(self, sent: Sent, reply: Reply) -> bool:
+        return self.host_disturbances[sent.host].causes_near(sent.at, reply.at) == {
+            "host-term"
+        }
 
-    def _of_runs(self, runs: list[Run]) -> list[Broken]:
+    def _run_violations(self, runs: list[Run]) -> list[Violation]:
         found = []
         for run in runs:
             sent = self.sent.get(run.request_id)
             if sent is None or (sent.target, sent.body) != (run.target, run.body):
                 text = f"{run.request_id} at {run.server_id}"
-                found.append(Broken("UNASKED", run.at, text))
+                found.append(Violation("UNASKED", run.at, text))
                 continue
             if sent.service != self.service_of[run.server_id]:
                 text = f"{run.request_id} for {sent.service} at {run.server_id}"
-                found.append(Broken("ROUTE", run.at, text))
-            found += self._late(sent, run)
+                found.append(Violation("ROUTE", run.at, text))
+            found += self._late_run_violations(sent, run)
         sent = self.sent.get(runs[0].request_id)
         if len(runs) > 1 and sent is not None and sent.kind not in REPEATABLE:
             servers = ", ".join(run.server_id for run in runs)
             text = f"{runs[0].request_id} ran at {servers}"
-            found.append(Broken("TWICE", runs[1].at, text))
+            found.append(Violation("TWICE", runs[1].at, text))
         return found
 
-    def _late(self, sent: Sent, run: Run) -> list[Broken]:
-        """Return work that came to a server long after it had left or was evacuated."""
+    def _late_run_violations(self, sent: Sent, run: Run) -> list[Violation]:
+        """Return runs at a server too long after it left or was evacuated."""
         found = []
-        left = self.left.get(run.server_id)
-        if left is not None and self._bound_over(sent, left, DRAIN_S, run.at):
-            text = f"{run.request_id}: {run.server_id} left {run.at - left:.2f} s ago"
-            found.append(Broken("DRAIN", run.at, text))
+        left_at = self.left_at.get(run.server_id)
+        if left_at is not None and self._exceeds_bound(sent, left_at, DRAIN_S, run.at):
+            text = (
+                f"{run.request_id}: {run.server_id} left {run.at - left_at:.2f} s ago"
+            )
+            found.append(Violation("DRAIN", run.at, text))
         domain = self.domain_of[run.server_id]
         for begin, end in self.evacuated.get(domain, []):
-            inside = run.at < end
-            if inside and self._bound_over(sent, begin, EVACUATION_S, run.at):
+            during_evacuation = run.at < end
+            if during_evacuation and self._exceeds_bound(
+                sent, begin, EVACUATION_S, run.at
+            ):
                 text = f"{run.request_id}: {domain} evacuated at {begin:.2f}"
-                found.append(Broken("EVAC", run.at, text))
+                found.append(Violation("EVAC", run.at, text))
         return found
 
-    # Time bounds
-
-    def _bound_over(self, sent: Sent, since: float, bound_s: float, at: float) -> bool:
-        """Tell whether an undisturbed host is past a bound that began at `since`."""
+    def _exceeds_bound(
+        self, sent: Sent, since: float, bound_s: float, at: float
+    ) -> bool:
+        """Return whether an undisturbed host exceeded a bound that began at `since`."""
         if at <= since + bound_s:
             return False
-        calm = self._undisturbed(sent.host, since, at)
-        if calm and self._own_lag(since, at) > OWN_LAG_S:
+        undisturbed = self._undisturbed(sent.host, since, at)
+        if undisturbed and self._max_loop_lag(since, at) > MAX_LOOP_LAG_S:
             self.unjudged += 1
             return False
-        return calm
+        return undisturbed
 
     def _undisturbed(self, host: int, begin: float, end: float) -> bool:
-        return not self.hosts[host].near(begin, end) and not self.core.near(begin, end)
+        return not self.host_disturbances[host].causes_near(
+            begin, end
+        ) and not self.store_disturbances.causes_near(begin, end)
 
     def versions_at(self, sent: Sent) -> set[int]:
-        """Return the versions that a host may have gone by when a request came.
+        """Return the versions that may have been in force at the host of a request.
 
-        These are all that were accepted since its bound, and the one before them; any
-        at a host that was disturbed.
+        These are all versions that were accepted within `CONFIG_APPLY_S` before the
+        request or before its deadline, and the newest one before them. At a disturbed
+        host it may be any version.
         """
         if not self._undisturbed(sent.host, sent.at - CONFIG_APPLY_S, sent.at):
             return set(self.accepted)
@@ -258,53 +322,53 @@
         }
         return since | {max(before, default=1)}
 
-    def _own_lag(self, begin: float, end: float) -> float:
-        low = bisect_left(self.own_lags, (begin, 0.0))
-        high = bisect_right(self.own_lags, (end + 1.0, 0.0))
-        return max((lag for _, lag in self.own_lags[low:high]), default=0.0)
+    def _max_loop_lag(self, begin: float, end: float) -> float:
+        first_index = bisect_left(self.loop_lags, (begin, 0.0))
+        end_index = bisect_right(self.loop_lags, (end + 1.0, 0.0))
+        return max(
+            (lag for _, lag in self.loop_lags[first_index:end_index]), default=0.0
+        )
 
-    def _configuration(self) -> list[Broken]:
+    def _configuration_violations(self) -> list[Violation]:
         found = []
         newest: dict[tuple[int, int], tuple[int, float]] = {}
         for reply in self.replies:
             sent = self.sent[reply.request_id]
             if not sent.version:
                 continue
-            found += self._stale(sent, reply)
+            found += self._config_apply_violations(sent, reply)
             key = (sent.host, sent.incarnation)
             version, seen_at = newest.get(key, (0, 0.0))
-            disturbed = self.hosts[sent.host].near(seen_at, reply.at)
+            disturbed = self.host_disturbances[sent.host].causes_near(seen_at, reply.at)
             slack = REVERT_SLACK_S * (8 if disturbed else 1)
             if reply.status != 200:
                 continue
             if sent.version < version and sent.at > seen_at + slack:
                 text = f"host {sent.host}: version {sent.version} after {version}"
-                found.append(Broken("REVERT", reply.at, text))
+                found.append(Violation("REVERT", reply.at, text))
             elif sent.version > version:
                 newest[key] = (sent.version, reply.at)
         return found
 
-    def _stale(self, sent: Sent, reply: Reply) -> list[Broken]:
-        """Return whether a version was in force too late, or too long."""
+    def _config_apply_violations(self, sent: Sent, reply: Reply) -> list[Violation]:
+        """Return a violation if a version came into force, or went out, too late."""
         text = f"host {sent.host}, version {sent.version}: {reply.status}"
         since = self.accepted.get(sent.version)
         after = self.accepted.get(sent.version + 1)
         newest = after is None or sent.at < after
         missing = reply.status == 404 and newest and since is not None
-        if missing and self._bound_over(sent, since, CONFIG_APPLY_S, sent.at):
-            return [Broken("CONFIG", reply.at, f"{text}, accepted at {since:.2f}")]
-        kept = reply.status == 200 and after is not None
-        if kept and self._bound_over(sent, after, CONFIG_APPLY_S, sent.at):
-            return [Broken("CONFIG", reply.at, f"{text}, dropped at {after:.2f}")]
+        if missing and self._exceeds_bound(sent, since, CONFIG_APPLY_S, sent.at):
+            return [Violation("CONFIG", reply.at, f"{text}, accepted at {since:.2f}")]
+        still_served = reply.status == 200 and after is not None
+        if still_served and self._exceeds_bound(sent, after, CONFIG_APPLY_S, sent.at):
+            return [Violation("CONFIG", reply.at, f"{text}, dropped at {after:.2f}")]
         return []
 
-    # Over the whole run
-
-    def _retries(self) -> list[Broken]:
+    def _retry_violations(self) -> list[Violation]:
         found = []
-        asked: dict[str, list[float]] = defaultdict(list)
+        sent_at_by_service: dict[str, list[float]] = defaultdict(list)
         for sent in self.sent.values():
-            asked[sent.service].append(sent.at)
+            sent_at_by_service[sent.service].append(sent.at)
         repeats: dict[str, list[float]] = defaultdict(list)
         seen: set[str] = set()
         for at, service, request_id in sorted(self.arrivals):
@@ -312,48 +376,50 @@
                 repeats[service].append(at)
             seen.add(request_id)
         for service, times in repeats.items():
-            asked[service].sort()
+            sent_at_by_service[service].sort()
             for index, end in enumerate(times):
                 begin = end - RETRY_WINDOW_S
                 count = index + 1 - bisect_left(times, begin)
-                requests = bisect_right(asked[service], end)
-                requests -= bisect_left(asked[service], begin - RETRY_WINDOW_S / 2)
+                requests = bisect_right(sent_at_by_service[service], end)
+                requests -= bisect_left(
+                    sent_at_by_service[service], begin - RETRY_WINDOW_S / 2
+                )
                 if count > RETRY_RATIO * requests + RETRY_EXTRA:
                     text = f"{service}: {count} repeats of {requests} requests"
-                    found.append(Broken("BUDGET", end, text))
+                    found.append(Violation("BUDGET", end, text))
                     break
         return found
 
-    def _late_bad_runs(self) -> list[Broken]:
-        """Return whether a request that ends servers went on reaching them."""
-        if len(self.ends) < MAX_CRASHES_PER_REQUEST:
+    def _crash_violations(self) -> list[Violation]:
+        """Return a violation if a request that crashes servers kept reaching them."""
+        if len(self.crashes) < MAX_CRASHES_PER_REQUEST:
             return []
-        since = self.ends[MAX_CRASHES_PER_REQUEST - 1][0] + STABLE_S
+        since = self.crashes[MAX_CRASHES_PER_REQUEST - 1][0] + STABLE_S
         late = [
             at
-            for at, request_id in self.ends
+            for at, request_id in self.crashes
             if at > since and self._sent_undisturbed(self.sent[request_id])
         ]
-        if len(late) <= LATE_MOST:
+        if len(late) <= MAX_LATE_CRASHES:
             return []
-        text = f"{len(late)} late, {len(self.ends)} servers ended under one request"
-        return [Broken("ENDS", late[LATE_MOST], text)]
+        text = f"{len(late)} late, {len(self.crashes)} servers ended under one request"
+        return [Violation("ENDS", late[MAX_LATE_CRASHES], text)]
 
     def _sent_undisturbed(self, sent: Sent) -> bool:
         return self._undisturbed(sent.host, sent.at, sent.at)
 
-    def _recovery(self) -> list[Broken]:
-        ends = {reply.request_id: reply.status for reply in self.replies}
-        calm = [
-            ends.get(sent.request_id, 0)
+    def _recovery_violations(self) -> list[Violation]:
+        status_of = {reply.request_id: reply.status for reply in self.replies}
+        statuses = [
+            status_of.get(sent.request_id, 0)
             for sent in self.sent.values()
             if sent.kind == "read"
             and not sent.version
-            and sent.account in ("", USUAL)
+            and sent.account in ("", UNLIMITED)
             and self.calm_from <= sent.at < self.calm_to
         ]
-        served = sum(status == 200 for status in calm)
-        if calm and served < RECOVERED * len(calm):
-            text = f"{served} of {len(calm)} reads served in the calm at the end"
-            return [Broken("RECOVER", self.calm_from, text)]
+        served = sum(status == 200 for status in statuses)
+        if statuses and served < MIN_RECOVERED_SHARE * len(statuses):
+            text = f"{served} of {len(statuses)} reads served in the calm at the end"
+            return [Violation("RECOVER", self.calm_from, text)]
         return []
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run of the soak, and its report."""
+"""Performs one seeded run of the soak and reports its result."""
 
 import asyncio
 import random
@@ -8,22 +8,33 @@
 from pathlib import Path
 
 from .callers import Callers
-from .faults import strike
-from .ledger import Broken, Ledger
-from .schedule import Fault, draw
+from .faults import inject_faults
+from .ledger import Ledger, Violation
+from .schedule import Fault, draw_faults
 from .world import World
 
-# Seconds of calm after the last fault: entries that lapsed are back within two, hosts
-# that start are ready in one.
+# Seconds without faults after the last one. Store entries that expired are back within
+# two seconds, and a host that starts is ready within one second.
 SETTLE_S = 4.0
 CALM_END_S = 3.0
-# The hosts read the store and find each other before the first request, in seconds.
-LEAD_S = 2.5
+# Seconds before the first request, in which the hosts read the store and discover each
+# other.
+START_UP_S = 2.5
 
 
 @dataclass(slots=True, frozen=True)
 class Size:
-    """How large a run is; `faults_per_s` on average, `length_s` of their beginnings."""
+    """The size of a run.
+
+    Attributes
+    ----------
+    hosts, servers, callers : int
+        How many of each the run has.
+    length_s : float
+        Seconds in which faults may begin.
+    faults_per_s : float
+        Average number of faults per second.
+    """
 
     hosts: int = 5
     servers: int = 12
@@ -32,17 +43,25 @@
     faults_per_s: float = 1.2
 
 
-USUAL = Size()
+DEFAULT_SIZE = Size()
 
 
 @dataclass(slots=True)
 class Result:
-    """What one run showed."""
+    """The result of one run.
+
+    Attributes
+    ----------
+    unjudged : int
+        Time bounds that were not checked because the soak's own event loop was late.
+    series : list of tuple of int
+        For each second: the second, and the requests served, refused and failed.
+    """
 
     seed: int
     size: Size
     faults: list[Fault]
-    broken: list[Broken]
+    violations: list[Violation]
     outcomes: dict[str, int]
     unjudged: int
     series: list[tuple[int, int, int, int]]
@@ -53,38 +72,38 @@
             "seed": self.seed,
             "size": asdict(self.size),
             "faults": [asdict(fault) for fault in self.faults],
-            "broken": [asdict(item) for item in self.broken],
+            "broken": [asdict(item) for item in self.violations],
             "outcomes": self.outcomes,
             "unjudged": self.unjudged,
             "series": self.series,
         }
 
     def describe(self) -> str:
-        """Return the report of the run for people."""
-        verdict = f"{len(self.broken)} BROKEN" if self.broken else "kept"
+        """Return a readable report of the run."""
+        verdict = f"{len(self.violations)} BROKEN" if self.violations else "kept"
         outcomes = ", ".join(f"{name} {n}" for name, n in sorted(self.outcomes.items()))
         lines = [
             f"seed {self.seed}: {verdict}; {len(self.faults)} faults; {outcomes}; "
             f"{self.unjudged} time bounds not judged"
         ]
-        for item in self.broken[:20]:
+        for item in self.violations[:20]:
             lines.append(f"  {item.rule} at {item.at:.2f} s: {item.what}")
-        if self.broken:
+        if self.violations:
             lines += ["  faults:", *(f"  {fault.describe()}" for fault in self.faults)]
         return "\n".join(lines)
 
 
-async def play(seed: int, size: Size, directory: Path) -> Result:
-    """Play one run; logs and settings of the hosts go to `directory`."""
+async def run_soak(seed: int, size: Size, directory: Path) -> Result:
+    """Perform one run; logs and settings of the hosts are written to `directory`."""
     rng = random.Random(seed)
-    faults = draw(seed, size.length_s, size.faults_per_s)
+    faults = draw_faults(seed, size.length_s, size.faults_per_s)
     world = World(directory, rng)
     await world.start(size.hosts, size.servers)
     callers = []
     try:
-        await asyncio.sleep(LEAD_S)
+        await asyncio.sleep(START_UP_S)
         callers = Callers(world, rng).tasks(size.callers)
-        await strike(world, faults)
+        await inject_faults(world, faults)
         await asyncio.sleep(SETTLE_S)
         world.ledger.calm_from = world.now()
         await asyncio.sleep(CALM_END_S)
@@ -92,21 +111,21 @@
     finally:
         for task in callers:
             task.cancel()
-        ends = await asyncio.gather(*callers, return_exceptions=True)
+        results = await asyncio.gather(*callers, return_exceptions=True)
         await world.stop()
-    for end in ends:
-        if not isinstance(end, asyncio.CancelledError):
-            raise end
+    for result in results:
+        if not isinstance(result, asyncio.CancelledError):
+            raise result
     return _result(seed, size, faults, world.ledger)
 
 
 def _result(seed: int, size: Size, faults: list[Fault], ledger: Ledger) -> Result:
-    outcomes = Counter(reply.why or str(reply.status) for reply in ledger.replies)
+    outcomes = Counter(reply.failure or str(reply.status) for reply in ledger.replies)
     return Result(
         seed,
         size,
         faults,
-        ledger.broken(),
+        ledger.violations(),
         dict(outcomes),
         ledger.unjudged,
         _series(ledger),
@@ -114,7 +133,7 @@
 
 
 def _series(ledger: Ledger) -> list[tuple[int, int, int, int]]:
-    """Return second, served, refused and failed of each second."""
+    """Return for each second: the second, and the requests served, refused, failed."""
     seconds: dict[int, list[int]] = {}
     for reply in ledger.replies:
         row = seconds.setdefault(int(reply.at), [0, 0, 0])
@@ -124,10 +143,12 @@
     return [(second, *row) for second, row in sorted(seconds.items())]
 
 
-def play_in(seed: int, size: Size, keep: Path | None = None) -> Result:
-    """Play one run in a directory that is kept, or else removed at the end."""
-    if keep is not None:
-        keep.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(play(seed, size, keep))
+def run_in_directory(
+    seed: int, size: Size, kept_directory: Path | None = None
+) -> Result:
+    """Perform one run in `kept_directory`, or in a temporary directory."""
+    if kept_directory is not None:
+        kept_directory.mkdir(parents=True, exist_ok=True)
+        return asyncio.run(run_soak(seed, size, kept_directory))
     with tempfile.TemporaryDirectory() as path:
-        return asyncio.run(play(seed, size, Path(path)))
+        return asyncio.run(run_soak(seed, size, Path(path)))
--- a/examples/drive_core.py
+++ b/examples/drive_core.py
@@ -1,8 +1,9 @@
-"""Drives two host cores without any I/O: own clock, own transport, own platform.
+"""Drives two host cores without any I/O, with its own clock, transport and platform.
 
-Shows what a driver owes the core: every event with the time, every action carried out
-in order, and a tick now and then (each 20 ms while `HostCore.busy`, else each 100 ms).
-Run it with ``python examples/drive_core.py``.
+The example shows what a driver has to do for the core: it passes every event together
+with the time, carries out every action in order, and passes a `Tick` every 20 ms while
+`HostCore.busy` is set and every 100 ms otherwise. Run it with
+``python examples/drive_core.py``.
 """
 
 import random
@@ -48,7 +49,7 @@
 
 
 class Driver:
-    """A clock, a transport that delivers in order, a platform that is a dict."""
+    """Drives the cores with a clock, an in-order transport and a platform in a dict."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -76,12 +77,12 @@
         self.run(2.0)
 
     def run(self, seconds: float) -> None:
-        """Let time pass in small steps."""
+        """Advance the clock in steps of `STEP_S` and complete the attempts due."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             for host_id in self.cores:
                 self._feed(host_id, Tick())
-            self._serve()
+            self._complete_attempts()
 
     def request(self, host_id: str, request_id: str) -> None:
         """Let a request arrive at a host."""
@@ -91,8 +92,8 @@
     def _feed(self, host_id: str, event: object) -> None:
         self._queue.append((host_id, event))
         while self._queue:
-            target, what = self._queue.popleft()
-            for action in self.cores[target].handle(what, self.now):
+            target, queued_event = self._queue.popleft()
+            for action in self.cores[target].handle(queued_event, self.now):
                 self._carry_out(target, action)
 
     def _carry_out(self, host_id: str, action: act.Action) -> None:
@@ -119,19 +120,23 @@
             for host_id in self.cores:
                 self._queue.append((host_id, ConfigSeen([entry], self._revision)))
 
-    def _serve(self) -> None:
+    def _complete_attempts(self) -> None:
         due = [item for item in self._running if item[0] <= self.now]
         self._running = [item for item in self._running if item[0] > self.now]
-        for _, host_id, order in due:
+        for _, host_id, attempt_action in due:
             self.answered += 1
             ended = AttemptEnded(
-                order.request_id, order.attempt, Ending.ANSWERED, SERVICE_S, 200
+                attempt_action.request_id,
+                attempt_action.attempt,
+                Ending.ANSWERED,
+                SERVICE_S,
+                200,
             )
             self._feed(host_id, ended)
 
 
 def main() -> Driver:
-    """Send a hundred requests at once to both hosts and show what became of them."""
+    """Send 100 requests at once, spread over both hosts, and print the outcomes."""
     driver = Driver()
     driver.start()
     for num in range(100):
