--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -238,7 +238,7 @@
 
     def _update_gauges(self, now: float) -> None:
         metrics = self.gateway.metrics
-        metrics.set_gauge("requests.running", self.entry.running)
+        metrics.set_gauge("requests.running", self.entry.running_requests)
         metrics.set_gauge("callers.connections", self.entry.server.connections)
         metrics.set_gauge("store.calls", self._store.calls)
         measure_host(self.gateway, now)
@@ -302,7 +302,7 @@
         gateway.roster.leaving = True
         gateway.quotas.leave(gateway.times())
         self._peers.announce()
-        logs.event("host-leaving", running=self.entry.running)
+        logs.event("host-leaving", running=self.entry.running_requests)
         started_at = gateway.now()
         leave_task = asyncio.get_running_loop().create_task(self._hosts.leave())
         await asyncio.sleep(min(ACCEPT_WHILE_LEAVING_S, gateway.cfg.bounds.grace_s / 2))
@@ -314,10 +314,10 @@
         leave_task.cancel()
         await asyncio.gather(leave_task, return_exceptions=True)
         gateway.crashes.close()
-        logs.event("host-stopped", cut=self.entry.running)
+        logs.event("host-stopped", cut=self.entry.running_requests)
 
-    async def _wait_for_requests(self, deadline: float) -> None:
-        """Wait until every request is answered, at most until `deadline`.
+    async def _wait_for_requests(self, deadline_at: float) -> None:
+        """Wait until every request is answered, at most until `deadline_at`.
 
         Guards against a connection that is accepted while the listener closes, and so
         is not closed with the idle connections. Its request may arrive after the host
@@ -328,12 +328,12 @@
 
         Parameters
         ----------
-        deadline : float
+        deadline_at : float
             Monotonic time in seconds.
         """
         quiet_since = self.gateway.now()
-        while (now := self.gateway.now()) < deadline:
-            if self.entry.running:
+        while (now := self.gateway.now()) < deadline_at:
+            if self.entry.running_requests:
                 quiet_since = now
             elif (
                 not self.entry.server.connections
--- a/lacewingcross/gateway/attempt_series.py
+++ b/lacewingcross/gateway/attempt_series.py
@@ -120,7 +120,7 @@
         budget = steering.budget(self._service)
         budget.earn()
         while True:
-            refused_for_s = self._repeated_request.check_quarantine()
+            refused_for_s = self._repeated_request.apply_quarantine()
             if refused_for_s:
                 return self._quarantined(refused_for_s)
             choice = self._choose()
--- a/lacewingcross/gateway/callers.py
+++ b/lacewingcross/gateway/callers.py
@@ -27,17 +27,17 @@
 
     Attributes
     ----------
-    running : int
+    running_requests : int
         Number of requests that are running.
     server : HttpServer
         The listener and the connections of callers.
     """
 
-    __slots__ = ("_gateway", "running", "server")
+    __slots__ = ("_gateway", "running_requests", "server")
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
-        self.running = 0
+        self.running_requests = 0
         limit = max(64, gateway.cfg.max_descriptors - RESERVED_DESCRIPTORS)
         self.server = HttpServer(
             self._handle,
@@ -66,8 +66,8 @@
         self.server.idle_timeout_s = limits.idle_timeout_s
 
     async def _handle(self, exchange: Exchange) -> None:
-        self.running += 1
+        self.running_requests += 1
         try:
             await RequestRun(self._gateway, exchange).run()
         finally:
-            self.running -= 1
+            self.running_requests -= 1
--- a/lacewingcross/gateway/frame.py
+++ b/lacewingcross/gateway/frame.py
@@ -42,10 +42,10 @@
     if not request_id:
         raise FrameError(f"expected {ph.REQUEST_ID.decode()}")
     try:
-        remaining = hd.milliseconds(headers, ph.REMAINING_MS)
+        remaining_s = hd.milliseconds(headers, ph.REMAINING_MS)
     except ValueError as exc:
         raise FrameError(str(exc)) from exc
     host_name = hd.find(headers, b"host").partition(":")[0].lower()
     path = target.partition("?")[0]
     key = hd.find(headers, ph.AFFINITY_KEY)
-    return Frame(request_id, key, host_name, path, remaining or 0.0)
+    return Frame(request_id, key, host_name, path, remaining_s or 0.0)
--- a/lacewingcross/gateway/gossip_sender.py
+++ b/lacewingcross/gateway/gossip_sender.py
@@ -99,7 +99,7 @@
         known = gateway.steering.placement.known
         counts = known.in_flight()
         handled = known.take_newly_handled()
-        subscribes = subscriptions(gateway.roster, now)
+        wanted_host_ids = subscriptions(gateway.roster, now)
         # Most links got the same counts last time, which is one and the same dict, so
         # they share one encoded frame. Its key is whether this host wants updates from
         # the receiver, whether the receiver is active, and the identity of that dict.
@@ -111,7 +111,7 @@
                 continue
             if not active or now - link.last_full_counts_at >= FULL_COUNTS_INTERVAL_S:
                 link.last_counts = None
-            variant = (host_id in subscribes, active, id(link.last_counts))
+            variant = (host_id in wanted_host_ids, active, id(link.last_counts))
             if variant not in frames:
                 state = (
                     (counts, handled, link.last_counts) if active else ({}, [], None)
@@ -277,24 +277,24 @@
 
 
 def signal_messages(
-    gate: SendGate, known: Container[str], now: float
+    gate: SendGate, known_server_ids: Container[str], now: float
 ) -> Iterator[msg.Message]:
     """Yield the messages with what servers have announced to a host itself.
 
-    Departures are sent only for servers that are still in `known`: hundreds of servers
-    leave each day, and a server that is already gone need not be announced.
+    Departures are sent only for servers that are still in `known_server_ids`: hundreds
+    of servers leave each day, and a server that is already gone need not be announced.
 
     Parameters
     ----------
     gate : SendGate
         Holds the signals of servers.
-    known : container of str
+    known_server_ids : container of str
         Ids of the servers that this host knows from the store.
     now : float
         Monotonic time in seconds.
     """
     departures = gate.departures.own_observations()
-    leaving = [server for server in departures if server[0] in known]
+    leaving = [server for server in departures if server[0] in known_server_ids]
     for batch in _batches(leaving):
         yield msg.ServersLeaving(batch)
     items = [
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -99,8 +99,8 @@
         ring_group = next_hops(roster) if message.hops == 0 else frozenset()
         frame = b""
         for host_id, link in self._links.items():
-            needs = host_id in ring_group or host_id not in roster.active
-            if not needs or host_id == info.host_id:
+            needs_change = host_id in ring_group or host_id not in roster.active
+            if not needs_change or host_id == info.host_id:
                 continue
             frame = frame or encode(replace(message, hops=message.hops + 1))
             link.send_frame(frame, msg.StoreChanges)
--- a/lacewingcross/gateway/quota_admission.py
+++ b/lacewingcross/gateway/quota_admission.py
@@ -152,8 +152,8 @@
         ledger = self._quotas.ledger
         for account in self._counted_accounts:
             self._metrics.set_gauge(f"accounts.unpaid.{account}", ledger.debt(account))
-            kept_share = self._quotas.keeper.lent_share(account)
-            self._metrics.set_gauge(f"accounts.kept.{account}", kept_share)
+            lent_share = self._quotas.keeper.lent_share(account)
+            self._metrics.set_gauge(f"accounts.kept.{account}", lent_share)
 
     def receive(
         self, info: HostInfo, incarnation: int, message: msg.QuotaMessage
--- a/lacewingcross/gateway/repeats.py
+++ b/lacewingcross/gateway/repeats.py
@@ -72,11 +72,11 @@
             self._fingerprint = fingerprint_of(identity, self._body.parts)
         return self._fingerprint
 
-    def check_quarantine(self) -> float:
-        """Return for how many seconds the request is refused, 0 if it may run.
+    def apply_quarantine(self) -> float:
+        """Return for how many seconds the request is refused, 0 if it may run now.
 
         A quarantined request is refused, unless its trial is due and this is the host
-        that runs the trial. Then the trial begins with this call.
+        that runs the trial. In that case this call begins the trial.
         """
         quarantine = self._gateway.crashes.ledger.quarantine
         held = quarantine.get(self.fingerprint) if quarantine else None
--- a/lacewingcross/gateway/routed_request.py
+++ b/lacewingcross/gateway/routed_request.py
@@ -14,7 +14,7 @@
 class RoutedRequest:
     """A caller's request whose route is known.
 
-    `deadline` is a monotonic time in seconds.
+    `deadline_at` is a monotonic time in seconds.
     """
 
     exchange: Exchange
@@ -23,8 +23,8 @@
     terms: Terms
     caller_account: CallerAccount
     body: CallerBody
-    deadline: float
+    deadline_at: float
 
     def time_left_s(self, now: float) -> float:
         """Return the time until the deadline, in seconds."""
-        return max(0.0, self.deadline - now)
+        return max(0.0, self.deadline_at - now)
--- a/lacewingcross/gateway/signals.py
+++ b/lacewingcross/gateway/signals.py
@@ -93,11 +93,11 @@
     now = gateway.now()
     for server_id, born_ms, rate, age_s in message.items:
         # A negative rate in the message stands for no limit.
-        limit = rate if rate >= 0.0 else None
+        limit_per_s = rate if rate >= 0.0 else None
         if rates.learn_from_peer(
-            (server_id, born_ms), limit, now - max(0.0, age_s), now
+            (server_id, born_ms), limit_per_s, now - max(0.0, age_s), now
         ):
-            _apply_limit(gateway, (server_id, born_ms), limit, source, age_s)
+            _apply_limit(gateway, (server_id, born_ms), limit_per_s, source, age_s)
 
 
 def _log_leaving(server: Incarnation, source: str) -> None:
@@ -107,7 +107,7 @@
 def _apply_limit(
     gateway: Gateway,
     server: Incarnation,
-    rate: float | None,
+    limit_per_s: float | None,
     source: str,
     age_s: float = 0.0,
 ) -> None:
@@ -119,7 +119,7 @@
         Shared state of this host.
     server : Incarnation
         The server that has announced the limit.
-    rate : float or None
+    limit_per_s : float or None
         Requests a second from all hosts together; None for no limit.
     source : str
         Id of the host that got the announcement, or `OWN`.
@@ -134,8 +134,8 @@
         "server-limit",
         server=server[0],
         born_ms=server[1],
-        limit_per_s="none" if rate is None else rate,
-        here_per_s="any" if rate is None else round(own_rate_per_s, 3),
+        limit_per_s="none" if limit_per_s is None else limit_per_s,
+        here_per_s="any" if limit_per_s is None else round(own_rate_per_s, 3),
         source=source,
         age_ms=int(1000 * age_s),
     )
--- a/lacewingcross/gateway/store_follower.py
+++ b/lacewingcross/gateway/store_follower.py
@@ -49,14 +49,20 @@
         two revisions.
     """
 
-    __slots__ = ("_watch_election", "_gateway", "_unreachable", "_publish", "_store")
+    __slots__ = (
+        "_watch_election",
+        "_gateway",
+        "_store_unreachable",
+        "_publish",
+        "_store",
+    )
 
     def __init__(self, gateway: Gateway, store: ObjectStore, publish: Publish) -> None:
         self._watch_election = gateway.watch_election
         self._gateway = gateway
         self._store = store
         self._publish = publish
-        self._unreachable = False
+        self._store_unreachable = False
 
     def watch_loop(self, kind: Kind) -> Callable:
         """Return the coroutine function that keeps one kind up to date."""
@@ -134,8 +140,8 @@
     def _note_failure(self, kind: Kind, exc: PlatformError) -> None:
         self._gateway.metrics.count(f"store.{exc.code}")
         self._watch_election.failed(self._gateway.now())
-        if not self._unreachable:
-            self._unreachable = True
+        if not self._store_unreachable:
+            self._store_unreachable = True
             logs.event(
                 "store-lost",
                 "WARNING",
@@ -147,8 +153,8 @@
 
     def _note_success(self) -> None:
         self._watch_election.succeeded()
-        if self._unreachable:
-            self._unreachable = False
+        if self._store_unreachable:
+            self._store_unreachable = False
             logs.event("store-regained")
 
 
