--- a/tests/test_rate_limits_gateway.py
+++ b/tests/test_rate_limits_gateway.py
@@ -27,20 +27,20 @@
     return max((sum(t <= x < t + window_s for x in times) for t in times), default=0)
 
 
-def naming(rate, arrivals):
+def naming(rate_per_s, arrivals):
     """Return the behaviour of a server that announces a limit and records arrivals."""
 
     async def behave(received, writer):
         arrivals.append(time.monotonic())
-        extra = f"Server-Limit: {rate}\r\n".encode()
+        extra = f"Server-Limit: {rate_per_s}\r\n".encode()
         writer.write(answer(received.request_id, extra=extra))
 
     return behave
 
 
-async def send_for(apps, seconds, *, every_s=0.03):
+async def send_for(apps, duration_s, *, every_s=0.03):
     """Send requests with 20 keys to all hosts, round robin; return the responses."""
-    end_at = time.monotonic() + seconds
+    end_at = time.monotonic() + duration_s
     sent = []
     indexes = itertools.count()
     while time.monotonic() < end_at:
