--- a/lacewingcross/gateway/app.py
+++ b/lacewingcross/gateway/app.py
@@ -45,8 +45,9 @@
 SHARE_REVIEW_TICKS = 5
 # How long a leaving host still accepts new connections, in seconds, but at most half of
 # `Bounds.grace_s`. Callers keep the answer to a look-up for up to three times its
-# lifetime, 3 * 1.5 s. This time covers two lifetimes. A caller that keeps an answer for
-# longer may still use this host after its listener has closed, and is refused.
+# lifetime, 3 * 1.5 s. This time covers two lifetimes, and so do the 3 s that remain of
+# it with the default `Bounds.grace_s`. A caller that keeps an answer for longer may
+# still use this host after its listener has closed, and is refused.
 ACCEPT_WHILE_LEAVING_S = 3.2
 # How long before the platform kills the process the host stops waiting for requests, in
 # seconds. The platform kills it `Bounds.grace_s` after the shutdown began.
--- a/lacewingcross/gateway/context.py
+++ b/lacewingcross/gateway/context.py
@@ -18,8 +18,9 @@
 from .quota_admission import QuotaAdmission
 from .settings import GatewaySettings
 
-# How long after its start a host waits for the list of hosts, in seconds. Then it takes
-# part in the election of hosts that watch the store with the hosts that it knows.
+# How long after its start a host waits for the list of hosts, in seconds. After that it
+# takes part in the election of the hosts that watch the store even without the list. It
+# then ranks itself among the hosts that it knows.
 # Reading the list takes 10 ms, and 250 ms when the store is slow.
 MAX_UNLISTED_S = 1.0
 
--- a/lacewingcross/gateway/quota_admission.py
+++ b/lacewingcross/gateway/quota_admission.py
@@ -21,9 +21,10 @@
 
 # How often charges and leases that are due are sent, in seconds.
 SEND_INTERVAL_S = 0.04
-# How often a host checks for due messages if it holds no share and has no charges that
-# are to be sent or paid, in seconds. A request ends the pause early. Checks at
-# `SEND_INTERVAL_S`, 25 a second, would be most of the work of a standby host.
+# How often a host checks for due messages, in seconds, if it neither holds nor recently
+# held a share of the quotas and has no charges that are to be sent or paid. A request
+# ends the pause early. Checks at `SEND_INTERVAL_S`, 25 a second, would be most of the
+# work of a standby host.
 IDLE_INTERVAL_S = 0.25
 # Maximum number of accounts with counters of their own. All other accounts are counted
 # together under the name ``others``.
@@ -146,8 +147,9 @@
     def measure(self) -> None:
         """Set the gauges of the accounts that have counters of their own.
 
-        They are the debt of an account and the share of its quota that is lent to this
-        host.
+        The gauges are the debt of an account and the share of its quota that is lent to
+        this host. If requests were counted under ``others``, that name has gauges too;
+        they do not sum up those accounts.
         """
         ledger = self._quotas.ledger
         for account in self._counted_accounts:
--- a/lacewingcross/gateway/reply.py
+++ b/lacewingcross/gateway/reply.py
@@ -64,9 +64,11 @@
         self.service = ""
 
     async def deliver(self, run: AttemptRun, answer: Answer) -> None:
-        """Send the server's response to the caller unchanged.
+        """Send the server's response to the caller, with unchanged status and body.
 
-        The body of a large response is forwarded as it arrives.
+        Headers that concern only the connection to the server are left out. A host that
+        is leaving adds headers that make the caller use another host. The body of a
+        large response is forwarded as it arrives.
         """
         head = answer.head
         fields = answer_for_caller(head) + self._gateway.closing_headers()
@@ -101,7 +103,8 @@
     async def finish(self, host_answer: HostAnswer) -> None:
         """Send an answer of this host's own.
 
-        If a response was already begun, the caller's connection is aborted instead.
+        If a response was already begun, the caller's connection is aborted instead, and
+        nothing is logged here.
         """
         if self._exchange.started:
             self._exchange.abort()
--- a/lacewingcross/gateway/request.py
+++ b/lacewingcross/gateway/request.py
@@ -94,7 +94,7 @@
     async def _admitted_by_quota(self, terms: Terms) -> bool:
         """Count the request against its account's quota; return whether it is admitted.
 
-        If the quota is used up, the refusal is sent. All of this happens before the
+        If the quota is used up, the refusal is sent. The quota is checked before the
         request is placed or queued. A refused request has therefore not run and holds
         no slot or connection.
         """
--- a/lacewingcross/platform/directory.py
+++ b/lacewingcross/platform/directory.py
@@ -29,7 +29,7 @@
 
 
 def decode_question(target: str) -> LookupQuestion | None:
-    """Return the look-up in a request target, or None if the path is another one."""
+    """Return the look-up in a request target, None if its path is no `LOOKUP_PATH`."""
     path, _, query = target.partition("?")
     if path != LOOKUP_PATH:
         return None
--- a/lacewingcross/platform/object_api.py
+++ b/lacewingcross/platform/object_api.py
@@ -15,8 +15,8 @@
 from ..http1_json import JSON_TYPE
 
 # Timeout of a call, in seconds. A platform that is only slow answers within a few
-# hundred milliseconds. A longer silence counts as an outage, so that another source is
-# used in time.
+# hundred milliseconds. A longer silence counts as an outage, so that another source of
+# the data, such as another host, is used in time.
 CALL_TIMEOUT_S = 1.0
 _ERROR_CODES = {
     400: "bad-request",
--- a/lacewingcross/platform/settings.py
+++ b/lacewingcross/platform/settings.py
@@ -13,7 +13,7 @@
 SETTINGS_VARIABLE = "LACEWINGCROSS_BOOT"
 
 # Fields of `Bounds` by the platform's names for these guarantees. The platform may add
-# names and requires that unknown ones are ignored.
+# names and requires that a host ignores names that it does not know.
 _BOUND_FIELDS = {
     "drain_s": "drain_s",
     "grace_s": "grace_s",
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -223,7 +223,7 @@
 async def test_a_server_that_one_host_saw_end_is_passed_over_by_the_others():
     # A server crashes. If each host had to find out by a request of its own that the
     # server no longer listens, callers would be refused while servers crash one after
-    # the other, since both servers tried for a request have crashed.
+    # the other, since both servers tried for a request may have crashed.
     async with fleet() as env:
         env.configure()
         async with crashing_servers(env, 4) as servers:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -257,8 +257,8 @@
 @in_loop
 async def test_one_host_of_all_regions_watches_the_store_for_the_others():
     # Every call to the store costs money, also one that waits for changes. If each host
-    # watched three kinds, the calls would cost more than all processor time of the
-    # hosts.
+    # watched all four kinds of objects, the calls would cost more than all processor
+    # time of the hosts.
     async with fleet() as env:
         env.configure()
         await env.add_server(answers_at_once)
--- a/tests/test_leaving_gateway.py
+++ b/tests/test_leaving_gateway.py
@@ -11,12 +11,13 @@
 
 @in_loop
 async def test_a_request_that_comes_as_the_listener_closes_is_answered(monkeypatch):
-    # A host is asked to stop. It serves for three more seconds, closes its listener and
-    # the idle connections, finds no request running, and stops. A connection that is
-    # being accepted at that moment is in no list yet and stays open. Its booking is
-    # sent to a server, which runs it, but the caller gets no answer. The host's log
-    # shows `host-stopped ... cut=0` and, a millisecond later, `request-placed` for the
-    # booking.
+    # Guards against a host that stops while a request is still arriving. The host
+    # serves for three more seconds, closes its listener and the idle connections, and
+    # finds no request running. A connection accepted at that moment is in no list
+    # yet and stays open. If the host stopped then, the booking on this connection would
+    # be sent to a server, which runs it, but the caller would get no answer. The host's
+    # log would show `host-stopped ... cut=0` and, a millisecond later, `request-placed`
+    # for the booking. The host waits until no request has been running for a while.
     monkeypatch.setattr(gateway_app, "ACCEPT_WHILE_LEAVING_S", 0.2)
     monkeypatch.setattr(ServerConnection, "close_if_idle", lambda self: None)
 
