--- a/lacewingcross/gateway/attempt_feedback.py
+++ b/lacewingcross/gateway/attempt_feedback.py
@@ -44,7 +44,12 @@
 
 
 def record_result(gateway: Gateway, choice: Choice, result: AttemptResult) -> None:
-    """Record the result of an attempt in the server's health, latency and load."""
+    """Record the result of an attempt in the server's health, latency and load.
+
+    The share of failed attempts of the server's service is updated too if the server
+    has responded, also if it has shed the request, or if the attempt broke while its
+    caller was there.
+    """
     now = gateway.now()
     server = choice.server
     if result.answer is not None:
--- a/lacewingcross/gateway/backend_connection.py
+++ b/lacewingcross/gateway/backend_connection.py
@@ -12,8 +12,9 @@
 from ..sockets import set_silence_timeout
 
 MAX_HEAD_BYTES = 64 * 1024
-# Idle time assumed if a server sends no Keep-Alive timeout, in seconds. It is short,
-# since a request that is sent while the server closes the connection fails.
+# Idle time assumed if a server sends no Keep-Alive timeout that is a whole number, in
+# seconds. It is short, since a request that is sent while the server closes the
+# connection fails.
 DEFAULT_KEEP_ALIVE_S = 5.0
 # Share of the server's idle time (granted or assumed) during which the connection may
 # be used again, so that no request is sent while the server closes the connection.
@@ -42,7 +43,8 @@
     transport : asyncio.Transport or None
         The transport, once connected.
     used_at : float
-        Monotonic time at which the last exchange ended, in seconds.
+        Monotonic time from which the idle time counts, in seconds: the end of the last
+        exchange, or for an unused connection the time when it was first pooled.
     """
 
     __slots__ = (
--- a/lacewingcross/gateway/backends.py
+++ b/lacewingcross/gateway/backends.py
@@ -150,7 +150,7 @@
         self._open_counts[server.incarnation] -= 1
 
     def sweep(self) -> None:
-        """Close lost connections, and those idle for too long to be used again."""
+        """Close connections that are lost, or were idle for too long to be reused."""
         now = self._now()
         for incarnation, idle in list(self._idle.items()):
             for conn in list(idle):
--- a/lacewingcross/gateway/crashes.py
+++ b/lacewingcross/gateway/crashes.py
@@ -146,7 +146,7 @@
 
         The server counts as crashed only if its address refuses connections, or if
         another host has reported the crash meanwhile. A connection that the server
-        accepts and keeps open is pooled: it replaces the one that broke.
+        accepts and keeps open is pooled: it replaces the connection that broke.
         """
         reason = "silent"
         for _ in range(MAX_CHECKS):
--- a/lacewingcross/gateway/peers.py
+++ b/lacewingcross/gateway/peers.py
@@ -66,8 +66,8 @@
     def publish(self, update: Update) -> None:
         """Send an update that this host has read from the store to other hosts.
 
-        They are the active hosts that `first_hops` returns, and all linked standby
-        hosts.
+        The receivers are the linked hosts among the active hosts that `first_hops`
+        returns, and all linked standby hosts.
         """
         frame = encode(changes_message(update, fresh=True))
         roster = self.gateway.roster
--- a/lacewingcross/gateway/quarantine_store.py
+++ b/lacewingcross/gateway/quarantine_store.py
@@ -13,9 +13,10 @@
 # How often quarantines are compared with the store, in seconds.
 REVIEW_INTERVAL_S = 0.1
 # A host that itself saw one of the crashes behind a quarantine stores the quarantine at
-# once. If that host dies before it has done so, other hosts step in, in order of their
-# rank among the hosts that may watch the store. The host of rank 0 steps in this long
-# after it learned of the quarantine, in seconds, and each further rank this much later.
+# once. If that host crashes before it has done so, other hosts step in, in order of
+# their rank among the hosts that may watch the store. The host of rank 0 steps in this
+# long after it learned of the quarantine, in seconds, and each further rank this much
+# later.
 STEP_IN_DELAY_S = 0.5
 
 
--- a/lacewingcross/gateway/store_follower.py
+++ b/lacewingcross/gateway/store_follower.py
@@ -268,11 +268,12 @@
     async def _register(self) -> None:
         """Register this host unless it is registered already, and find other hosts.
 
-        The list is read after this host was added to it: of two hosts that start
-        together, at least one finds the other and sends it a `Hello`. A host that was
-        killed is still in the list when it starts again, and need not be written. That
-        saves two of six calls when a fleet starts again. When the whole system starts
-        for the first time, no host is registered, so the list is not read first.
+        A host that is not in the list adds itself and reads the list after that: of two
+        hosts that start together, at least one finds the other and sends it a `Hello`.
+        A host that was killed is still in the list when it starts again. It reads the
+        list first, finds itself there and does not write its entry. That saves two of
+        six calls when a fleet starts again. When the whole system starts for the first
+        time, no host is registered, so the list is not read first.
         """
         if not self._gateway.cfg.first_start and await self._read_list(stale=False):
             self._gateway.roster.was_listed = True
@@ -281,7 +282,7 @@
         await self._read_list(stale=False)
 
     async def _read_list(self, *, stale: bool) -> bool:
-        """Add the registered hosts to the roster.
+        """Add the registered hosts to the roster and update this host's rank.
 
         Returns
         -------
