--- a/lacewingcross/embedded.py
+++ b/lacewingcross/embedded.py
@@ -15,8 +15,8 @@
 from .standins.backend import BackendStandin
 from .standins.platform import PlatformStandin
 
-# Range of listener ports, below the ephemeral ports that the system assigns to outgoing
-# connections (32768 and above on Linux).
+# Range of listener ports, without `LAST_PORT` itself. The range is below the ephemeral
+# ports that the system assigns to outgoing connections (32768 and above on Linux).
 FIRST_PORT = 12_000
 LAST_PORT = 32_000
 
@@ -24,9 +24,11 @@
 def free_ports() -> Iterator[int]:
     """Yield ports that were free when checked, each at most once.
 
-    Failure: a port that the system chose (by binding port 0) is free again until its
-    listener opens. Meanwhile, the system may assign it to an outgoing connection of any
-    process, and the listener finds its address in use while that connection lasts.
+    Guards against a listener that finds its address in use. A port that the system
+    chooses (by binding port 0) is an ephemeral port and is free again until its
+    listener opens. Meanwhile, the system may assign the port to an outgoing connection
+    of any process, and the address stays in use while that connection lasts. The system
+    does not assign the ports of this range to outgoing connections by default.
     """
     port_count = LAST_PORT - FIRST_PORT
     start = secrets.randbelow(port_count)
@@ -67,7 +69,10 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def start(self) -> None:
-        """Start everything and wait until the configuration is in force."""
+        """Start the stand-ins and hosts and apply the resources of the layout.
+
+        Return after the configuration is in force and every host has its plans.
+        """
         await self.platform.start()
         for backend in self.backends.values():
             await backend.start()
@@ -91,7 +96,7 @@
         return set(view.plans) == set(view.config.policies)
 
     def start_host(self, cfg: HostSettings) -> HostApp:
-        """Start one host."""
+        """Start one host as a task; return without waiting until it serves."""
         app = HostApp(cfg, rng=random.Random(self._rng.random()), policy=self._policy)
         stop = asyncio.Event()
         self.hosts[cfg.host_id] = app
--- a/lacewingcross/host/app.py
+++ b/lacewingcross/host/app.py
@@ -53,7 +53,8 @@
     clock : Clock, optional
         Source of time; by default the system clock.
     rng : random.Random, optional
-        Source of jitter and of this process's incarnation number.
+        Source of the core's random choices, of jitter and of the incarnation number of
+        this process.
     policy : KeeperPolicy, optional
         Admission settings of the slot keepers.
     """
@@ -128,10 +129,11 @@
     async def _finish_requests(self) -> None:
         """Leave the look-up answers, then finish every request without a time limit.
 
-        Failure: a host that closes its listener first refuses callers that a look-up
-        sent to it a moment ago, and a host that exits at once cuts uploads. So this
-        host announces its shutdown and serves callers for `SHUTDOWN_NOTICE_S` more,
-        while the announcement reaches the other hosts.
+        Guards against refused callers and truncated uploads. A host that closed its
+        listener first would refuse callers that a look-up sent to it a moment ago, and
+        a host that exited at once would cut uploads. This host therefore announces its
+        shutdown, serves callers for `SHUTDOWN_NOTICE_S` seconds more, while the
+        announcement reaches the other hosts, and exits only when it is idle.
         """
         self.runtime.dispatch(ShutdownAsked())
         await asyncio.sleep(SHUTDOWN_NOTICE_S)
--- a/lacewingcross/host/backends/pool.py
+++ b/lacewingcross/host/backends/pool.py
@@ -25,8 +25,8 @@
     Attributes
     ----------
     limits : dict of str to int
-        Maximum number of open connections for each address; an address without an
-        entry has `DEFAULT_MAX_CONNECTIONS`.
+        Maximum number of connections that this host opens to each backend server's
+        address; an address without an entry has `DEFAULT_MAX_CONNECTIONS`.
     """
 
     __slots__ = ("_idle", "_now", "_open", "_ssl", "limits")
@@ -43,10 +43,12 @@
     async def take(self, address: str, *, repeatable: bool) -> ClientConnection:
         """Return an idle connection, or open a new one.
 
-        Failure: a server closes an idle connection at the moment when this host writes
-        a request to it. A repeatable request can be tried again; the outcome of any
-        other request would be unknown. So a request that is not repeatable gets only
-        a connection that was used within `MAX_IDLE_UNREPEATABLE_S`, or a new one.
+        Guards against a server that closes an idle connection at the moment when this
+        host writes a request to it. A repeatable request can be tried again; the
+        outcome of any other request would be unknown. A request that is not repeatable
+        therefore gets only a connection that was used in the last
+        `MAX_IDLE_UNREPEATABLE_S` seconds, which a server is unlikely to close, or a new
+        one.
 
         Parameters
         ----------
@@ -58,8 +60,8 @@
         Raises
         ------
         HttpError
-            With ``sent=False``; with reason `CONNECTION_LIMIT` if the server's
-            connections are all in use.
+            With ``sent=False``; with reason `CONNECTION_LIMIT` if this host already
+            has as many connections to the server as `limits` allows, all in use.
         """
         idle = self._idle[address]
         min_used_at = self._now() - (
--- a/lacewingcross/host/entry/attempt.py
+++ b/lacewingcross/host/entry/attempt.py
@@ -19,19 +19,20 @@
 class RequestBody:
     """The body of the caller's request.
 
-    The part that was read is kept for a further attempt, as long as it has at most
-    `MAX_REPLAY_BYTES`.
+    The part of the body that was read is kept for a further attempt, as long as it has
+    at most `MAX_REPLAY_BYTES`.
 
     Attributes
     ----------
     exchange : Exchange
         The caller's exchange.
     chunks : list of bytes
-        The part that was read, in order; empty once the body is too large.
+        The part of the body that was read, in order; empty once it is too large.
     size : int
         Bytes read so far.
     replayable : bool
-        Whether a further attempt can send the body again.
+        Whether a further attempt can send the body again: true until more than
+        `MAX_REPLAY_BYTES` of it were read.
     """
 
     exchange: Exchange
@@ -42,9 +43,10 @@
     async def read_if_small(self) -> None:
         """Read the whole body if its declared length allows a replay.
 
-        This happens before the host asks for a slot. Failure: a caller sends a few
-        bytes and stalls; if its request was at a backend server by then, it would
-        hold a slot for as long as it likes.
+        Guards against a caller that sends a few bytes and stalls. If its request were
+        at a backend server by then, the caller could hold a slot for any time. The body
+        is read before this host requests a slot, so a stalled caller holds none. A body
+        that is chunked or longer than `MAX_REPLAY_BYTES` is not read here.
         """
         length = hd.find(self.exchange.head.headers, hd.CONTENT_LENGTH)
         if not length or int(length) > MAX_REPLAY_BYTES:
@@ -53,7 +55,7 @@
             self._buffer(data)
 
     async def send_to(self, conn: ClientConnection) -> None:
-        """Send the part that was read and the rest as it arrives, and end the body."""
+        """Send the part that was read, then the rest as it arrives, and its end."""
         for data in self.chunks:
             await conn.send_body(data)
         while data := await self.exchange.read():
@@ -80,11 +82,12 @@
     pool : BackendPool
         Connections to backend servers.
     action : StartAttempt
-        The core's decision: which server, and within what time.
+        The core's decision: the server, and the times in which the attempt has to start
+        and to end.
     body : RequestBody
         The body of the caller's request.
     headers : list of (bytes, bytes)
-        Headers to forward, without the deadline.
+        Headers to forward, without the deadline, which the attempt adds.
 
     Attributes
     ----------
@@ -151,7 +154,10 @@
         return Ending.BROKEN if exc.sent else Ending.CONNECT_FAILED
 
     def _release_connection(self, ending: Ending) -> None:
-        """Reuse the connection only if request and answer were both complete."""
+        """Return the connection to the pool, or close it if the exchange broke off.
+
+        The pool also closes a connection whose request or answer is not complete.
+        """
         conn = self._conn
         self._conn = None
         if conn is None:
@@ -167,9 +173,10 @@
         self._conn = await self._pool.take(action.address, repeatable=action.repeatable)
         waited = self._runtime.now() - self._started
         if waited > action.start_within_s:
-            # Failure: this process was paused after the grant, and the permit's lease
-            # may be over. Starting now would use a slot that the keeper has meanwhile
-            # granted to another request.
+            # Guards against a pause of this process after the grant. The permit's lease
+            # may be over, and an attempt that starts now would use a slot that the
+            # keeper has meanwhile granted to another request. The clock is read after
+            # the pause, so the attempt ends before anything is sent.
             raise HttpError("lease-over", sent=False)
         conn = self._conn
         self._runtime.dispatch(FirstByteWritten(action.request_id, action.attempt))
@@ -204,6 +211,11 @@
             await asyncio.gather(sender, reader, return_exceptions=True)
 
     def _raise_if_caller_left(self, sender: asyncio.Task[None]) -> None:
+        """Raise the exception of a finished sender, unless the server caused it.
+
+        A server that reads no more of the body may still answer, so an `HttpError` of
+        the sender is not raised.
+        """
         exc = sender.exception()
         if exc is not None and not isinstance(exc, HttpError):
             raise exc
@@ -211,7 +223,10 @@
     async def _read_answer_head(
         self, reader: asyncio.Task[ResponseHead], sender: asyncio.Task[None]
     ) -> ResponseHead:
-        """Return the head of the answer, also if the server stops reading the body."""
+        """Return the head of the answer, also if the server stops reading the body.
+
+        If the caller leaves before the head arrives, its error is raised.
+        """
         tasks = {reader, sender} if not sender.done() else {reader}
         while not reader.done():
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -223,6 +238,7 @@
     async def _handle_answer(
         self, conn: ClientConnection, head: ResponseHead
     ) -> tuple[Ending, int]:
+        """Forward the answer, except a proof of the server that it ran nothing."""
         outcome = hd.find(head.headers, hd.OUTCOME)
         if head.status == 503 and outcome == NOT_RUN:
             async for _ in conn.read_body():
--- a/lacewingcross/host/mesh/links.py
+++ b/lacewingcross/host/mesh/links.py
@@ -23,13 +23,15 @@
 MAX_QUEUED_MESSAGES = 5000
 LINK_REVIEW_INTERVAL_S = 0.2
 SEED_INTERVAL_S = 0.3
+# How long a stream to a seed stays open after the hello, so that the seed can read it.
 SEED_HELLO_S = 1.0
 
 
 class Link:
     """An outgoing stream to one host, opened again whenever it breaks.
 
-    Only this side sends on the stream; the other host sends on a stream of its own.
+    Only this host sends on the stream; the other host sends on a stream of its own.
+    Messages that are queued when the stream breaks are dropped.
     """
 
     __slots__ = ("_mesh", "_queue", "host_id", "task")
@@ -59,7 +61,7 @@
             await asyncio.sleep(delay_s)
 
     async def _session(self) -> bool:
-        """Connect, send a hello and queued messages until the stream breaks.
+        """Connect, then send a hello and queued messages until the stream breaks.
 
         Returns
         -------
@@ -96,8 +98,9 @@
     address : str
         Where this host listens for other hosts.
     seeds : tuple of str
-        Peer addresses to send a hello to while no other host is known, so that a host
-        that starts in a platform outage still finds the fleet.
+        Peer addresses of other hosts. This host sends a hello to each of them while it
+        knows no other host, so that it finds the fleet even if it starts during a
+        platform outage.
     server_ssl, client_ssl : ssl.SSLContext, optional
         Mutual TLS, so that only hosts with a certificate join the fleet.
     """
@@ -144,6 +147,7 @@
         )
 
     def _send(self, action: SendPeer) -> None:
+        """Send a message to a known host; drop a message to any other host."""
         link = self._links.get(action.host_id)
         if link is None:
             if self.runtime.core.view.members.info(action.host_id) is None:
@@ -210,6 +214,7 @@
             writer.transport.abort()
 
     def _update_links(self) -> None:
+        """Close the links to forgotten hosts, and open those to new neighbours."""
         members = self.runtime.core.view.members
         neighbours = {st.info.host_id for st in members.others() if st.neighbour}
         forgotten = [hid for hid in self._links if members.info(hid) is None]
@@ -251,8 +256,10 @@
     ) -> None:
         """Refuse a hello whose host id differs from the name in the certificate.
 
-        Failure: with one stolen or mixed-up certificate a process can name any host
-        in its hello, and its messages are taken for messages of that host.
+        Guards against a process with a stolen or mixed-up certificate that names
+        another host in its hello. Without this check, its messages would be accepted as
+        messages of that host. A certificate names one host id, so the process can use
+        only the id in its certificate. Without TLS, nothing is checked.
         """
         if ssl_object is None:
             return
@@ -261,5 +268,6 @@
             raise FrameError("bad-hello", f"certificate of {name!r}, not this host")
 
     def _check_host_id(self, info: HostInfo) -> None:
+        """Refuse a hello that names this host's own id."""
         if info.host_id == self.runtime.core.view.own.host_id:
             raise FrameError("bad-hello", "another process uses this host's id")
--- a/lacewingcross/http1_connection.py
+++ b/lacewingcross/http1_connection.py
@@ -17,7 +17,7 @@
 HIGH_WATER = 64 * 1024
 LOW_WATER = 16 * 1024
 # Limit on pipelined data that is buffered while an earlier request is being handled:
-# about fifty requests.
+# room for about fifty requests of 1.3 kB each.
 MAX_READ_AHEAD_BYTES = 64 * 1024
 
 
@@ -30,7 +30,23 @@
 
 
 class Listener(Protocol):
-    """The part of the listener that its connections use."""
+    """The part of the listener that its connections use.
+
+    Attributes
+    ----------
+    closing : bool
+        The listener accepts no more connections, and each open one closes when its
+        current request is answered.
+    max_head : int
+        Limit on the bytes of a request head.
+    head_timeout_s, idle_timeout_s : float
+        Longest time without progress, in seconds, while a request head is incomplete
+        and between requests.
+    now : callable
+        Monotonic clock in seconds.
+    on_bad_input : callable
+        Called with the reason code of each refused connection or request.
+    """
 
     closing: bool
     max_head: int
@@ -41,7 +57,10 @@
     on_bad_input: Callable[[str], None]
 
     def admit(self, conn: "ServerConnection", client: str) -> str:
-        """Count a connection; return the reason to refuse it, or an empty string."""
+        """Count a connection; return the reason to refuse it, or an empty string.
+
+        A refused connection counts until it is unregistered.
+        """
         ...
 
     def unregister(self, conn: "ServerConnection", client: str) -> None:
@@ -107,7 +126,7 @@
             self._refuse(503, reason)
 
     def data_received(self, data: bytes) -> None:
-        """Answer a known look-up at once; pass all other data to h11."""
+        """Answer a request that the fast path knows; pass all other data to h11."""
         self._record_progress()
         fast_path = self._server.fast_path
         if fast_path is not None and self._is_idle():
@@ -140,7 +159,7 @@
                 self.exchange.on_gone()
 
     def pause_writing(self) -> None:
-        """Let writers wait, since the caller reads more slowly than data is written."""
+        """Make writers wait, since the caller reads too slowly."""
         self._drain_waiter = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
@@ -182,9 +201,10 @@
     def _read_ahead(self) -> None:
         """Keep reading while a request is being handled, up to a limit.
 
-        Failure: a caller pipelines a second request and then closes the connection. The
-        close is noticed only while reading; with reading paused, the server would keep
-        working on a response that nobody receives.
+        Guards against a caller that pipelines a second request and then closes the
+        connection. The close is noticed only while the server reads; with reading
+        paused, the server would keep working on a response that has no receiver.
+        Reading therefore goes on until `MAX_READ_AHEAD_BYTES` are buffered.
         """
         if len(self._h11.trailing_data[0]) >= MAX_READ_AHEAD_BYTES:
             self._pause_reading()
@@ -209,8 +229,9 @@
         )
         names = [name for name, _ in head.headers]
         if hd.CONTENT_LENGTH in names and hd.TRANSFER_ENCODING in names:
-            # Request smuggling: a proxy or server on the path may use the other one of
-            # the two lengths and take the rest of the body for a new request.
+            # Guards against request smuggling: h11 uses one of the two headers, and a
+            # proxy or server on the path may use the other one and take the rest of the
+            # body for a new request. A refused request is not forwarded.
             self._refuse(400, "ambiguous-length")
             return
         self._body_size = 0
@@ -282,7 +303,10 @@
             await self._drain_waiter
 
     def exchange_done(self, exchange: Exchange) -> None:
-        """Continue with the next request, or close when that is not possible."""
+        """Continue with the next request, or close when that is not possible.
+
+        The unread rest of a request body is discarded first.
+        """
         if self.exchange is not exchange:
             return
         self.exchange = None
@@ -344,10 +368,12 @@
     def sweep(self, now: float) -> None:
         """Close the connection when the caller has made no progress for too long.
 
-        A caller that sends very slowly or stalls occupies a connection without use. It
-        is recognized by a request head that is never completed or by a body without
-        progress. A request that waits for its backend server is not stalled, since the
-        caller has nothing to send or read at that time.
+        Without a request in progress, the limit is the idle timeout, or the head
+        timeout once a part of a request head was received. With a request in progress,
+        the caller stalls when it neither sends the body that is read nor reads the
+        response for `STALL_TIMEOUT_S`. A request that waits for its backend server is
+        not stalled, since the caller has nothing to send or read at that time. A body
+        that is being discarded has the time limit `DISCARD_TIMEOUT_S` in all.
         """
         seconds_since_progress = now - self.last_progress
         if self._discard_until:
--- a/lacewingcross/logs.py
+++ b/lacewingcross/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line of key=value pairs for each event, without blocking."""
+"""Structured logs: one line of key=value pairs for each event."""
 
 import asyncio
 import os
@@ -26,7 +26,7 @@
 
 
 def setup(level: str = "INFO", **context: object) -> None:
-    """Send events at or above `level` to standard error.
+    """Write events at or above `level` to standard error, with blocking writes.
 
     Parameters
     ----------
@@ -52,10 +52,11 @@
 class BoundedOutput:
     """Write lines to a file descriptor without blocking.
 
-    Failure: the process that reads the log output stops or is slow. A blocking write
+    Guards against a reader of the log output that stops or is slow. A blocking write
     would then stop the whole process and every request in it. Lines are therefore kept
-    in a bounded queue. Lines that do not fit are dropped and counted, and the count is
-    written as soon as there is room.
+    in a bounded queue, and only as much is written as the descriptor accepts. Lines
+    that do not fit are dropped and counted, and the count is written as soon as there
+    is room.
 
     Parameters
     ----------
@@ -64,6 +65,11 @@
     max_lines : int, default=5000
         Limit on queued lines; the default holds about ten seconds of output of one
         busy host.
+
+    Attributes
+    ----------
+    dropped : int
+        Dropped lines whose count has not been written yet.
     """
 
     __slots__ = (
@@ -138,7 +144,11 @@
 
 
 def setup_stdout(level: str = "INFO", **context: object) -> BoundedOutput:
-    """Send events at or above `level` to standard output, without blocking on it."""
+    """Write events at or above `level` to standard output, without blocking.
+
+    `context` is added to every line, as in `setup`. Return the output, for its count
+    of dropped lines and a last flush.
+    """
     output = BoundedOutput(sys.stdout.fileno())
     logger.remove()
     _add(output.write, level, context)
@@ -146,7 +156,10 @@
 
 
 def switch_level_on_signal(level: str, **context: object) -> None:
-    """Toggle between `level` and DEBUG on SIGUSR1."""
+    """Toggle between `level` and DEBUG on SIGUSR1, for events on standard error.
+
+    `context` is added to every line, as in `setup`.
+    """
     state = {"debug": False}
 
     def toggle(_signum: int, _frame: object) -> None:
--- a/lacewingcross/platform_client.py
+++ b/lacewingcross/platform_client.py
@@ -44,7 +44,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Listing:
-    """Objects as of one version (`revision`) of the whole store."""
+    """Objects as of one version (`revision`) of the whole store.
+
+    A listing of several kinds has the lowest revision of the lists that it is made of.
+    """
 
     revision: int
     objects: list[StoredObject]
@@ -52,7 +55,10 @@
 
 @dataclass(slots=True, frozen=True)
 class HostListing:
-    """The platform's list of hosts, which may be out of date."""
+    """The platform's list of hosts and of the ids of backend servers that leave.
+
+    Both may be out of date.
+    """
 
     hosts: list[HostInfo]
     leaving_servers: frozenset[str]
@@ -102,13 +108,17 @@
     ) -> Listing:
         """Wait for changes above version `after`; an empty listing on timeout.
 
-        Only kinds in `CONFIG_KINDS` can be watched; changes to others are not reported.
+        Only kinds in `CONFIG_KINDS` can be watched; changes to objects of other kinds
+        are not reported. `wait_s` is the longest wait in seconds.
         """
         found = await self._api.watch(WATCHED_KIND, after, wait_s)
         return _listing(WATCHED_KIND, found, kinds)
 
     async def create(self, key: str, spec: object, write_id: str = "") -> StoredObject:
-        """Create an object; raise `PlatformError` ``conflict`` when it exists."""
+        """Create an object; raise `PlatformError` ``conflict`` when it exists.
+
+        Without a `write_id`, a random one is used.
+        """
         return await self._write(key, spec, 0, write_id)
 
     async def update(
@@ -121,7 +131,7 @@
         return await self._write(key, spec, if_version, write_id)
 
     async def delete(self, key: str, if_version: int) -> int:
-        """Delete an object; return the version of the deletion."""
+        """Delete an object at version `if_version`; return the deletion's version."""
         kind, name = _platform_name(key)
         return await self._api.delete(kind, name, if_version)
 
@@ -146,11 +156,11 @@
     ) -> StoredObject:
         """Write an object, and read it back when a response was lost.
 
-        Failure: the write takes effect, but its response is lost. If it were treated as
-        a failure, the object would be written twice or the write reported as refused;
-        if it were treated as a success, the write may never have happened. Each write
-        has a unique id, so reading the object shows whether the write took effect,
-        unless the store cannot be read either.
+        Guards against a write that takes effect while its response is lost. If such a
+        write were treated as a failure, the object would be written twice or the write
+        reported as refused; if it were treated as a success, the write may never have
+        happened. Each write has a unique id, so reading the object shows whether the
+        write took effect, unless the store cannot be read either.
         """
         write_id = write_id or uuid.uuid4().hex
         value = {"spec": spec, "write_id": write_id, "by": self._writer}
--- a/lacewingcross/sockets.py
+++ b/lacewingcross/sockets.py
@@ -4,8 +4,9 @@
 import socket
 
 # TCP_USER_TIMEOUT in milliseconds: the kernel closes a connection whose sent data stays
-# unacknowledged for this long. It leaves time for two retransmissions of a lost packet,
-# and a network partition is detected within it.
+# unacknowledged for this long. The time allows for two retransmissions of a lost
+# packet, and a connection with unacknowledged data detects a network partition within
+# this time.
 USER_TIMEOUT_MS = 2500
 # TCP keep-alive on a connection without traffic: seconds until the first probe, seconds
 # between probes, and the unanswered probes after which the connection is closed.
@@ -17,9 +18,10 @@
 def set_silence_timeout(transport: asyncio.BaseTransport) -> None:
     """Let the kernel close a connection whose other side no longer responds.
 
-    Failure: a host loses power or is cut off from the network. Its connections are not
-    reset, so reads and writes on them would wait for ever. The keep-alive probes and
-    the timeout of the kernel close them.
+    Guards against a host that loses power or is cut off from the network. Its
+    connections are not reset, so reads and writes on them would wait for ever. The
+    kernel closes them after unanswered keep-alive probes, or when sent data stays
+    unacknowledged for `USER_TIMEOUT_MS`. Sockets other than TCP are left as they are.
     """
     sock = transport.get_extra_info("socket")
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -130,8 +130,9 @@
     async def backends_ready(self) -> None:
         """Wait until every backend server answers.
 
-        Failure: on a busy machine, hosts are ready before the backend servers listen.
-        A test that reads a server's ledger then gets no answer and fails.
+        Guards against hosts that are ready before the backend servers listen, as on a
+        busy machine. A test that read a server's ledger by then would get no answer and
+        fail. Each ledger has been read once when this method returns.
         """
         for cfg in self.layout.backends:
             await until(lambda cfg=cfg: self.fetch(cfg.listen, "/control/ledger"))
