--- a/lacewingcross/backoff.py
+++ b/lacewingcross/backoff.py
@@ -4,23 +4,25 @@
 
 from .core.randomness import RandomSource
 
-# Bounds of the pause between attempts, in seconds. The platform answers again within a
-# few tenths of a second after most failures, and a call that it refuses is charged for
-# as well, so the minimum avoids needless calls. The maximum ensures that a change that
-# happened during the pause is still noticed in time.
+# Shortest and longest pause between attempts before jitter, in seconds. The platform
+# answers again within a few tenths of a second after most failures, and a call that it
+# refuses is charged for as well, so the shortest pause avoids needless calls. The
+# longest pause ensures that a change that happened during the pause is still noticed in
+# time.
 RETRY_MIN_S = 0.15
 RETRY_MAX_S = 0.8
 
 
 class Backoff:
-    """Pauses that double up to an upper bound, with jitter.
+    """Pauses between attempts, doubled up to a maximum, with jitter.
 
     Parameters
     ----------
     rng : RandomSource
         Source of the jitter.
     min_s, max_s : float, optional
-        Shortest and longest pause before jitter, in seconds.
+        Shortest and longest pause in seconds. The jitter then shortens a pause by up to
+        one half.
     """
 
     __slots__ = ("_max_s", "_min_s", "_pause_s", "_rng")
@@ -37,7 +39,7 @@
         self._pause_s = min_s
 
     def reset(self) -> None:
-        """Return to the shortest pause, after a success."""
+        """Make the next pause the shortest one, after a success."""
         self._pause_s = self._min_s
 
     async def wait(self) -> None:
--- a/lacewingcross/caller.py
+++ b/lacewingcross/caller.py
@@ -18,7 +18,9 @@
 LOOKUP_TIMEOUT_S = 2.0
 DEFAULT_DEADLINE_S = 10.0
 MAX_TRIES = 6
+# Shortest pause between two attempts of a request, in seconds.
 MIN_PAUSE_S = 0.05
+# How long a host is avoided, in seconds, after an attempt to use it failed.
 HOST_AVOID_S = 5.0
 
 
@@ -33,8 +35,13 @@
         run.
     status : int
         HTTP status, 0 when no response was received.
+    headers : list of (bytes, bytes)
+        Headers of the response; empty when no response was received.
+    body : bytes
+        Body of the response; empty when no response was received.
     reason : str
-        Reason code of a refusal or of an unknown outcome.
+        Reason code of a refusal or of an unknown outcome; empty when the request was
+        answered.
     retry_after_s : float
         Time to wait before a retry, in seconds; 0 when the response has none.
     tries : int
@@ -100,9 +107,10 @@
     async def lookup(self, service: str) -> list[str]:
         """Return the addresses of entry hosts for `service`, best first.
 
-        The result of a look-up is cached for its lifetime. When no host answers, the
-        last result is used beyond its lifetime, or else the seeds: an outdated address
-        is better than none.
+        The result of a look-up is cached for its lifetime. After that, the hosts of the
+        cached result and then the seeds are queried, one after another, until one of
+        them returns addresses. When none does, the cached result is used beyond its
+        lifetime, or else the seeds: an outdated address is better than none.
         """
         route = self._routes.get(service)
         if route is not None and self._now() < route.expires_at:
@@ -118,6 +126,7 @@
         return known or seeds
 
     async def _lookup_at(self, address: str, service: str) -> _Route | None:
+        """Query one host; return None if it fails or returns no address."""
         query = {"service": service, "caller": self.caller_id}
         if self._address:
             query["address"] = self._address
@@ -202,6 +211,12 @@
         return answer
 
     def _may_retry(self, req: "_LogicalRequest", answer: Answer) -> bool:
+        """Return whether another attempt is safe and may help.
+
+        A request that did not run may be sent again if it got no response or a 503; any
+        other status refuses the request itself. A request that may have run is sent
+        again only if it is repeatable.
+        """
         if answer.outcome == ANSWERED or req.body_consumed:
             return False
         if answer.outcome == NOT_RUN:
@@ -236,8 +251,8 @@
         usable = [addr for addr in addresses if self._avoid_until.get(addr, 0.0) <= now]
         if usable:
             return usable[0]
-        # All hosts of the look-up failed in the last `HOST_AVOID_S` seconds. Drop the
-        # cached result, so that the next attempt looks up again.
+        # Every address that the look-up returned has failed in the last `HOST_AVOID_S`
+        # seconds. Drop the cached result, so that the next attempt looks up again.
         self._routes.pop(service, None)
         return self._rng.choice(addresses) if addresses else None
 
@@ -254,6 +269,7 @@
         return await ClientConnection.open(address, self._ssl)
 
     def _release(self, address: str, conn: ClientConnection, answer: Answer) -> None:
+        """Keep a connection for reuse if its exchange is complete, or close it."""
         if answer.status and conn.reusable():
             self._idle.setdefault(address, []).append(conn)
         else:
@@ -331,7 +347,8 @@
     def adjust_outcome(self, answer: Answer) -> Answer:
         """Return `answer`, adjusted for earlier attempts whose outcome is unknown.
 
-        An earlier attempt may have run, so "not-run" becomes "unknown" in that case.
+        If an earlier attempt may have run, "not-run" of a later one does not prove that
+        the request did not run, and becomes "unknown".
         """
         if answer.outcome == UNKNOWN:
             self.may_have_run = True
--- a/lacewingcross/checks.py
+++ b/lacewingcross/checks.py
@@ -19,6 +19,12 @@
         Location of the object for error messages, such as ``host.json: peers[2]``.
     error : type of UserError
         Raised when a field is missing, of the wrong type or unknown.
+
+    Notes
+    -----
+    The methods that read a field return `default` when the object lacks the field;
+    without a `default`, the field is required. `boolean`, `addresses`, `child` and
+    `children` check the default like a value; the other methods do not.
     """
 
     __slots__ = ("_data", "_error", "_read_fields", "where")
@@ -56,7 +62,7 @@
         return value
 
     def name(self, field: str, default: object = REQUIRED) -> str:
-        """Return a string of letters, digits, ``.``, ``_`` and ``-``."""
+        """Return a string that `is_name` accepts."""
         value = self.text(field, default)
         if value is not default and not is_name(value):
             raise self.fail(field, "a name of letters, digits, '.', '_', '-'", value)
@@ -91,7 +97,7 @@
         return value
 
     def boolean(self, field: str, default: object = REQUIRED) -> bool:
-        """Return true or false."""
+        """Return a boolean."""
         value = self.raw(field, default)
         if not isinstance(value, bool):
             raise self.fail(field, "true or false", value)
@@ -115,7 +121,7 @@
         return list(value)
 
     def names(self, field: str, default: object = REQUIRED) -> list[str]:
-        """Return a list of names."""
+        """Return a list of strings that `is_name` accepts."""
         value = self.raw(field, default)
         if value is default and default is not REQUIRED:
             return list(value)
@@ -126,7 +132,7 @@
     def weights(
         self, field: str, default: object = REQUIRED, low: float = 0.0
     ) -> dict[str, float]:
-        """Return an object that maps names to numbers of at least `low`."""
+        """Return an object that maps any keys to numbers of at least `low`."""
         value = self.raw(field, default)
         if value is default and default is not REQUIRED:
             return dict(value)
@@ -149,7 +155,7 @@
             yield Reader(item, f"{self.where}.{field}[{index}]", self._error)
 
     def has(self, field: str) -> bool:
-        """Return whether the object contains `field`."""
+        """Return whether the object contains `field`; does not count as reading it."""
         return field in self._data
 
     def finish(self) -> None:
--- a/lacewingcross/clock.py
+++ b/lacewingcross/clock.py
@@ -9,7 +9,7 @@
     """Source of time for adapters; the core receives only its readings."""
 
     def monotonic(self) -> float:
-        """Return seconds on a clock that never goes back."""
+        """Return seconds on a clock that never goes back; a suspend may stop it."""
         ...
 
     def boottime(self) -> float:
--- a/lacewingcross/demo.py
+++ b/lacewingcross/demo.py
@@ -15,6 +15,8 @@
 CALLERS = 60
 HOSTS = 6
 WORKER_DIVISOR = 3
+# End of the surge and starts of the drain and the shift, in seconds from the start of
+# the surge, not counting the time that the drain and the shift themselves take.
 SURGE_S = 12.0
 DRAIN_AT_S = 3.0
 DRAINED_SERVER = "calendar-1"
@@ -25,8 +27,9 @@
 class Tally:
     """Outcomes and latencies of the requests of all callers.
 
-    `crossed` counts answers that do not contain the id of their request, such as the
-    answer to another request.
+    `outcomes` counts the requests by outcome, and `reasons` those without an answer by
+    reason code. `crossed` counts answers that do not contain the id of their request,
+    such as the answer to another request.
     """
 
     outcomes: Counter[str] = field(default_factory=Counter)
--- a/lacewingcross/deployments.py
+++ b/lacewingcross/deployments.py
@@ -13,8 +13,20 @@
 class ServiceShape:
     """One service: its workers in the whole deployment and the capacity of each.
 
-    `service_ms` is the mean service time of a request in milliseconds, and
-    `cap_fraction` and `cap_window_s` are the shift cap of the service.
+    Attributes
+    ----------
+    workers : int
+        Number of backend servers of the service, over all regions.
+    slots, connections : int
+        Requests that one backend server runs at the same time, and its limit on open
+        connections.
+    service_ms : float
+        Mean service time of a request in milliseconds.
+    deadline_ms : int
+        Deadline of requests that name none, in milliseconds.
+    cap_fraction, cap_window_s : float
+        Shift cap of the service: the largest fraction of its traffic that may move in
+        any window, and the length of the window in seconds.
     """
 
     name: str
@@ -29,7 +41,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Deployment:
-    """The regions, hosts and services of one user."""
+    """The regions, hosts and services of one user.
+
+    Attributes
+    ----------
+    hosts : int
+        Number of entry hosts.
+    one_way_ms : float
+        Network delay between two regions in one direction, in milliseconds. The layout
+        does not use it.
+    first_block : int
+        First octet of the client addresses; the second octet is the position of the
+        client's region, counted from 1.
+    """
 
     name: str
     regions: tuple[str, ...]
@@ -126,9 +150,11 @@
     hosts : int, default=0
         Number of entry hosts; 0 for the number that `deployment` has.
     worker_divisor : int, default=1
-        Divisor of the number of workers, so that the deployment fits into one process.
+        Divides the number of workers (backend servers) of each service, so that the
+        deployment fits into one process. The result is rounded down, but each service
+        keeps at least as many workers as the deployment has regions.
     queue : int, default=0
-        Number of requests that each backend server queues.
+        Limit on requests that wait for a slot at each backend server.
     seed : int, default=1
         Seed of the random service times.
     log_level : str, default="INFO"
--- a/lacewingcross/frame_queue.py
+++ b/lacewingcross/frame_queue.py
@@ -1,4 +1,4 @@
-"""Queue encoded frames for a stream to another process and write them to it."""
+"""Queues encoded frames and writes them to a stream to another process."""
 
 import asyncio
 from collections import deque
@@ -7,7 +7,7 @@
 
 
 class FrameQueue:
-    """A bounded queue of encoded messages for one stream.
+    """A bounded queue of frames (encoded messages) for one stream.
 
     Parameters
     ----------
@@ -39,7 +39,10 @@
     async def pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Write frames as they are queued, until the other side closes the stream."""
+        """Write frames as they are queued, until the other side closes the stream.
+
+        The other side sends nothing on the stream; a byte from it ends the writing too.
+        """
         eof_task = asyncio.get_running_loop().create_task(reader.read(1))
         eof_task.add_done_callback(lambda _task: self._wake.set())
         try:
--- a/lacewingcross/greeting.py
+++ b/lacewingcross/greeting.py
@@ -6,7 +6,8 @@
 from .errors import FrameError
 from .wire import PROTOCOL
 
-# No host has this many processor cores; a larger value is an error of the sender.
+# No host has this many processor cores; this value or a larger one is an error of the
+# sender.
 MAX_CORES = 10_000.0
 
 
@@ -35,7 +36,7 @@
     if not 0 < hello.cores < MAX_CORES:
         raise FrameError(
             "bad-hello",
-            f"expected cores above 0, got {hello.cores}",
+            f"expected a plausible number of cores above 0, got {hello.cores}",
         )
     return HostInfo(
         hello.host_id,
--- a/lacewingcross/headers.py
+++ b/lacewingcross/headers.py
@@ -42,13 +42,15 @@
 
 
 def milliseconds(headers: HeaderList, name: bytes) -> float | None:
-    """Return a header with milliseconds as seconds, or None when it is absent.
+    """Return the value of a header in milliseconds, converted to seconds.
+
+    Return None when the header is absent or empty.
 
     Raises
     ------
     ValueError
-        When the header is present but is not a positive whole number of at most 10
-        digits.
+        When the header is present and not empty, but is not a positive whole number of
+        at most 10 digits.
     """
     text = find(headers, name)
     if not text:
@@ -61,7 +63,8 @@
 def without_hop_by_hop(headers: HeaderList) -> HeaderList:
     """Return the end-to-end headers, which a proxy passes on.
 
-    Left out are `HOP_BY_HOP` headers and those that ``Connection`` names.
+    Left out are `HOP_BY_HOP` headers and those that the first ``Connection`` header
+    names.
     """
     named = find(headers, b"connection").lower().encode("latin-1")
     listed = {part.strip() for part in named.split(b",")}
@@ -75,8 +78,9 @@
 def retry_after(seconds: float) -> HeaderList:
     """Return the headers that say when to retry; none when `seconds` is not positive.
 
-    ``Retry-After`` has whole seconds only, rounded up. The header in milliseconds keeps
-    the jitter that prevents refused callers from retrying all at the same moment.
+    ``Retry-After`` has whole seconds only, rounded up. `RETRY_AFTER_MS` has whole
+    milliseconds, rounded down; it keeps the jitter that prevents refused callers from
+    retrying all at the same moment.
     """
     if seconds <= 0:
         return []
--- a/lacewingcross/http1_client.py
+++ b/lacewingcross/http1_client.py
@@ -23,7 +23,8 @@
     reason : str
         Stable code of the failure.
     sent : bool
-        Whether some of the request may have been written to the connection.
+        Whether some of the request may have been written to the connection, so that the
+        server may have run it.
     detail : str, default=""
         Further description for the log.
     """
@@ -52,7 +53,13 @@
 
 
 class ClientConnection:
-    """One connection to a server, for one exchange at a time."""
+    """One connection to a server, for one exchange at a time.
+
+    Attributes
+    ----------
+    used_at : float
+        Time of the last exchange, set and read by a pool that closes idle connections.
+    """
 
     __slots__ = ("_h11", "_reader", "_unsent_head", "_writer", "used_at")
 
@@ -94,7 +101,7 @@
             raise HttpError("bad-head", sent=False, detail=repr(exc)) from exc
 
     async def send_body(self, data: bytes) -> None:
-        """Write a part of the body, waiting until the server accepts more data."""
+        """Write a part of the body, and wait until more data can be written."""
         await self._send(h11.Data(data=data))
 
     async def finish(self) -> None:
@@ -142,7 +149,7 @@
                 raise HttpError("cut-short", sent=True)
 
     def reusable(self) -> bool:
-        """Prepare for another exchange; return False when that is impossible.
+        """Prepare for another exchange; return whether that is possible.
 
         Only a connection whose request and response are both complete is reused. After
         an abandoned exchange, the rest of its response would be read as the response to
@@ -189,6 +196,9 @@
     ) -> Response:
         """Send a request and read the complete response.
 
+        `timeout_s` limits the exchange, but not the opening of a connection, which has
+        the limit `CONNECT_TIMEOUT_S`.
+
         Raises
         ------
         HttpError
--- a/lacewingcross/http1_exchange.py
+++ b/lacewingcross/http1_exchange.py
@@ -63,8 +63,18 @@
 class Exchange:
     """One request and its response on a server connection.
 
-    An exchange belongs to one request only. After the connection is lost, sending
-    raises `CallerGoneError`, so a late response cannot be sent to a later request.
+    An exchange belongs to one request only. After its response is complete or the
+    connection is lost, sending raises `CallerGoneError`, so a late response cannot be
+    sent to a later request.
+
+    Attributes
+    ----------
+    head : RequestHead
+        Head of the request.
+    started : bool
+        Whether the sending of the response has begun.
+    on_gone : callable or None
+        Called when the connection is lost before the response is complete.
     """
 
     __slots__ = (
@@ -88,7 +98,10 @@
 
     @property
     def gone(self) -> bool:
-        """Return whether the caller can no longer receive a response."""
+        """Return whether this exchange can no longer send to the caller.
+
+        The response is complete, or the connection is lost.
+        """
         return self._conn.exchange is not self or self._conn.lost
 
     async def read(self) -> bytes:
--- a/lacewingcross/http1_json.py
+++ b/lacewingcross/http1_json.py
@@ -1,4 +1,4 @@
-"""Helpers for JSON over `HttpServer`: bounded request bodies, coded errors."""
+"""Read bounded request bodies, and send JSON and coded errors, over `HttpServer`."""
 
 import json
 
--- a/lacewingcross/http1_server.py
+++ b/lacewingcross/http1_server.py
@@ -30,13 +30,22 @@
     now : callable
         Monotonic clock in seconds.
     max_connections : int, default=4000
-        Further connections are refused with status 503.
+        Limit on open connections; further ones are refused with status 503.
     max_connections_each : int, default=4000
-        The same limit for the connections of one client address.
+        Limit on the open connections of one client address; further ones are refused in
+        the same way.
     fast_path : FastPath, optional
         Responses to byte-identical requests.
     on_bad_input : callable, optional
-        Called with the reason code of each refused input.
+        Called with the reason code of each refused connection, of each invalid request
+        and of each caller that is disconnected because it stalls.
+
+    Attributes
+    ----------
+    closing : bool
+        The listener accepts no more connections.
+    max_head : int
+        Limit on the bytes of a request head.
     """
 
     def __init__(
@@ -79,7 +88,10 @@
         return self._server.sockets[0].getsockname()[1]
 
     def admit(self, conn: ServerConnection, client: str) -> str:
-        """Count a connection; return the reason to refuse it, or an empty string."""
+        """Count a connection; return the reason to refuse it, or an empty string.
+
+        A refused connection counts until it is unregistered.
+        """
         self._connections.add(conn)
         self._by_client[client] += 1
         if len(self._connections) > self._max_connections:
@@ -123,7 +135,10 @@
                 conn.sweep(now)
 
     async def stop_listening(self) -> None:
-        """Accept no more connections and close the idle ones."""
+        """Accept no more connections and close the idle ones.
+
+        Any other connection closes when its current request is answered.
+        """
         self.closing = True
         if self._server is not None:
             self._server.close()
--- a/lacewingcross/metrics.py
+++ b/lacewingcross/metrics.py
@@ -14,7 +14,7 @@
 class Metrics:
     """All metrics of one process.
 
-    Counter names have the form ``<what>.<reason>``; histograms record microseconds.
+    Names are dotted, such as ``<what>.<reason>``. Histograms record microseconds.
     """
 
     __slots__ = ("counters", "gauges", "histograms")
@@ -40,7 +40,10 @@
             self.gauges[prefix + name] = value
 
     def observe(self, name: str, seconds: float) -> None:
-        """Record a duration in `seconds` under `name`."""
+        """Record a duration in the histogram `name`.
+
+        A duration outside `LOWEST_US` to `HIGHEST_US` is recorded as the nearer limit.
+        """
         hist = self.histograms.get(name)
         if hist is None:
             hist = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
