--- a/lacewingcross/host/backends/prober.py
+++ b/lacewingcross/host/backends/prober.py
@@ -14,12 +14,15 @@
 
 
 class Prober:
-    """Sends one probe each `PROBE_INTERVAL_S` to every server of the kept regions.
+    """Probes the backend servers of the regions whose slots this host keeps.
 
-    A probe costs the server a few milliseconds, so only the host that runs the slot
-    keeper of a region probes its servers. A probe can only take a server out of
-    service: when the server reports that it is draining, or accepts no connection.
-    A report of good health proves nothing and brings the server no traffic.
+    A round of probes sends one probe to each server, and starts `PROBE_INTERVAL_S`
+    after the end of the round before. A probe costs the server a few milliseconds, so
+    only the host that runs the slot keeper of a region probes its servers. A probe
+    takes a server out of service when the server reports that it is draining, or
+    accepts no connection. A later probe that reaches the server ends the second state.
+    A report of good health proves nothing else and brings the server no further
+    traffic.
     """
 
     __slots__ = ("_clients", "_runtime")
@@ -39,6 +42,7 @@
             await asyncio.sleep(PROBE_INTERVAL_S)
 
     def _targets(self) -> list[tuple[str, BackendServer]]:
+        """Return the service and server of each probe of a round."""
         core = self._runtime.core
         return [
             (service, server)
--- a/lacewingcross/host/entry/flight.py
+++ b/lacewingcross/host/entry/flight.py
@@ -20,7 +20,7 @@
 
 
 class HeaderError(Exception):
-    """The request target or a header of the request is not valid."""
+    """The target or a header of a request is not valid."""
 
 
 def read_request(
@@ -40,7 +40,7 @@
     Raises
     ------
     HeaderError
-        Says what was expected, and of which header.
+        Its message says what was expected, and in which header or in the path.
     """
     head = exchange.head
     headers = head.headers
@@ -54,7 +54,8 @@
     key = hd.find(headers, hd.IDEMPOTENCY_KEY)
     if len(caller) > MAX_ID_CHARS or len(key) > MAX_KEY_CHARS:
         raise HeaderError(
-            f"x-caller-id up to {MAX_ID_CHARS}, idempotency-key to {MAX_KEY_CHARS}"
+            f"expected x-caller-id of up to {MAX_ID_CHARS} characters, "
+            f"idempotency-key of up to {MAX_KEY_CHARS}"
         )
     try:
         remaining = hd.milliseconds(headers, hd.DEADLINE_MS)
@@ -79,6 +80,7 @@
 
 
 def _repeatable(headers: hd.HeaderList) -> bool | None:
+    """Return whether the caller allows a second run; None if it does not say."""
     value = hd.find(headers, hd.REPEATABLE).lower()
     if value in ("yes", "no"):
         return value == "yes"
@@ -130,7 +132,11 @@
         self._attempt_task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Run the request until it is answered, refused or cancelled."""
+        """Run the request until it is answered, refused or cancelled.
+
+        A small body of a request for a known service is read first, and the time for
+        this counts against the caller's deadline.
+        """
         started = self._runtime.now()
         if self._req.service in self._runtime.core.view.config.policies:
             await self._body.read_if_small()
@@ -160,6 +166,7 @@
         self._attempt_task.cancel()
 
     def _caller_gone(self) -> None:
+        """Report to the core that the caller disconnected, and end the waiting."""
         self._runtime.dispatch(RequestCancelled(self._req.request_id))
         self._decisions.put_nowait(act.AbortAnswer(self._req.request_id))
 
@@ -186,6 +193,7 @@
         self._attempt_task.result()
 
     async def _finish(self, action: act.Finish) -> None:
+        """Send the core's answer, or abort a response that has already begun."""
         if self._exchange.started:
             self._exchange.abort()
             return
@@ -193,7 +201,10 @@
 
 
 async def answer_refusal(exchange: Exchange, action: act.Finish) -> None:
-    """Send a refusal: outcome, reason and the delay after which to retry."""
+    """Send an answer of this host itself: a refusal or an unknown outcome.
+
+    It states the outcome, the reason and the delay after which to retry.
+    """
     body = {
         "outcome": action.outcome,
         "reason": action.reason,
--- a/lacewingcross/host/entry/listener.py
+++ b/lacewingcross/host/entry/listener.py
@@ -26,7 +26,7 @@
 
 
 class EntryListener:
-    """Accepts callers' connections and runs their look-ups and requests.
+    """Accepts callers' connections and serves their look-ups and requests.
 
     Parameters
     ----------
@@ -100,7 +100,11 @@
             self._pool.close()
 
     def _set_connection_limits(self) -> None:
-        """Split each backend server's connection limit evenly over the live hosts."""
+        """Split each backend server's connection limit evenly over the live hosts.
+
+        Each host may open at least one connection, so with more hosts than connections
+        the hosts together may exceed the limit.
+        """
         view = self._runtime.core.view
         hosts = max(1, len(view.members.live(self._runtime.now())))
         for pool in view.config.pools.values():
--- a/lacewingcross/host/entry/lookups.py
+++ b/lacewingcross/host/entry/lookups.py
@@ -35,9 +35,9 @@
 
     Parsing a request with h11 costs far more than deciding on it. A caller repeats
     the same look-up with the same bytes, and h11 gives the same result for the same
-    bytes on an idle connection. So the query of each request that was parsed once is
-    cached by the bytes of the request, and the responses are prepared once for each
-    service, client group and bucket.
+    bytes on an idle connection. The query of each parsed request is therefore cached by
+    the bytes of the request. The responses are prepared for each service, client group
+    and bucket, and dropped when the core's epoch changes.
 
     Parameters
     ----------
@@ -63,7 +63,8 @@
     def reply(self, data: bytes) -> bytes | None:
         """Return the response to a whole look-up request.
 
-        None means that these bytes have to be handled as an ordinary request.
+        None means that these bytes have to be handled as an ordinary request: they are
+        not one complete, plain look-up, or the core refuses the look-up.
         """
         query = self._queries_by_bytes.get(data)
         if query is None:
@@ -113,6 +114,7 @@
         return LookupQuery(service, address, caller)
 
     def _respond(self, query: LookupQuery) -> bytes | None:
+        """Return the next variant of the prepared response, or None for a refusal."""
         core = self._runtime.core
         if core.epoch != self._epoch:
             self._prepared.clear()
@@ -131,6 +133,7 @@
         return variants[self._variant_index]
 
     def _prepare(self, query: LookupQuery) -> list[bytes] | None:
+        """Return the variants of the response to a query, or None for a refusal."""
         answer = self.look_up(query)
         if isinstance(answer, LookupRefusal):
             return None
@@ -138,8 +141,8 @@
         policy = view.config.policies[query.service]
         variants = []
         for _ in range(TTL_VARIANTS):
-            # The variants differ only in their jittered lifetime. The hosts are the
-            # same in all of them, since ranking the hosts is the costly part.
+            # The variants differ only in their lifetime, which has jitter. All variants
+            # have the same hosts, since ranking the hosts is the costly part.
             answer = replace(answer, ttl_s=lifetime(policy, view.rng))
             body = json.dumps(answer_data(answer), separators=(",", ":")).encode()
             head = (
--- a/lacewingcross/host/operators/listener.py
+++ b/lacewingcross/host/operators/listener.py
@@ -14,7 +14,7 @@
 
 
 class OperatorsListener:
-    """Serves operators and their tools on a separate port."""
+    """Serves operators and their tools on a port of its own, without TLS."""
 
     __slots__ = ("_address", "_runtime", "server")
 
@@ -52,7 +52,7 @@
 
 
 def status_data(runtime: Runtime) -> dict[str, object]:
-    """Return the members, plans, keepers and planners of this host as JSON data."""
+    """Return this host's view of members, plans, keepers and planners as JSON data."""
     core = runtime.core
     view = core.view
     now = runtime.now()
--- a/lacewingcross/host/platform/watch.py
+++ b/lacewingcross/host/platform/watch.py
@@ -12,6 +12,8 @@
 from ..runtime import Runtime
 
 ELECTION_CHECK_INTERVAL_S = 1.0
+# The interval between two polls of the host list grows with the number of hosts, up
+# from its minimum; it is 10 s with 4500 hosts.
 MIN_LIST_INTERVAL_S = 1.0
 LIST_INTERVAL_PER_HOST_S = 10.0 / 4_500
 
@@ -19,8 +21,9 @@
 class ConfigWatcher:
     """Lists the configuration once, then watches it for changes.
 
-    It lists again when the platform has compacted the history that the watch needs.
-    After the first list, it watches only while this host is elected to watch.
+    It lists the configuration again when the platform has compacted the history that
+    the watch needs. The first list is read at the start; after that, the platform is
+    called only while this host is elected to watch.
     """
 
     __slots__ = ("_listed", "_platform", "_revision", "_runtime")
@@ -65,8 +68,8 @@
         for key, entry in config.entries.items():
             missing = key not in listed and entry.version <= listing.revision
             if missing and entry.text and split_key(key)[0] in CONFIG_KINDS:
-                # Deleted while this host did not watch: an object's absence from the
-                # list is the only sign of that.
+                # The object was deleted while this host did not watch. Its absence from
+                # the list is the only sign of the deletion.
                 entries.append(Entry(key, listing.revision, ""))
         self._revision = listing.revision
         self._dispatch_entries(entries, listing.revision)
--- a/lacewingcross/host/platform/writes.py
+++ b/lacewingcross/host/platform/writes.py
@@ -44,6 +44,7 @@
         self._spawn(self._load(action))
 
     def _spawn(self, coro) -> None:
+        """Run a coroutine as a task, and refer to the task until it ends."""
         task = asyncio.get_running_loop().create_task(coro)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -65,6 +66,11 @@
     async def _ended_in_error(
         self, action: CreateObject | UpdateObject, exc: PlatformError
     ) -> WriteEnded:
+        """Return the event for a failed write.
+
+        A missing object counts as a conflict, with the stored version if there is one;
+        any other error is reported as ``unavailable``.
+        """
         if exc.code not in ("conflict", "not-found"):
             return WriteEnded(action.call_id, "unavailable")
         try:
@@ -103,6 +109,6 @@
             await backoff.wait()
 
     def close(self) -> None:
-        """Cancel the writes and reads that still run."""
+        """Cancel the writes, deletes and reads that still run."""
         for task in self._tasks:
             task.cancel()
--- a/lacewingcross/host/runtime.py
+++ b/lacewingcross/host/runtime.py
@@ -14,7 +14,7 @@
 
 
 class Runtime:
-    """The only place that calls the core.
+    """The only place that passes events to the core.
 
     Each adapter registers a performer for the action types that it carries out.
     A performer must not block; its later results come back as events through
@@ -27,7 +27,7 @@
     clock : Clock
         Source of time.
     metrics : Metrics
-        Counters of this process.
+        Metrics of this process.
     """
 
     __slots__ = ("_dispatching", "_events", "_performers", "clock", "core", "metrics")
@@ -48,7 +48,7 @@
         return self.clock.monotonic()
 
     def register_performer(self, performer: Performer, *kinds: type) -> None:
-        """Register `performer` for actions of these types."""
+        """Register the only performer for actions of these types."""
         for kind in kinds:
             self._performers[kind] = performer
 
--- a/lacewingcross/host/supervisor.py
+++ b/lacewingcross/host/supervisor.py
@@ -22,6 +22,7 @@
 class Supervisor:
     """Runs children one-for-one: a child that fails is restarted alone, with back-off.
 
+    A child that returns is not restarted, and an `AssertionError` stops all children.
     The delay before a restart doubles from `MIN_RESTART_DELAY_S` up to
     `MAX_RESTART_DELAY_S`. After a run longer than `STABLE_RUN_S` it starts again from
     `MIN_RESTART_DELAY_S`.
@@ -31,7 +32,7 @@
     name : str
         Name of this supervisor in the tree, for logs.
     children : list of Child
-        Started in order, stopped in reverse order. A child may be the `run` of
+        Started in order, cancelled in reverse order. A child may be the `run` of
         another supervisor.
     """
 
@@ -44,7 +45,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
-        """Run all children until cancelled."""
+        """Run all children until cancelled, until all return or an invariant breaks."""
         loop = asyncio.get_running_loop()
         self._tasks = [
             loop.create_task(
--- a/lacewingcross/operations.py
+++ b/lacewingcross/operations.py
@@ -23,7 +23,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Document:
-    """A resource as written in a file; `version` 0 matches any stored version."""
+    """A resource as written in a file.
+
+    `version` is the stored version that the writer expects; 0 matches any version.
+    """
 
     kind: str
     name: str
@@ -38,7 +41,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Applied:
-    """The result of applying or deleting one document."""
+    """The result of applying or deleting one document.
+
+    `version` is the stored version after the change, and `change` is ``created``,
+    ``updated``, ``unchanged`` or ``deleted``.
+    """
 
     key: str
     version: int
@@ -54,7 +61,8 @@
     wanted : int
         The version in question.
     revisions : dict of str to int
-        The newest version that each host has in force.
+        The newest version that each host has in force, by host id. A host that no
+        report names is missing.
     live : set of str
         Ids of the hosts that the platform lists as live.
     """
@@ -64,7 +72,7 @@
     live: set[str] = field(default_factory=set)
 
     def behind(self) -> list[str]:
-        """Return the live hosts that have not applied the version yet."""
+        """Return the ids of the live hosts that have not applied the version yet."""
         return sorted(
             host_id
             for host_id in self.live
@@ -178,6 +186,7 @@
     async def _conflict_with_stored(
         self, document: Document, exc: PlatformError
     ) -> PlatformError:
+        """Return the error of a conflict, with details if the resource can be read."""
         try:
             stored = await self.platform.get(document.key)
         except PlatformError:
@@ -203,7 +212,7 @@
         return Applied(key, version, "deleted")
 
     async def in_force(self, version: int) -> InForce:
-        """Return which hosts have `version` in force."""
+        """Return the live hosts and the version that each host has in force."""
         listing = await self.platform.hosts()
         reports = await self.platform.list(REPORT_KIND)
         result = InForce(version)
@@ -217,13 +226,13 @@
         return result
 
     async def wait_in_force(self, version: int, timeout_s: float) -> InForce:
-        """Wait until every live host has `version` in force.
+        """Wait until there is a live host and every live host has `version` in force.
 
         Raises
         ------
         UserError
             With code ``not-in-force`` when `timeout_s` is over; the message names the
-            hosts that have not applied the version.
+            live hosts that have not applied the version, if there are any.
         """
         deadline = self._now() + timeout_s
         while True:
@@ -239,7 +248,10 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_drained(self, drain: str, timeout_s: float) -> None:
-        """Wait until all leaving servers that `drain_progress` counts are idle.
+        """Wait until all servers that `drain_progress` returns are idle.
+
+        These include servers that leave because of other drains. A drain of a region or
+        of a host makes no server leave by itself, so it may count as finished at once.
 
         Raises
         ------
@@ -259,8 +271,9 @@
     async def drain_progress(self, drain: str) -> dict[str, int] | None:
         """Return the number of requests in flight at each leaving server.
 
-        Included are all leaving servers of the services that the drain applies to.
-        Returns None when some of them are not in the hosts' reports yet.
+        The servers are named ``service/server``. Included are all leaving servers of
+        the services that `drain` applies to, whichever drain makes a server leave.
+        Return None when a report on one of these servers is still missing.
         """
         config = await self.config()
         drain_spec = config.drains.get(drain)
@@ -278,6 +291,7 @@
         return {key: in_flight[key] for key in wanted}
 
     async def _in_flight_at_leaving_servers(self) -> dict[str, int]:
+        """Return the reported requests in flight by ``service/server``."""
         reports = await self.platform.list(REPORT_KIND)
         in_flight: dict[str, int] = {}
         for report in reports.objects:
@@ -384,8 +398,8 @@
 def _group_members(spec: object) -> dict[str, object]:
     """Return what determines the callers of each group.
 
-    These are the address blocks of a group and whether it is the first in the list, and
-    the block table if there is one.
+    These are the address blocks of each group and whether the group is the first in the
+    list, and the block table if there is one.
     """
     groups = spec.get("groups", []) if isinstance(spec, dict) else []
     members = {
--- a/lacewingcross/settings.py
+++ b/lacewingcross/settings.py
@@ -25,7 +25,31 @@
 
 @dataclass(slots=True, frozen=True)
 class HostSettings:
-    """Settings of one entry host; all other configuration comes from the platform."""
+    """Settings of one entry host; all other configuration comes from the platform.
+
+    Attributes
+    ----------
+    host_id, region, failure_domain : str
+        Id of the host, and its place.
+    entry, peer, operators : str
+        Addresses at which callers, other hosts and operators reach this host.
+    platform : str
+        Address of the platform.
+    seeds : tuple of str
+        Peer addresses of some other hosts.
+    peer_listen : str
+        Address to listen at for other hosts, if it differs from `peer`.
+    log_level : str
+        Lowest level of logged events.
+    trust_client_address : bool
+        Whether the client address may come from a header of the request.
+    max_connections, max_connections_each : int
+        Limits on open connections from callers: in all, and from one client address.
+    max_body_bytes : int
+        Limit on the declared length of a request body.
+    tls : TlsSettings
+        TLS files of the host.
+    """
 
     host_id: str
     region: str
@@ -57,7 +81,11 @@
 
 @dataclass(slots=True, frozen=True)
 class PlatformSettings:
-    """Settings of the platform stand-in."""
+    """Settings of the platform stand-in.
+
+    `list_lag_s` is the time in seconds after which a change of the host list is
+    published.
+    """
 
     listen: str
     hosts: tuple[KnownHost, ...]
@@ -68,7 +96,23 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendSettings:
-    """Settings of a backend server stand-in."""
+    """Settings of a backend server stand-in.
+
+    Attributes
+    ----------
+    slots, connections, queue : int
+        Limits on requests that run at the same time, on open connections, and on
+        requests that wait for a slot.
+    service_ms : float
+        Mean service time in milliseconds.
+    service_shape : {"exponential", "fixed", "heavy"}
+        Distribution of the service times.
+    cold_requests, cold_factor : int, float
+        The first `cold_requests` requests have a mean service time that is
+        `cold_factor` times as long.
+    seed : int
+        Seed of the random service times.
+    """
 
     server_id: str
     listen: str
@@ -199,7 +243,7 @@
 def as_data(
     cfg: HostSettings | PlatformSettings | BackendSettings,
 ) -> dict[str, object]:
-    """Return settings as JSON data for their loader, without default values."""
+    """Return settings as JSON data for their loader, without unchanged defaults."""
     default = {item.name: item.default for item in fields(cfg)}
     values = asdict(cfg)
     changed = {
--- a/lacewingcross/standins/backend.py
+++ b/lacewingcross/standins/backend.py
@@ -17,6 +17,8 @@
 
 MAX_CONTROL_BYTES = 100_000
 MAX_LEDGER_ENTRIES = 500_000
+# In the service shape "heavy", this fraction of the requests takes `HEAVY_FACTOR` times
+# the mean service time, and each of the others half of it.
 HEAVY_SHARE = 0.05
 HEAVY_FACTOR = 10.0
 MAX_ECHOED_TARGET_CHARS = 4096
@@ -33,7 +35,9 @@
     started : float
         Monotonic time in seconds.
     state : {"running", "done", "cancelled"}
-        ``done`` once the service time is over, even if the answer is lost.
+        ``done`` once the service time or the request's deadline is over, even if the
+        connection is then broken by a fault switch. ``cancelled`` when the caller
+        disconnects before the answer is sent.
     body_bytes : int
         Size of the request's body as far as it was read.
     """
@@ -47,7 +51,7 @@
 
 
 class FaultSwitches:
-    """Faults that tests set through ``POST /control``.
+    """Faults and the service time, which tests set through ``POST /control``.
 
     Attributes
     ----------
@@ -61,8 +65,8 @@
         Number of busy slots that the load page reports instead of the true one, if
         not negative.
     lose_answer : int
-        Number of further requests that run, and whose connection is then broken
-        instead of answered.
+        Number of further requests that run and whose connection is then broken, without
+        an answer.
     service_ms : float
         Mean service time in milliseconds.
     shed_all : bool
@@ -93,7 +97,7 @@
         self.service_ms = cfg.service_ms
 
     def set(self, data: object) -> None:
-        """Set the switches named in `data`; the others keep their values."""
+        """Set the switches named in `data`; all other switches keep their values."""
         reader = Reader(data, "switches", ResourceError)
         self.draining = reader.boolean("draining", self.draining)
         self.fail_fast = reader.boolean("fail_fast", self.fail_fast)
@@ -119,6 +123,15 @@
         Address, slots and service times.
     clock : Clock, optional
         Source of time.
+
+    Attributes
+    ----------
+    ledger : list of LedgerEntry
+        Requests that took a slot, at most `MAX_LEDGER_ENTRIES`.
+    shed : int
+        Requests refused as not run so far.
+    busy, max_busy : int
+        Slots in use, and the most that were in use at the same time.
     """
 
     def __init__(self, cfg: BackendSettings, clock: Clock | None = None) -> None:
@@ -213,6 +226,7 @@
             self._leave_slot()
 
     async def _take_slot(self, exchange: Exchange) -> bool:
+        """Take a slot, or wait for one; return False when the request is refused."""
         if self.switches.shed_all:
             return False
         if self.busy < self.cfg.slots:
@@ -227,6 +241,7 @@
         return True
 
     def _leave_slot(self) -> None:
+        """Pass the slot to a waiting request, or free it."""
         while self._waiting:
             fut = self._waiting.popleft()
             if not fut.done():
@@ -267,7 +282,7 @@
         Raises
         ------
         CallerGoneError
-            If the caller cancels before that.
+            If the caller disconnects before that.
         """
         caller_gone = asyncio.get_running_loop().create_future()
         exchange.on_gone = lambda: caller_gone.done() or caller_gone.set_result(None)
--- a/lacewingcross/standins/object_store.py
+++ b/lacewingcross/standins/object_store.py
@@ -74,7 +74,7 @@
     stale_since: int = 0
 
     def lose_answer(self) -> bool:
-        """Return whether the answer to a write is lost, and count it if it is."""
+        """Return whether to lose the answer to a write; take it off `lose_answers`."""
         if self.lose_answers > 0:
             self.lose_answers -= 1
             return True
@@ -120,7 +120,10 @@
         await self._server.close()
 
     def put(self, kind: str, name: str, spec: object) -> int:
-        """Create or replace an object; return its revision."""
+        """Create or replace an object; return its revision.
+
+        Replacing an object by the same spec changes nothing.
+        """
         stored = self._objects.setdefault(kind, {}).get(name)
         if stored is not None and not stored.deleted and stored.spec == spec:
             return stored.revision
@@ -145,7 +148,7 @@
         self.wake_watches()
 
     def compact(self) -> None:
-        """Drop the history; a watch from an older revision is answered 410."""
+        """Drop the history; a watch from an earlier revision is answered 410."""
         self._compacted = self.revision
         self._deleted = 0
         for objects in self._objects.values():
@@ -159,7 +162,10 @@
         return sorted(obj.name for obj in objects if not obj.deleted)
 
     def _names_seen(self, kind: str, *, stale: bool) -> list[str]:
-        """Return the names in a listing; a stale one lacks objects created later."""
+        """Return the names in a listing.
+
+        A stale listing lacks the objects created after `Faults.stale_since`, if set.
+        """
         since = self.faults.stale_since
         names = self.names(kind)
         if not (stale and since):
--- a/lacewingcross/standins/platform.py
+++ b/lacewingcross/standins/platform.py
@@ -20,7 +20,7 @@
 
 
 class PlatformStandin:
-    """The platform as entry hosts and operators see it.
+    """The platform as entry hosts and operators use it.
 
     Parameters
     ----------
@@ -53,13 +53,13 @@
         return await self.server.start(host, port, ssl)
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop publishing and listening."""
         if self._publisher is not None:
             self._publisher.cancel()
         await self.server.close()
 
     async def _publish(self) -> None:
-        """Publish each state of the host list after the configured lag.
+        """Publish states of the host list, each after the lag (at least 0.05 s).
 
         While the `freeze_list` switch is set, the last published list stays.
         """
@@ -120,7 +120,7 @@
         await send_json(exchange, 200, {"ok": True})
 
     def _control_faults(self, data: object) -> None:
-        """Set the fault switches named in `data`; the others keep their values."""
+        """Set the fault switches named in `data`; other switches keep their values."""
         faults = self.objects.faults
         reader = Reader(data, "faults", ResourceError)
         outage = reader.boolean("outage", faults.down == "busy")
@@ -133,6 +133,7 @@
         self.objects.wake_watches()
 
     def _control_host(self, data: object) -> None:
+        """Set the state of a host; add the host if `data` has its addresses."""
         reader = Reader(data, "host", ResourceError)
         host_id = reader.name("host_id")
         state = reader.text("state", "live", ("live", "leaving", "gone"))
--- a/lacewingcross/tls.py
+++ b/lacewingcross/tls.py
@@ -14,10 +14,11 @@
 class TlsFiles:
     """Server and client contexts of one process, for mutual TLS under one private CA.
 
-    A certificate of the private CA is the proof of membership: a process without one
-    cannot join the fleet, read or write. Addresses change whenever a host is replaced,
-    so the names in certificates are compared with host ids and not with addresses.
-    `open_server` does not ask its clients for a certificate.
+    A certificate of the private CA is the proof of membership: a process without such a
+    certificate cannot join the fleet, and cannot read from or write to the platform.
+    Addresses change whenever a host is replaced, so the names in certificates are
+    compared with host ids and not with addresses. The context `open_server` does not
+    request a certificate from its clients.
 
     Parameters
     ----------
@@ -76,7 +77,7 @@
                 logs.event("tls-reload-failed", "ERROR", why=exc.message)
 
     def reload(self) -> bool:
-        """Reload the files if they have changed; return whether they had."""
+        """Reload the files if they have changed; return whether they have changed."""
         modification_times = self._modification_times()
         if modification_times == self._loaded_times:
             return False
--- a/lacewingcross/wire.py
+++ b/lacewingcross/wire.py
@@ -17,10 +17,13 @@
 # Increment it whenever the layout of a message changes. A host refuses a stream whose
 # protocol number differs from its own.
 PROTOCOL = 6
+# Limits in bytes: on the body of a received frame as it is sent, and on a decompressed
+# body.
 MAX_FRAME = 4 * 1024 * 1024
 MAX_BODY = 16 * 1024 * 1024
 MIN_COMPRESSED_BYTES = 600
 COMPRESS_LEVEL = 1
+# Flag in the length of a frame.
 COMPRESSED = 1 << 31
 _LENGTH = struct.Struct(">I")
 _encoder = msgspec.msgpack.Encoder()
@@ -39,7 +42,7 @@
 
 
 def decode(body: bytes) -> msg.Message:
-    """Return the message in the decompressed body of a frame.
+    """Return the message in the body of a frame, decompressed if it was compressed.
 
     Raises
     ------
@@ -53,7 +56,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> msg.Message:
-    """Read one frame.
+    """Read one frame and return its message.
 
     Raises
     ------
