--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -199,7 +199,7 @@
             return _close(conn)
         self._end(sent, head.status, head, b"".join(parts))
         leaves = hd.find(head.headers, b"connection").lower() == "close"
-        if leaves or not conn.reusable():
+        if leaves or not conn.prepare_for_reuse():
             return _close(conn)
         return conn
 
--- a/lacewingcross/caller.py
+++ b/lacewingcross/caller.py
@@ -137,12 +137,12 @@
             )
             data = json.loads(response.body)
             addresses = [item["address"] for item in data["hosts"]]
-            ttl = float(data["ttl_s"])
+            ttl_s = float(data["ttl_s"])
         except (HttpError, ValueError, KeyError, TypeError):
             return None
         finally:
             client.close()
-        return _Route(addresses, self._now() + ttl) if addresses else None
+        return _Route(addresses, self._now() + ttl_s) if addresses else None
 
     async def request(
         self,
@@ -203,11 +203,11 @@
             answer = req.adjust_outcome(await self._attempt(req, tries))
             if not self._may_retry(req, answer):
                 return answer
-            pause = max(MIN_PAUSE_S, answer.retry_after_s)
-            if self._now() + pause >= req.deadline:
+            pause_s = max(MIN_PAUSE_S, answer.retry_after_s)
+            if self._now() + pause_s >= req.deadline_at:
                 return answer
             if tries < max_tries:
-                await asyncio.sleep(pause)
+                await asyncio.sleep(pause_s)
         return answer
 
     def _may_retry(self, req: "_LogicalRequest", answer: Answer) -> bool:
@@ -230,7 +230,7 @@
         conn = None
         sent = False
         try:
-            async with asyncio.timeout(max(0.001, req.deadline - self._now())):
+            async with asyncio.timeout(max(0.001, req.deadline_at - self._now())):
                 conn = await self._connect(address, req.repeatable)
                 sent = True
                 answer = await self._exchange(conn, address, req, tries)
@@ -270,7 +270,7 @@
 
     def _release(self, address: str, conn: ClientConnection, answer: Answer) -> None:
         """Keep a connection for reuse if its exchange is complete, or close it."""
-        if answer.status and conn.reusable():
+        if answer.status and conn.prepare_for_reuse():
             self._idle.setdefault(address, []).append(conn)
         else:
             conn.close()
@@ -300,13 +300,13 @@
         )
 
     def _fields(self, address: str, req: "_LogicalRequest") -> hd.HeaderList:
-        remaining = max(1, int((req.deadline - self._now()) * 1000))
+        remaining_ms = max(1, int((req.deadline_at - self._now()) * 1000))
         fields = [
             (b"host", address.encode()),
             (hd.SERVICE, req.service.encode()),
             (hd.REQUEST_ID, req.request_id.encode()),
             (hd.CALLER_ID, self.caller_id.encode()),
-            (hd.DEADLINE_MS, str(remaining).encode()),
+            (hd.DEADLINE_MS, str(remaining_ms).encode()),
             (hd.REPEATABLE, b"yes" if req.repeatable else b"no"),
             *req.headers,
         ]
@@ -337,7 +337,7 @@
     service: str
     body: bytes | AsyncIterable[bytes]
     headers: hd.HeaderList
-    deadline: float
+    deadline_at: float
     repeatable: bool
     key: str
     request_id: str
--- a/lacewingcross/demo.py
+++ b/lacewingcross/demo.py
@@ -93,11 +93,11 @@
     stop: asyncio.Event,
 ) -> None:
     rng = random.Random(f"{seed}/{num}")
-    region = num % 3 + 1
+    region_number = num % 3 + 1
     caller = Caller(
         deployment.entries(),
         caller_id=f"teacher-{num}",
-        address=f"10.{region}.0.{num + 1}",
+        address=f"10.{region_number}.0.{num + 1}",
         rng=rng,
     )
     count = 0
@@ -158,15 +158,19 @@
 
 
 def _report(deployment: EmbeddedDeployment, tally: Tally, drain_seconds: float) -> None:
-    ran: Counter[str] = Counter()
+    runs_by_request: Counter[str] = Counter()
     for backend in deployment.backends.values():
-        ran.update(item.request_id for item in backend.ledger if item.state == "done")
-    doubled = sum(1 for count in ran.values() if count > 1)
+        runs_by_request.update(
+            item.request_id for item in backend.ledger if item.state == "done"
+        )
+    doubled = sum(1 for count in runs_by_request.values() if count > 1)
     app = next(iter(deployment.hosts.values()))
     plan = app.runtime.core.view.config.plans["calendar"]
     counts = plan.region_buckets()
-    total = sum(counts.values())
-    shares = " ".join(f"{reg} {100 * num / total:.1f}%" for reg, num in counts.items())
+    bucket_count = sum(counts.values())
+    shares = " ".join(
+        f"{reg} {100 * num / bucket_count:.1f}%" for reg, num in counts.items()
+    )
     print(f"calendar plan: {shares}")
     hist = tally.metrics.histograms["latency"]
     for pct in (50, 99):
--- a/lacewingcross/host/backends/pool.py
+++ b/lacewingcross/host/backends/pool.py
@@ -83,7 +83,7 @@
 
     def give_back(self, address: str, conn: ClientConnection) -> None:
         """Keep a connection whose exchange is complete, and close any other."""
-        if conn.reusable():
+        if conn.prepare_for_reuse():
             conn.used_at = self._now()
             self._idle[address].append(conn)
         else:
--- a/lacewingcross/host/entry/attempt.py
+++ b/lacewingcross/host/entry/attempt.py
@@ -102,7 +102,7 @@
         "_headers",
         "_pool",
         "_runtime",
-        "_started",
+        "_started_at",
         "cancel_ending",
     )
 
@@ -120,7 +120,7 @@
         self._body = body
         self._headers = headers
         self._conn: ClientConnection | None = None
-        self._started = runtime.now()
+        self._started_at = runtime.now()
         self.cancel_ending = Ending.CANCELLED
 
     async def run(self) -> None:
@@ -140,7 +140,7 @@
                 self._action.request_id,
                 self._action.attempt,
                 ending,
-                self._runtime.now() - self._started,
+                self._runtime.now() - self._started_at,
                 status,
                 self._body.replayable,
             )
@@ -171,8 +171,8 @@
     async def _attempt(self) -> tuple[Ending, int]:
         action = self._action
         self._conn = await self._pool.take(action.address, repeatable=action.repeatable)
-        waited = self._runtime.now() - self._started
-        if waited > action.start_within_s:
+        waited_s = self._runtime.now() - self._started_at
+        if waited_s > action.start_within_s:
             # Guards against a pause of this process after the grant. The permit's lease
             # may be over, and an attempt that starts now would use a slot that the
             # keeper has meanwhile granted to another request. The clock is read after
@@ -181,8 +181,8 @@
         conn = self._conn
         self._runtime.dispatch(FirstByteWritten(action.request_id, action.attempt))
         head = self._body.exchange.head
-        remaining = max(0.001, action.remaining_s - waited)
-        deadline = (hd.DEADLINE_MS, str(max(1, int(remaining * 1000))).encode())
+        remaining_s = max(0.001, action.remaining_s - waited_s)
+        deadline = (hd.DEADLINE_MS, str(max(1, int(remaining_s * 1000))).encode())
         await conn.send_head(head.method, head.target, [*self._headers, deadline])
         if self._body.exchange.body_ended:
             await self._body.send_to(conn)
--- a/lacewingcross/host/entry/flight.py
+++ b/lacewingcross/host/entry/flight.py
@@ -58,7 +58,7 @@
             f"idempotency-key of up to {MAX_KEY_CHARS}"
         )
     try:
-        remaining = hd.milliseconds(headers, hd.DEADLINE_MS)
+        remaining_s = hd.milliseconds(headers, hd.DEADLINE_MS)
     except ValueError as exc:
         raise HeaderError(str(exc)) from exc
     return RequestArrived(
@@ -67,7 +67,7 @@
         head.method,
         caller,
         parse_address(address),
-        remaining or 0.0,
+        remaining_s or 0.0,
         key,
         _repeatable(headers),
     )
@@ -137,12 +137,12 @@
         A small body of a request for a known service is read first, and the time for
         this counts against the caller's deadline.
         """
-        started = self._runtime.now()
+        started_at = self._runtime.now()
         if self._req.service in self._runtime.core.view.config.policies:
             await self._body.read_if_small()
-        waited = self._runtime.now() - started
+        waited_s = self._runtime.now() - started_at
         if self._req.remaining_s:
-            remaining_s = max(MIN_REMAINING_S, self._req.remaining_s - waited)
+            remaining_s = max(MIN_REMAINING_S, self._req.remaining_s - waited_s)
             self._req = replace(self._req, remaining_s=remaining_s)
         self._exchange.on_gone = self._caller_gone
         self._runtime.dispatch(self._req)
@@ -150,7 +150,7 @@
             await self._carry_out(await self._decisions.get())
         while not self._decisions.empty():
             await self._carry_out(self._decisions.get_nowait())
-        self._runtime.metrics.observe("request", self._runtime.now() - started)
+        self._runtime.metrics.observe("request", self._runtime.now() - started_at)
 
     def on_decision(self, action: act.Action) -> None:
         """Cancel the running attempt at once, or queue any other decision."""
--- a/lacewingcross/host/entry/listener.py
+++ b/lacewingcross/host/entry/listener.py
@@ -106,11 +106,11 @@
         the hosts together may exceed the limit.
         """
         view = self._runtime.core.view
-        hosts = max(1, len(view.members.live(self._runtime.now())))
+        host_count = max(1, len(view.members.live(self._runtime.now())))
         for pool in view.config.pools.values():
             for server in pool.servers:
-                share = max(1, server.connections // hosts)
-                self._pool.limits[server.address] = share
+                max_connections = max(1, server.connections // host_count)
+                self._pool.limits[server.address] = max_connections
 
     def _count_bad_input(self, reason: str) -> None:
         self._runtime.metrics.count(f"bad-input.{reason}")
--- a/lacewingcross/host/mesh/links.py
+++ b/lacewingcross/host/mesh/links.py
@@ -24,7 +24,7 @@
 LINK_REVIEW_INTERVAL_S = 0.2
 SEED_INTERVAL_S = 0.3
 # How long a stream to a seed stays open after the hello, so that the seed can read it.
-SEED_HELLO_S = 1.0
+SEED_STREAM_OPEN_S = 1.0
 
 
 class Link:
@@ -207,7 +207,7 @@
         try:
             writer.write(encode(self.hello()))
             await writer.drain()
-            await asyncio.sleep(SEED_HELLO_S)
+            await asyncio.sleep(SEED_STREAM_OPEN_S)
         except (OSError, ssl_module.SSLError):
             pass
         finally:
--- a/lacewingcross/host/platform/writes.py
+++ b/lacewingcross/host/platform/writes.py
@@ -15,7 +15,7 @@
 from ...platform_client import PlatformClient
 from ..runtime import Runtime
 
-DELETE_TRIES = 10
+MAX_DELETE_TRIES = 10
 
 
 class PlatformWriter:
@@ -93,12 +93,12 @@
         self._runtime.dispatch(ObjectsLoaded(action.call_id, objects))
 
     async def _delete(self, action: DeleteObject) -> None:
-        """Delete an object that nothing refers to, in up to `DELETE_TRIES` tries.
+        """Delete an object that nothing refers to, in up to `MAX_DELETE_TRIES` tries.
 
         An object that stays after the last try does no harm.
         """
         backoff = Backoff(self._runtime.core.view.rng)
-        for _ in range(DELETE_TRIES):
+        for _ in range(MAX_DELETE_TRIES):
             try:
                 stored = await self._platform.get(action.key)
                 await self._platform.delete(action.key, stored.version)
--- a/lacewingcross/host/supervisor.py
+++ b/lacewingcross/host/supervisor.py
@@ -67,7 +67,7 @@
         loop = asyncio.get_running_loop()
         delay_s = MIN_RESTART_DELAY_S
         while True:
-            started = loop.time()
+            started_at = loop.time()
             try:
                 await child.run()
                 return
@@ -85,7 +85,7 @@
                     child=f"{self.name}/{child.name}",
                     error=repr(exc),
                 )
-            if loop.time() - started > STABLE_RUN_S:
+            if loop.time() - started_at > STABLE_RUN_S:
                 delay_s = MIN_RESTART_DELAY_S
             await asyncio.sleep(delay_s)
             delay_s = min(MAX_RESTART_DELAY_S, delay_s * 2)
--- a/lacewingcross/http1_client.py
+++ b/lacewingcross/http1_client.py
@@ -148,7 +148,7 @@
             else:
                 raise HttpError("cut-short", sent=True)
 
-    def reusable(self) -> bool:
+    def prepare_for_reuse(self) -> bool:
         """Prepare for another exchange; return whether that is possible.
 
         Only a connection whose request and response are both complete is reused. After
@@ -214,7 +214,7 @@
         except BaseException:
             conn.close()
             raise
-        if conn.reusable() and len(self._idle) < MAX_IDLE_CONNECTIONS:
+        if conn.prepare_for_reuse() and len(self._idle) < MAX_IDLE_CONNECTIONS:
             self._idle.append(conn)
         else:
             conn.close()
--- a/lacewingcross/http1_connection.py
+++ b/lacewingcross/http1_connection.py
@@ -82,7 +82,7 @@
     """
 
     __slots__ = (
-        "_body_size",
+        "_unread_body_bytes",
         "_client",
         "_discard_until",
         "_drain_waiter",
@@ -92,7 +92,7 @@
         "_task",
         "_unsent_head",
         "exchange",
-        "last_progress",
+        "last_progress_at",
         "lost",
         "transport",
     )
@@ -107,11 +107,11 @@
         self._reading_paused = False
         self._unsent_head = b""
         self._discard_until = 0.0
-        self._body_size = 0
+        self._unread_body_bytes = 0
         self._task: asyncio.Task[None] | None = None
         self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
-        self.last_progress = 0.0
+        self.last_progress_at = 0.0
         self.lost = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
@@ -180,7 +180,7 @@
     def process_events(self) -> None:
         """Handle the events that h11 has parsed so far."""
         while not self.lost:
-            if self.exchange is not None and self._body_size >= HIGH_WATER:
+            if self.exchange is not None and self._unread_body_bytes >= HIGH_WATER:
                 self._pause_reading()
                 return
             try:
@@ -213,7 +213,7 @@
         if isinstance(event, h11.Request):
             self._begin(event)
         elif isinstance(event, h11.Data) and self.exchange is not None:
-            self._body_size += len(event.data)
+            self._unread_body_bytes += len(event.data)
             self.exchange.feed(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage) and self.exchange is not None:
             self.exchange.end_of_body()
@@ -234,7 +234,7 @@
             # body for a new request. A refused request is not forwarded.
             self._refuse(400, "ambiguous-length")
             return
-        self._body_size = 0
+        self._unread_body_bytes = 0
         self.exchange = Exchange(self, head)
         loop = asyncio.get_running_loop()
         self._task = loop.create_task(self._server.run(self.exchange))
@@ -311,7 +311,7 @@
             return
         self.exchange = None
         self._task = None
-        self._body_size = 0
+        self._unread_body_bytes = 0
         self._record_progress()
         states = (self._h11.our_state, self._h11.their_state)
         if states == (h11.DONE, h11.SEND_BODY):
@@ -338,8 +338,8 @@
 
     def body_consumed(self, size: int) -> None:
         """Count `size` bytes of the body as read by the handler; resume reading."""
-        self._body_size -= size
-        if self._reading_paused and self._body_size < LOW_WATER:
+        self._unread_body_bytes -= size
+        if self._reading_paused and self._unread_body_bytes < LOW_WATER:
             self._resume_reading()
             self.process_events()
 
@@ -363,7 +363,7 @@
             self.transport.close()
 
     def _record_progress(self) -> None:
-        self.last_progress = self._server.now()
+        self.last_progress_at = self._server.now()
 
     def sweep(self, now: float) -> None:
         """Close the connection when the caller has made no progress for too long.
@@ -375,19 +375,19 @@
         not stalled, since the caller has nothing to send or read at that time. A body
         that is being discarded has the time limit `DISCARD_TIMEOUT_S` in all.
         """
-        seconds_since_progress = now - self.last_progress
+        seconds_since_progress = now - self.last_progress_at
         if self._discard_until:
             if now > self._discard_until:
                 self.transport.close()
             return
         if self.exchange is None:
             head_started = bool(self._h11.trailing_data[0])
-            limit = (
+            limit_s = (
                 self._server.head_timeout_s
                 if head_started
                 else self._server.idle_timeout_s
             )
-            if seconds_since_progress > limit:
+            if seconds_since_progress > limit_s:
                 if head_started:
                     self._refuse(408, "head-timeout")
                 else:
--- a/lacewingcross/operations.py
+++ b/lacewingcross/operations.py
@@ -234,13 +234,13 @@
             With code ``not-in-force`` when `timeout_s` is over; the message names the
             live hosts that have not applied the version, if there are any.
         """
-        deadline = self._now() + timeout_s
+        deadline_at = self._now() + timeout_s
         while True:
             state = await self.in_force(version)
             behind = state.behind()
             if state.live and not behind:
                 return state
-            if self._now() >= deadline:
+            if self._now() >= deadline_at:
                 names = ", ".join(behind) or "a live host to be listed"
                 raise UserError(
                     "not-in-force", f"version {version}: waiting for {names}"
@@ -259,12 +259,12 @@
             With code ``not-drained`` when `timeout_s` is over; the message lists the
             requests still in flight at each server.
         """
-        deadline = self._now() + timeout_s
+        deadline_at = self._now() + timeout_s
         while True:
             remaining = await self.drain_progress(drain)
             if remaining is not None and not any(remaining.values()):
                 return
-            if self._now() >= deadline:
+            if self._now() >= deadline_at:
                 raise UserError("not-drained", f"{drain}: in flight {remaining}")
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -385,11 +385,11 @@
         return [_host_text(info) for info in found.hosts]
 
 
-def _moved_groups(stored: object, document: Document) -> str:
+def _moved_groups(stored_spec: object, document: Document) -> str:
     """Return the names of the client groups whose callers a new policy would move."""
     if document.kind != res.POLICY:
         return ""
-    before, after = _group_members(stored), _group_members(document.spec)
+    before, after = _group_members(stored_spec), _group_members(document.spec)
     return ", ".join(
         sorted(name for name in before | after if before.get(name) != after.get(name))
     )
--- a/lacewingcross/standins/backend.py
+++ b/lacewingcross/standins/backend.py
@@ -19,7 +19,7 @@
 MAX_LEDGER_ENTRIES = 500_000
 # In the service shape "heavy", this fraction of the requests takes `HEAVY_FACTOR` times
 # the mean service time, and each of the others half of it.
-HEAVY_SHARE = 0.05
+HEAVY_FRACTION = 0.05
 HEAVY_FACTOR = 10.0
 MAX_ECHOED_TARGET_CHARS = 4096
 
@@ -286,24 +286,24 @@
         """
         caller_gone = asyncio.get_running_loop().create_future()
         exchange.on_gone = lambda: caller_gone.done() or caller_gone.set_result(None)
-        deadline = hd.milliseconds(exchange.head.headers, hd.DEADLINE_MS)
+        remaining_s = hd.milliseconds(exchange.head.headers, hd.DEADLINE_MS)
         service_s = self._service_s()
-        limit = service_s if deadline is None else min(service_s, deadline)
-        await asyncio.wait((caller_gone,), timeout=limit)
+        wait_s = service_s if remaining_s is None else min(service_s, remaining_s)
+        await asyncio.wait((caller_gone,), timeout=wait_s)
         if caller_gone.done():
             raise CallerGoneError
 
     def _service_s(self) -> float:
-        mean = self.switches.service_ms / 1000.0
+        mean_s = self.switches.service_ms / 1000.0
         if self._served_count < self.cfg.cold_requests:
-            mean *= self.cfg.cold_factor
+            mean_s *= self.cfg.cold_factor
         self._served_count += 1
         if self.cfg.service_shape == "fixed":
-            return mean
+            return mean_s
         if self.cfg.service_shape == "heavy":
-            heavy = self._rng.random() < HEAVY_SHARE
-            return mean * (HEAVY_FACTOR if heavy else 0.5)
-        return self._rng.expovariate(1.0 / mean) if mean > 0 else 0.0
+            heavy = self._rng.random() < HEAVY_FRACTION
+            return mean_s * (HEAVY_FACTOR if heavy else 0.5)
+        return self._rng.expovariate(1.0 / mean_s) if mean_s > 0 else 0.0
 
     async def _answer(self, exchange: Exchange, entry: LedgerEntry) -> None:
         body = json.dumps(
--- a/lacewingcross/standins/object_store.py
+++ b/lacewingcross/standins/object_store.py
@@ -238,7 +238,7 @@
 
     async def _watch(self, exchange: Exchange, kind: str, fields: dict) -> None:
         since = int(fields["watch"])
-        deadline = self.now() + int(fields.get("wait_ms", 0)) / 1000.0
+        deadline_at = self.now() + int(fields.get("wait_ms", 0)) / 1000.0
         while True:
             if await self.send_fault(exchange):
                 return
@@ -248,7 +248,7 @@
             changed = self._changed
             objects = self._objects.get(kind, {}).values()
             changes = [obj for obj in objects if obj.revision > since]
-            remaining_s = deadline - self.now()
+            remaining_s = deadline_at - self.now()
             if changes or remaining_s <= 0:
                 break
             try:
