--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Starts a deployment as real processes for tests, and ends only these processes."""
+"""Starts a deployment as real processes for tests, and stops these processes only."""
 
 import asyncio
 import dataclasses
@@ -107,7 +107,7 @@
         self._running[name].send_signal(signum)
 
     def kill(self, name: str) -> None:
-        """Kill one process with SIGKILL and wait for its end."""
+        """Kill one process with SIGKILL and wait until it has ended."""
         proc = self._running.pop(name)
         proc.kill()
         proc.wait()
@@ -163,7 +163,7 @@
             client.close()
 
     async def ledgers(self) -> list[dict]:
-        """Return the ledger entries of all backend servers that still run."""
+        """Return the ledger entries of all backend servers not killed by the test."""
         entries = []
         for cfg in self.layout.backends:
             if cfg.server_id in self._running:
@@ -195,7 +195,8 @@
 ):
     """Send bookings in sequence until `stop` is set.
 
-    Each booking adds (request id, answer) to `answers`.
+    Each booking adds (request id, answer) to `answers`. The caller's address is in the
+    block of one of the first `regions` regions, chosen by `caller_index`.
     """
     caller = Caller(
         procs.entries(),
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -5,7 +5,7 @@
 
 
 class Relay:
-    """Forwards bytes; while it is cut, it drops and refuses all connections."""
+    """Forwards bytes; while it is cut, it has no connections and aborts new ones."""
 
     def __init__(self, listen, target):
         self.listen = listen
--- a/tests/test_attempts_processes.py
+++ b/tests/test_attempts_processes.py
@@ -102,8 +102,8 @@
     """A browser sends one booking to two hosts at the same time.
 
     Guards against two bookings and two charges. Both hosts try to create the claim
-    of the key in the platform. One create fails, and that host answers that the key
-    is taken, not that nothing ran.
+    of the key in the platform. One of the two calls fails, and the host that made it
+    answers that the key is taken, not that nothing ran.
     """
     answers, runs = asyncio.run(_keyed_twice())
     for key in ("k1", "k2", "k3", "k4"):
--- a/tests/test_bad_input_processes.py
+++ b/tests/test_bad_input_processes.py
@@ -126,7 +126,10 @@
 
 
 def test_invalid_objects_leave_the_other_objects_in_force():
-    """Another program stores invalid objects of Lacewingcross kinds."""
+    """Another program stores invalid objects of Lacewingcross kinds.
+
+    Guards against one invalid object that keeps the valid ones from being applied.
+    """
     too_large, answer = asyncio.run(_bad_objects())
     assert too_large.code == "too-large"
     assert answer.outcome == ANSWERED
--- a/tests/test_bodies_processes.py
+++ b/tests/test_bodies_processes.py
@@ -10,7 +10,8 @@
 
 PART = b"v" * 100_000
 PARTS = 2_000
-GROWTH_BYTES = 8_000_000
+# Limit on the growth of each process's memory during the upload.
+MAX_GROWTH_BYTES = 8_000_000
 
 
 def _rss(pid):
@@ -57,7 +58,7 @@
     answer, growth = asyncio.run(_upload())
     assert answer.outcome == ANSWERED
     assert f'"body_bytes": {len(PART) * PARTS}'.encode() in answer.body
-    assert all(size <= GROWTH_BYTES for size in growth.values()), growth
+    assert all(size <= MAX_GROWTH_BYTES for size in growth.values()), growth
 
 
 async def _refused_upload():
--- a/tests/test_caps_processes.py
+++ b/tests/test_caps_processes.py
@@ -10,12 +10,13 @@
 
 WINDOW_S = 2.0
 FRACTION = 0.1
+# Buckets of a group that may move in a window: `FRACTION` of all 1000.
 CAP_BUCKETS = 100
 SAMPLE_S = 0.1
 
 
 async def _sample(procs, samples, stop):
-    """Record each host's bucket counts, with the start and end time of the reading."""
+    """Record each host's bucket counts, with the start and end time of each reading."""
     loop = asyncio.get_running_loop()
     while not stop.is_set():
         for cfg in procs.layout.hosts:
@@ -36,13 +37,13 @@
 
 
 def _max_moved(samples):
-    """Return the largest number of a group's buckets moved on a host in a window."""
+    """Return the most buckets of one group that a host moved within one window."""
     max_moved = 0
     for series in samples.values():
         for index, (read_start, _, groups) in enumerate(series):
             for _, read_end, later_groups in series[index + 1 :]:
-                # Both readings of a pair that is compared lie within one window, even
-                # if the readings were slow.
+                # Compare two readings only if both lie within one window, from the
+                # start of the first to the end of the second, even if they were slow.
                 if read_end - read_start > WINDOW_S:
                     break
                 for name, counts in groups.items():
@@ -74,7 +75,7 @@
 
 
 def _progress(samples):
-    """Return how many buckets of group north any host has in the south, at most."""
+    """Return the most buckets of group north that any host has in region south."""
     return max(
         (
             series[-1][2]["north"].get("south", 0)
@@ -135,10 +136,16 @@
 
 
 def test_cap_holds_when_the_planner_freezes_and_wakes():
-    """The planner is paused past the window and still considers itself the planner."""
+    """The planner is paused past the window and still considers itself the planner.
+
+    Guards against a step by the old planner in addition to the steps of its successor.
+    """
     _check(_freeze_planner)
 
 
 def test_cap_holds_when_a_plan_write_loses_its_answer():
-    """The platform stores a plan and its answer is lost; the step must not repeat."""
+    """The platform stores a plan, and the answer to the write is lost.
+
+    Guards against a planner that repeats the step within the same window.
+    """
     _check(_lose_plan_answer)
--- a/tests/test_configuration_processes.py
+++ b/tests/test_configuration_processes.py
@@ -45,7 +45,7 @@
     """All hosts but one are replaced while the platform is down.
 
     Guards against hosts that refuse every request for hours, or that serve with an
-    older configuration. The host that stayed has the accepted version.
+    older configuration. The host that was not replaced sends them the accepted version.
     """
     assert asyncio.run(_restart_in_outage()).outcome == ANSWERED
 
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize("fault", ["outage", "stall"])
 def test_requests_are_served_while_the_platform_is_away(fault):
-    """The platform refuses or does not answer; requests do not depend on it."""
+    """The platform refuses calls or does not answer; requests do not depend on it."""
     answers = asyncio.run(_serve_through(**{fault: True}))
     assert all(answer.outcome == ANSWERED for answer in answers)
 
@@ -132,6 +132,9 @@
 
 
 def test_host_that_was_frozen_catches_up_and_never_goes_back():
-    """A host is frozen during two changes; the first arrives when it runs again."""
+    """A host is frozen during two changes; the first arrives when the host runs again.
+
+    Guards against a host that goes back to the first change after the second one.
+    """
     versions, revision = asyncio.run(_frozen_host_wakes())
     assert revision >= versions[-1]
--- a/tests/test_health_processes.py
+++ b/tests/test_health_processes.py
@@ -34,7 +34,7 @@
     """One of two servers answers 500 at once and reports health "ok" and load 0.
 
     Guards against most requests failing because the broken server always looks the
-    least busy. Its answers must count for more than its reports.
+    least busy. The server's answers must count for more than its reports.
     """
     answers = asyncio.run(_fail_fast())
     failed = sum(answer.status == 500 for answer in answers)
@@ -78,10 +78,10 @@
 def test_lost_region_is_moved_at_the_cap_and_the_rest_is_refused_as_not_run():
     """All hosts and backend servers of a region crash.
 
-    Guards against all its callers moving to another region at once, and against
-    requests that hang. Callers that have moved are answered. The others are refused
-    at once as not run, with a time to retry after. Callers of other regions are not
-    affected.
+    Guards against all callers of the region moving to another region at once, and
+    against requests that hang. Callers that have moved are answered. The callers that
+    have not moved are refused at once as not run, with a time to retry after. Callers
+    of other regions are not affected.
     """
     answers, south = asyncio.run(_region_lost())
     outcomes = Counter(answer.outcome for answer in answers)
@@ -110,7 +110,10 @@
 
 
 def test_frozen_server_is_ejected_after_a_few_timeouts():
-    """A backend server freezes: it accepts connections and does not answer."""
+    """A backend server freezes: it accepts connections and does not answer.
+
+    Guards against requests that are sent to the frozen server until it runs again.
+    """
     answers = asyncio.run(_freeze_server())
     answered = sum(answer.outcome == ANSWERED for answer in answers)
     assert answered >= 0.7 * len(answers), Counter(a.outcome for a in answers)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -56,6 +56,7 @@
         listener = Listener()
         reader, _ = await listener.open(b"GET / HTTP/1.1\r\nHost: a\r\n")
         await _wait_for_connections(listener)
+        # Past the head timeout of 10 s.
         listener.clock.advance(11.0)
         answer = await reader.read()
         await listener.server.close()
@@ -73,6 +74,7 @@
         head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc"
         reader, _ = await listener.open(head)
         await _wait_for_connections(listener)
+        # Past the stall timeout of 30 s.
         listener.clock.advance(31.0)
         try:
             answer = await reader.read()
--- a/tests/test_keepers_processes.py
+++ b/tests/test_keepers_processes.py
@@ -22,7 +22,8 @@
 async def _disturb_keeper(signum):
     layout = small_layout()
     for index, cfg in enumerate(layout.hosts):
-        # All three hosts are in one region, so that another can become its keeper.
+        # All three hosts are in one region, so that another host can become the keeper
+        # of the region's slots.
         layout.hosts[index] = type(cfg)(
             **{**_fields(cfg), "region": "north", "failure_domain": f"north-{index}"}
         )
@@ -82,7 +83,7 @@
 def test_frozen_keeper_is_replaced_and_wakes_harmlessly():
     """The keeper freezes for three seconds, its leases expire, and it runs again.
 
-    Guards against old grants of the keeper being used on slots that its successor
-    has granted to other requests.
+    Guards against old grants of the frozen keeper that are used for slots which its
+    successor has granted to other requests.
     """
     _check(*asyncio.run(_disturb_keeper(signal.SIGSTOP)))
--- a/tests/test_leaving_processes.py
+++ b/tests/test_leaving_processes.py
@@ -10,6 +10,7 @@
 
 from .processes import Processes, small_layout, until
 
+# Time for requests that were granted a slot before the drain to arrive, in seconds.
 SETTLE_S = 0.5
 
 
@@ -31,7 +32,8 @@
     return False
 
 
-async def _starts(procs):
+async def _read_first_ledger(procs):
+    """Return the size of the first backend server's ledger, and the ledger."""
     ledger = await procs.fetch(procs.layout.backends[0].listen, "/control/ledger")
     return len(ledger["entries"]), ledger
 
@@ -42,8 +44,9 @@
     Returns
     -------
     tuple
-        All answers, the number of requests in the server's ledger soon after it is
-        counted as leaving and some time later, and its ledger at that later time.
+        All answers, the number of requests in the server's ledger soon after the server
+        is counted as leaving, that number some time later, and the ledger at that later
+        time.
     """
     stop = asyncio.Event()
     answers = []
@@ -55,14 +58,15 @@
     await action()
     server = procs.layout.backends[0].server_id
     await until(lambda: _leaving_seen(procs, server))
-    # Requests with a recent grant may still arrive. After that none may start.
+    # Requests with a recent grant may still arrive at the server. After `SETTLE_S`, no
+    # request may start there.
     await asyncio.sleep(SETTLE_S)
-    settled, _ = await _starts(procs)
+    settled, _ = await _read_first_ledger(procs)
     before = len(answers)
     await until(lambda: len(answers) > before + 100)
     stop.set()
     await asyncio.gather(*tasks)
-    later, ledger = await _starts(procs)
+    later, ledger = await _read_first_ledger(procs)
     return answers, settled, later, ledger
 
 
@@ -97,8 +101,8 @@
     """An operator drains a backend server under load.
 
     Guards against requests that are cut when the server stops. Once the keeper counts
-    the server as leaving, no request may start there, and those that ran must have
-    ended completely.
+    the server as leaving, no request may start there, and the requests that ran there
+    must have ended completely.
     """
     _check(asyncio.run(_drain_under_load("operator")))
 
@@ -150,7 +154,10 @@
 
 
 def test_drain_holds_through_a_platform_outage():
-    """A drain is accepted; then the platform fails."""
+    """A drain is accepted; then the platform fails.
+
+    Guards against hosts that forget the drain while they cannot read the platform.
+    """
     _check(asyncio.run(_drain_while(_platform_goes)))
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -6,8 +6,8 @@
 
 
 def test_a_stopped_reader_loses_lines_but_does_not_block():
-    # The reader of the log output stops reading. A blocking write would stop the whole
-    # process and every request in it.
+    # Guards against a reader of the log output that stops reading. A blocking write
+    # would stop the whole process and every request in it.
     reading, writing = os.pipe()
     output = BoundedOutput(writing, max_lines=100)
     line = "x" * 1000 + "\n"
--- a/tests/test_partitions_processes.py
+++ b/tests/test_partitions_processes.py
@@ -69,8 +69,8 @@
 
     Guards against requests that hang because their slot keeper cannot be reached,
     and against bookings that run twice because two keepers grant one slot. Each host
-    keeps the slots of its own region, and backend servers shed what exceeds their
-    slots.
+    keeps the slots of its own region, and backend servers shed the requests that exceed
+    their slots.
     """
     answers, during, ledger = asyncio.run(_cut(outage))
     run_counts = Counter(item["request_id"] for item in ledger)
@@ -114,8 +114,9 @@
 def test_host_that_is_frozen_past_its_leases_wakes_harmlessly():
     """A host that holds permits and grants freezes for longer than their leases.
 
-    Guards against its requests starting on slots that are granted to other requests
-    by then, and against requests that run twice after they timed out elsewhere.
+    Guards against requests of the frozen host that start on slots granted to other
+    requests by then, and against requests that run twice after they timed out at
+    another host.
     """
     answers, ledger = asyncio.run(_frozen_holder())
     run_counts = Counter(item["request_id"] for item in ledger)
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -26,8 +26,8 @@
 
 @in_loop
 async def test_answers_come_in_the_order_of_the_requests():
-    # A caller pipelines three requests. If they were answered in the order in which
-    # they complete, the caller would take the second response for the first one.
+    # Guards against responses in the order in which pipelined requests complete. The
+    # caller would take the response to the second request for the first response.
     async with fleet() as made:
         made.configure()
         await made.add_server(answers_first_request_last)
