--- a/lacewingcross/cli/accounts.py
+++ b/lacewingcross/cli/accounts.py
@@ -33,7 +33,7 @@
 
 
 def rows_of(page: str) -> list[Row]:
-    """Return a row for each account in a metrics page, most refusals first."""
+    """Return a row for each account in a metrics page, by falling refusals."""
     rows = [
         (name, *figures) for name, figures in figures_by_name(page, COLUMN_PREFIXES)
     ]
--- a/lacewingcross/cli/blocks.py
+++ b/lacewingcross/cli/blocks.py
@@ -9,6 +9,7 @@
 from ..core.resources import BLOCKS, is_network
 from ..errors import UserError
 
+# Limit on the block starts in one shard (one resource of kind BlockTable).
 SHARD_BLOCKS = 40_000
 
 
@@ -58,6 +59,7 @@
 
 
 def _read(file: str) -> Iterator[tuple[str, str]]:
+    """Yield the network and group of each line that is not empty."""
     try:
         lines = Path(file).read_text(encoding="utf-8").splitlines()
     except (OSError, UnicodeDecodeError) as exc:
--- a/lacewingcross/cli/connection.py
+++ b/lacewingcross/cli/connection.py
@@ -26,7 +26,7 @@
     Raises
     ------
     UserError
-        With code ``no-platform`` when neither is given.
+        With code ``no-platform`` when neither `platform` nor the variable is set.
     """
     address = platform or os.environ.get(PLATFORM_VARIABLE, "")
     if not address:
--- a/lacewingcross/cli/examples.py
+++ b/lacewingcross/cli/examples.py
@@ -22,7 +22,8 @@
     hosts : int
         Number of entry hosts; 0 for the number that the deployment has.
     divide_workers : int
-        Divides the number of backend servers, to fit a small machine.
+        Divides the number of backend servers of each service, to fit a small machine;
+        at least one server for each region remains.
     """
     deployment = DEPLOYMENTS.get(name)
     if deployment is None:
--- a/lacewingcross/cli/main.py
+++ b/lacewingcross/cli/main.py
@@ -48,8 +48,8 @@
     """Run one command.
 
     Exit status: 0 if done, 1 if refused with a coded error, 2 for wrong usage, 3 if
-    the change is accepted or its outcome unknown, but it is not yet in force, 130 if
-    interrupted.
+    the change is accepted or its outcome unknown, but it is not yet in force, or if the
+    platform or a host is unavailable, 130 if interrupted.
     """
     try:
         defopt.run(
--- a/lacewingcross/cli/metrics_page.py
+++ b/lacewingcross/cli/metrics_page.py
@@ -1,4 +1,4 @@
-"""Fetches a host's metrics page and reads it as rows of a table."""
+"""Fetches a host's metrics page and reads it as the rows of a table."""
 
 import asyncio
 from collections.abc import Iterator, Sequence
@@ -14,7 +14,7 @@
 
 
 def fetch_page(url: str) -> str:
-    """Return a host's metrics page.
+    """Return the text of a host's metrics page.
 
     Raises
     ------
--- a/lacewingcross/cli/resources.py
+++ b/lacewingcross/cli/resources.py
@@ -81,7 +81,7 @@
     Parameters
     ----------
     kind : str
-        SteeringPolicy, ShiftCap, BackendPool, Drain, Plan or Report.
+        SteeringPolicy, ShiftCap, BackendPool, Drain, BlockTable, Plan or Report.
     *names : str
         Show only the resources with these names.
     platform : str
@@ -118,12 +118,13 @@
 
 
 def _summary(item: StoredObject) -> str:
+    """Return the spec as JSON text, shortened to 60 characters."""
     text = res.encode_value(item.spec())
     return text if len(text) <= 60 else text[:57] + "..."
 
 
 def watch(*kinds: str, platform: str = "") -> None:
-    """Print resources and every change to them until interrupted.
+    """Print stored resources, then every change to them, until interrupted.
 
     Example: lacewingcross watch drain
 
@@ -155,7 +156,7 @@
     wait: bool = False,
     timeout: float = 600.0,
 ) -> None:
-    """Drain before a planned stop: no new requests go there, those in flight finish.
+    """Drain before a planned stop: no new requests go there, running ones finish.
 
     Example: lacewingcross drain server booking-3 --wait
 
@@ -170,9 +171,12 @@
     platform : str
         IP:PORT of the platform.
     wait : bool
-        Return only when the target is idle.
+        Return only when the drain is in force and all leaving backend servers of the
+        drained services are idle, whichever drain they leave for. There is no wait for
+        the requests of a drained region or host.
     timeout : float
-        Longest wait in seconds.
+        Longest wait in seconds: first until the drain is in force, and again until the
+        servers are idle.
     """
     spec = {target: value}
     if service:
--- a/lacewingcross/cli/status.py
+++ b/lacewingcross/cli/status.py
@@ -34,15 +34,16 @@
     Attributes
     ----------
     hosts : dict of str to dict
-        State, revision and lag of each host.
+        For each host id: state, revision, and the buckets by which the host is behind
+        the plans.
     last_refusals : dict of str to str
         Reason of the last refusal for each service.
     rejected : dict of str to str
-        Reason for each resource that hosts rejected.
+        Reason for each resource that hosts rejected, by key.
     leaving : dict of str to int
-        Requests in flight on each leaving backend server.
+        Requests in flight on each leaving backend server, by ``service/server``.
     loads : dict of str to dict
-        Load of each service and region.
+        Load by ``service/region``.
     """
 
     hosts: dict[str, dict] = field(default_factory=dict)
@@ -78,6 +79,7 @@
 def _status_row(
     item: StoredObject, state: InForce, reported: _Reported
 ) -> dict[str, object]:
+    # `in_force` was read once for all resources; only the wanted version differs.
     state.wanted = item.version
     behind = state.behind()
     in_force = len(state.live) - len(behind)
@@ -107,12 +109,18 @@
 
 
 def _headroom(load: dict[str, float]) -> str:
+    """Return the unused part of the limit on requests in flight, as a percentage."""
     if load["limit"] <= 0:
         return "no usable server"
     return f"{100 * max(0.0, 1 - load['in_flight'] / load['limit']):.0f}%"
 
 
 def _progress(item: StoredObject, leaving: dict[str, int]) -> str:
+    """Return a plan's share of buckets in each region, or how far a server drain is.
+
+    Empty for any other resource, including the drain of a region, failure domain or
+    host.
+    """
     kind, name = res.split_key(item.key)
     if kind == res.PLAN:
         plan = decode_plan(name, item.spec())
--- a/lacewingcross/host/platform/watch.py
+++ b/lacewingcross/host/platform/watch.py
@@ -100,7 +100,10 @@
         self._platform = platform
 
     async def run(self) -> None:
-        """Poll until cancelled, at an interval that grows with the number of hosts."""
+        """Poll until cancelled, at an interval that grows with the number of hosts.
+
+        Jitter of 10% either way spreads the polls of different hosts.
+        """
         view = self._runtime.core.view
         backoff = Backoff(view.rng)
         while True:
--- a/lacewingcross/http1_connection.py
+++ b/lacewingcross/http1_connection.py
@@ -22,10 +22,10 @@
 
 
 class FastPath(Protocol):
-    """Responses to byte-identical requests, without parsing the requests again."""
+    """Responses to requests whose bytes are known, without parsing them again."""
 
     def reply(self, data: bytes) -> bytes | None:
-        """Return the complete response to a complete request, or None if unknown."""
+        """Return the whole response to one whole request, or None if unknown."""
         ...
 
 
@@ -148,7 +148,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notify the exchange that the connection to its caller is closed."""
+        """Stop counting the connection, and wake all that wait for the caller."""
         self.lost = True
         self._server.unregister(self, self._client)
         if self._drain_waiter is not None and not self._drain_waiter.done():
--- a/lacewingcross/report.py
+++ b/lacewingcross/report.py
@@ -61,6 +61,7 @@
 
 
 def _checked(data: object) -> Cases:
+    """Return the cases in `data`, without the figures for the configuration."""
     if not isinstance(data, dict):
         raise UserError("bad-result", "expected an object of cases")
     cases = {key: val for key, val in data.items() if key != "configuration"}
@@ -75,6 +76,7 @@
 
 
 def _rows(cases: Cases) -> Iterator[tuple[str, str, dict[str, Any]]]:
+    """Yield case, version and figures for each version that a case has."""
     for key, versions in cases.items():
         for version in VERSIONS:
             if version in versions:
--- a/lacewingcross/standins/object_store.py
+++ b/lacewingcross/standins/object_store.py
@@ -15,7 +15,8 @@
 PAGE_SIZE = 500
 # Room for a value of one MiB and the JSON around it.
 MAX_BODY_BYTES = (1 << 20) + 4096
-# How long a silent store holds a call, in seconds: longer than any caller waits.
+# How long a silent store holds a call, in seconds, which is longer than any caller
+# waits.
 SILENT_S = 3600.0
 # Deletions that the store keeps for watches before it compacts its history.
 MAX_DELETED_KEPT = 5000
@@ -54,17 +55,17 @@
     Attributes
     ----------
     down : {"", "busy", "many", "reset", "silent"}
-        How each call fails: answered 503, answered 429, connection reset, or no
-        answer. Empty for no fault.
+        How each call fails: ``busy`` is answered 503 and ``many`` 429, ``reset`` resets
+        the connection, ``silent`` gives no answer. Empty for no fault.
     slow_s : float
         Delay of each call in seconds.
     lost_writes : bool
         Every write is carried out and not answered.
     lose_answers : int
-        The next so many writes are carried out and not answered.
+        Number of further writes that are carried out and not answered.
     stale_since : int
-        A revision. If it is set, a listing that may be stale lacks the objects that
-        were created after this revision.
+        A revision, or 0 for no fault. A listing for which the caller allows stale data
+        lacks the objects that were created after this revision.
     """
 
     down: str = ""
@@ -111,7 +112,7 @@
     _server: HttpServer | None = None
 
     async def start(self) -> int:
-        """Listen on a free port of 127.0.0.1; return it."""
+        """Listen on a free port of 127.0.0.1; return the port."""
         self._server = HttpServer(self.handle, self.now)
         return await self._server.start("127.0.0.1", 0)
 
--- a/lacewingcross/standins/platform.py
+++ b/lacewingcross/standins/platform.py
@@ -20,7 +20,7 @@
 
 
 class PlatformStandin:
-    """The platform as entry hosts and operators use it.
+    """A platform with the interface that entry hosts and operators use.
 
     Parameters
     ----------
--- a/lacewingcross/tls.py
+++ b/lacewingcross/tls.py
@@ -66,7 +66,8 @@
     async def run(self) -> None:
         """Reload changed files until cancelled.
 
-        Files that cannot be used are logged, and the previous certificate stays in use.
+        An error in the files is logged, and the reload is tried again after
+        `RELOAD_INTERVAL_S`; the contexts that were not reloaded keep their certificate.
         Open connections are kept; new handshakes use the new certificate.
         """
         while True:
