--- a/lacewingcross/cli/messages.py
+++ b/lacewingcross/cli/messages.py
@@ -1,4 +1,4 @@
-"""The command that shows the messages that a host sends to and receives from others."""
+"""The command that shows the messages that a host exchanges with other hosts."""
 
 from ..gateway.gossip_receiver import RECEIVED
 from ..gateway.link import SENT, SENT_BYTES
--- a/lacewingcross/deployments.py
+++ b/lacewingcross/deployments.py
@@ -106,7 +106,7 @@
     Parameters
     ----------
     ports : iterator of int, optional
-        Ports to use; by default those from `PORT_BASE` up to 64999.
+        Ports to use; by default the ports from `PORT_BASE` up to 64999.
     """
 
     __slots__ = ("_ports",)
--- a/lacewingcross/headers.py
+++ b/lacewingcross/headers.py
@@ -63,8 +63,8 @@
 def without_hop_by_hop(headers: HeaderList) -> HeaderList:
     """Return the end-to-end headers, which a proxy passes on.
 
-    Left out are `HOP_BY_HOP` headers and those that the first ``Connection`` header
-    names.
+    Left out are the `HOP_BY_HOP` headers and all headers that the first ``Connection``
+    header names.
     """
     named = find(headers, b"connection").lower().encode("latin-1")
     listed = {part.strip() for part in named.split(b",")}
--- a/lacewingcross/host/app.py
+++ b/lacewingcross/host/app.py
@@ -28,6 +28,7 @@
 INCARNATION_BITS = 24
 BUSY_TICK_INTERVAL_S = 0.02
 IDLE_TICK_INTERVAL_S = 0.2
+# How long a host still accepts connections after it has announced its shutdown.
 SHUTDOWN_NOTICE_S = 2.0
 SHUTDOWN_POLL_S = 0.05
 
--- a/lacewingcross/host/backends/pool.py
+++ b/lacewingcross/host/backends/pool.py
@@ -6,6 +6,8 @@
 
 from ...http1_client import ClientConnection, HttpError
 
+# Longest idle time of a connection that is used again: for a repeatable request, and
+# for any other request.
 MAX_IDLE_S = 30.0
 MAX_IDLE_UNREPEATABLE_S = 2.0
 DEFAULT_MAX_CONNECTIONS = 30
--- a/lacewingcross/host/entry/attempt.py
+++ b/lacewingcross/host/entry/attempt.py
@@ -32,7 +32,7 @@
         Bytes read so far.
     replayable : bool
         Whether a further attempt can send the body again: true until more than
-        `MAX_REPLAY_BYTES` of it were read.
+        `MAX_REPLAY_BYTES` of the body were read.
     """
 
     exchange: Exchange
--- a/lacewingcross/host/entry/lookups.py
+++ b/lacewingcross/host/entry/lookups.py
@@ -13,7 +13,11 @@
 from ..runtime import Runtime
 
 LOOKUP_PATH = "/v1/lookup"
+# Number of prepared responses to one look-up, which differ in their lifetime and are
+# sent in rotation.
 TTL_VARIANTS = 8
+# Limits on the cached queries, of which the oldest is dropped, and on the prepared
+# responses, to which no more are added.
 MAX_QUERIES_KEPT = 50_000
 MAX_PREPARED_KEPT = 100_000
 
--- a/lacewingcross/host/mesh/links.py
+++ b/lacewingcross/host/mesh/links.py
@@ -21,6 +21,7 @@
 MIN_RECONNECT_DELAY_S = 0.05
 MAX_RECONNECT_DELAY_S = 1.0
 MAX_QUEUED_MESSAGES = 5000
+# Interval between two updates of the links after changes of the members.
 LINK_REVIEW_INTERVAL_S = 0.2
 SEED_INTERVAL_S = 0.3
 # How long a stream to a seed stays open after the hello, so that the seed can read it.
@@ -214,7 +215,7 @@
             writer.transport.abort()
 
     def _update_links(self) -> None:
-        """Close the links to forgotten hosts, and open those to new neighbours."""
+        """Close the links to forgotten hosts, and open links to new neighbours."""
         members = self.runtime.core.view.members
         neighbours = {st.info.host_id for st in members.others() if st.neighbour}
         forgotten = [hid for hid in self._links if members.info(hid) is None]
--- a/lacewingcross/host/supervisor.py
+++ b/lacewingcross/host/supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor that starts child tasks, restarts those that fail, and stops them."""
+"""A supervisor that starts child tasks, restarts failed ones, and stops all."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -106,7 +106,7 @@
     stop : asyncio.Event
         Set when the process is to end.
     finish : callable
-        Finishes the work in progress while the tree still runs. It is not called
+        Finishes the work in progress while the tree still runs. `finish` is not called
         when the tree ends by itself.
     close : callable
         Closes resources that do not belong to the tree, when the tree is cancelled.
--- a/lacewingcross/standins/backend.py
+++ b/lacewingcross/standins/backend.py
@@ -18,7 +18,7 @@
 MAX_CONTROL_BYTES = 100_000
 MAX_LEDGER_ENTRIES = 500_000
 # In the service shape "heavy", this fraction of the requests takes `HEAVY_FACTOR` times
-# the mean service time, and each of the others half of it.
+# the mean service time, and every other request half of it.
 HEAVY_FRACTION = 0.05
 HEAVY_FACTOR = 10.0
 MAX_ECHOED_TARGET_CHARS = 4096
