--- a/lacewingcross/backoff.py
+++ b/lacewingcross/backoff.py
@@ -9,8 +9,8 @@
 # refuses is charged for as well, so the shortest pause avoids needless calls. The
 # longest pause ensures that a change that happened during the pause is still noticed in
 # time.
-RETRY_MIN_S = 0.15
-RETRY_MAX_S = 0.8
+MIN_RETRY_PAUSE_S = 0.15
+MAX_RETRY_PAUSE_S = 0.8
 
 
 class Backoff:
@@ -30,8 +30,8 @@
     def __init__(
         self,
         rng: RandomSource,
-        min_s: float = RETRY_MIN_S,
-        max_s: float = RETRY_MAX_S,
+        min_s: float = MIN_RETRY_PAUSE_S,
+        max_s: float = MAX_RETRY_PAUSE_S,
     ) -> None:
         self._rng = rng
         self._min_s = min_s
--- a/lacewingcross/http1_connection.py
+++ b/lacewingcross/http1_connection.py
@@ -10,12 +10,18 @@
 from .http1_exchange import Exchange, RequestHead
 
 MAX_HEAD_BYTES = 16 * 1024
+# Longest time without progress of the caller: while a request head is incomplete,
+# between requests, and while a body or a response is transferred.
 HEAD_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 75.0
 STALL_TIMEOUT_S = 30.0
+# Longest time for which the rest of an unneeded request body is read and discarded.
 DISCARD_TIMEOUT_S = 5.0
-HIGH_WATER = 64 * 1024
-LOW_WATER = 16 * 1024
+# Above the high mark of buffered bytes, the source of the data has to wait, until the
+# buffer is below the low mark. Both marks apply to the unread request body and to the
+# response that the caller has not read yet.
+HIGH_WATER_BYTES = 64 * 1024
+LOW_WATER_BYTES = 16 * 1024
 # Limit on pipelined data that is buffered while an earlier request is being handled:
 # room for about fifty requests of 1.3 kB each.
 MAX_READ_AHEAD_BYTES = 64 * 1024
@@ -117,7 +123,7 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Register a new connection, or refuse it when there are too many."""
         self.transport = transport
-        transport.set_write_buffer_limits(high=HIGH_WATER, low=LOW_WATER)
+        transport.set_write_buffer_limits(high=HIGH_WATER_BYTES, low=LOW_WATER_BYTES)
         peer = transport.get_extra_info("peername")
         self._client = peer[0] if peer else ""
         self._record_progress()
@@ -180,7 +186,10 @@
     def process_events(self) -> None:
         """Handle the events that h11 has parsed so far."""
         while not self.lost:
-            if self.exchange is not None and self._unread_body_bytes >= HIGH_WATER:
+            if (
+                self.exchange is not None
+                and self._unread_body_bytes >= HIGH_WATER_BYTES
+            ):
                 self._pause_reading()
                 return
             try:
@@ -339,7 +348,7 @@
     def body_consumed(self, size: int) -> None:
         """Count `size` bytes of the body as read by the handler; resume reading."""
         self._unread_body_bytes -= size
-        if self._reading_paused and self._unread_body_bytes < LOW_WATER:
+        if self._reading_paused and self._unread_body_bytes < LOW_WATER_BYTES:
             self._resume_reading()
             self.process_events()
 
