--- a/lacewingcross/http1_client.py
+++ b/lacewingcross/http1_client.py
@@ -10,6 +10,7 @@
 from . import headers as hd
 from .checks import split_address
 
+# Limit on the bytes of one read.
 READ_SIZE = 64 * 1024
 CONNECT_TIMEOUT_S = 1.0
 MAX_IDLE_CONNECTIONS = 8
--- a/lacewingcross/metrics.py
+++ b/lacewingcross/metrics.py
@@ -14,7 +14,8 @@
 class Metrics:
     """All metrics of one process.
 
-    Names are dotted, such as ``<what>.<reason>``. Histograms record microseconds.
+    A name consists of parts joined by dots, such as ``<what>.<reason>``. Histograms
+    record microseconds.
     """
 
     __slots__ = ("counters", "gauges", "histograms")
