--- a/lacewingcross/host/backends/prober.py
+++ b/lacewingcross/host/backends/prober.py
@@ -20,9 +20,9 @@
     after the end of the round before. A probe costs the server a few milliseconds, so
     only the host that runs the slot keeper of a region probes its servers. A probe
     takes a server out of service when the server reports that it is draining, or
-    accepts no connection. A later probe that reaches the server ends the second state.
-    A report of good health proves nothing else and brings the server no further
-    traffic.
+    accepts no connection. A later probe ends that state when it reaches the server and
+    the server no longer reports that it is draining. Beyond this, a report of good
+    health proves nothing and brings the server no traffic.
     """
 
     __slots__ = ("_clients", "_runtime")
