--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -221,7 +221,7 @@
             return _close(conn)
         self._record_reply(sent, head.status, head, b"".join(chunks))
         host_closes = hd.find(head.headers, b"connection").lower() == "close"
-        if host_closes or not conn.reusable():
+        if host_closes or not conn.prepare_for_reuse():
             return _close(conn)
         return conn
 
--- a/lacewingcross/host/entry/listener.py
+++ b/lacewingcross/host/entry/listener.py
@@ -26,7 +26,7 @@
 
 
 class EntryListener:
-    """Accepts callers' connections and runs their look-ups and requests.
+    """Accepts callers' connections and serves their look-ups and requests.
 
     Parameters
     ----------
@@ -100,13 +100,17 @@
             self._pool.close()
 
     def _set_connection_limits(self) -> None:
-        """Split each backend server's connection limit evenly over the live hosts."""
+        """Split each backend server's connection limit evenly over the live hosts.
+
+        Each host may open at least one connection, so with more hosts than connections
+        the hosts together may exceed the limit.
+        """
         view = self._runtime.core.view
-        hosts = max(1, len(view.members.live(self._runtime.now())))
+        host_count = max(1, len(view.members.live(self._runtime.now())))
         for pool in view.config.pools.values():
             for server in pool.servers:
-                share = max(1, server.connections // hosts)
-                self._pool.limits[server.address] = share
+                max_connections = max(1, server.connections // host_count)
+                self._pool.limits[server.address] = max_connections
 
     def _count_bad_input(self, reason: str) -> None:
         self._runtime.metrics.count(f"bad-input.{reason}")
--- a/lacewingcross/host/entry/lookups.py
+++ b/lacewingcross/host/entry/lookups.py
@@ -13,7 +13,11 @@
 from ..runtime import Runtime
 
 LOOKUP_PATH = "/v1/lookup"
+# Number of prepared responses to one look-up, which differ in their lifetime and are
+# sent in rotation.
 TTL_VARIANTS = 8
+# Limits on the cached queries, of which the oldest is dropped, and on the prepared
+# responses, to which no more are added.
 MAX_QUERIES_KEPT = 50_000
 MAX_PREPARED_KEPT = 100_000
 
@@ -35,9 +39,9 @@
 
     Parsing a request with h11 costs far more than deciding on it. A caller repeats
     the same look-up with the same bytes, and h11 gives the same result for the same
-    bytes on an idle connection. So the query of each request that was parsed once is
-    cached by the bytes of the request, and the responses are prepared once for each
-    service, client group and bucket.
+    bytes on an idle connection. The query of each parsed request is therefore cached by
+    the bytes of the request. The responses are prepared for each service, client group
+    and bucket, and dropped when the core's epoch changes.
 
     Parameters
     ----------
@@ -63,7 +67,8 @@
     def reply(self, data: bytes) -> bytes | None:
         """Return the response to a whole look-up request.
 
-        None means that these bytes have to be handled as an ordinary request.
+        None means that these bytes have to be handled as an ordinary request: they are
+        not one complete, plain look-up, or the core refuses the look-up.
         """
         query = self._queries_by_bytes.get(data)
         if query is None:
@@ -113,6 +118,7 @@
         return LookupQuery(service, address, caller)
 
     def _respond(self, query: LookupQuery) -> bytes | None:
+        """Return the next variant of the prepared response, or None for a refusal."""
         core = self._runtime.core
         if core.epoch != self._epoch:
             self._prepared.clear()
@@ -131,6 +137,7 @@
         return variants[self._variant_index]
 
     def _prepare(self, query: LookupQuery) -> list[bytes] | None:
+        """Return the variants of the response to a query, or None for a refusal."""
         answer = self.look_up(query)
         if isinstance(answer, LookupRefusal):
             return None
@@ -138,8 +145,8 @@
         policy = view.config.policies[query.service]
         variants = []
         for _ in range(TTL_VARIANTS):
-            # The variants differ only in their jittered lifetime. The hosts are the
-            # same in all of them, since ranking the hosts is the costly part.
+            # The variants differ only in their lifetime, which has jitter. All variants
+            # have the same hosts, since ranking the hosts is the costly part.
             answer = replace(answer, ttl_s=lifetime(policy, view.rng))
             body = json.dumps(answer_data(answer), separators=(",", ":")).encode()
             head = (
--- a/lacewingcross/host/supervisor.py
+++ b/lacewingcross/host/supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor that starts child tasks, restarts those that fail, and stops them."""
+"""A supervisor that starts child tasks, restarts failed ones, and stops all."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,6 +22,7 @@
 class Supervisor:
     """Runs children one-for-one: a child that fails is restarted alone, with back-off.
 
+    A child that returns is not restarted, and an `AssertionError` stops all children.
     The delay before a restart doubles from `MIN_RESTART_DELAY_S` up to
     `MAX_RESTART_DELAY_S`. After a run longer than `STABLE_RUN_S` it starts again from
     `MIN_RESTART_DELAY_S`.
@@ -31,7 +32,7 @@
     name : str
         Name of this supervisor in the tree, for logs.
     children : list of Child
-        Started in order, stopped in reverse order. A child may be the `run` of
+        Started in order, cancelled in reverse order. A child may be the `run` of
         another supervisor.
     """
 
@@ -44,7 +45,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
-        """Run all children until cancelled."""
+        """Run all children until cancelled, until all return or an invariant breaks."""
         loop = asyncio.get_running_loop()
         self._tasks = [
             loop.create_task(
@@ -66,7 +67,7 @@
         loop = asyncio.get_running_loop()
         delay_s = MIN_RESTART_DELAY_S
         while True:
-            started = loop.time()
+            started_at = loop.time()
             try:
                 await child.run()
                 return
@@ -84,7 +85,7 @@
                     child=f"{self.name}/{child.name}",
                     error=repr(exc),
                 )
-            if loop.time() - started > STABLE_RUN_S:
+            if loop.time() - started_at > STABLE_RUN_S:
                 delay_s = MIN_RESTART_DELAY_S
             await asyncio.sleep(delay_s)
             delay_s = min(MAX_RESTART_DELAY_S, delay_s * 2)
@@ -105,7 +106,7 @@
     stop : asyncio.Event
         Set when the process is to end.
     finish : callable
-        Finishes the work in progress while the tree still runs. It is not called
+        Finishes the work in progress while the tree still runs. `finish` is not called
         when the tree ends by itself.
     close : callable
         Closes resources that do not belong to the tree, when the tree is cancelled.
--- a/lacewingcross/http1_connection.py
+++ b/lacewingcross/http1_connection.py
@@ -10,27 +10,49 @@
 from .http1_exchange import Exchange, RequestHead
 
 MAX_HEAD_BYTES = 16 * 1024
+# Longest time without progress of the caller: while a request head is incomplete,
+# between requests, and while a body or a response is transferred.
 HEAD_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 75.0
 STALL_TIMEOUT_S = 30.0
+# Longest time for which the rest of an unneeded request body is read and discarded.
 DISCARD_TIMEOUT_S = 5.0
-HIGH_WATER = 64 * 1024
-LOW_WATER = 16 * 1024
+# Above the high mark of buffered bytes, the source of the data has to wait, until the
+# buffer is below the low mark. Both marks apply to the unread request body and to the
+# response that the caller has not read yet.
+HIGH_WATER_BYTES = 64 * 1024
+LOW_WATER_BYTES = 16 * 1024
 # Limit on pipelined data that is buffered while an earlier request is being handled:
-# about fifty requests.
+# room for about fifty requests of 1.3 kB each.
 MAX_READ_AHEAD_BYTES = 64 * 1024
 
 
 class FastPath(Protocol):
-    """Responses to byte-identical requests, without parsing the requests again."""
+    """Responses to requests whose bytes are known, without parsing them again."""
 
     def reply(self, data: bytes) -> bytes | None:
-        """Return the complete response to a complete request, or None if unknown."""
+        """Return the whole response to one whole request, or None if unknown."""
         ...
 
 
 class Listener(Protocol):
-    """The part of the listener that its connections use."""
+    """The part of the listener that its connections use.
+
+    Attributes
+    ----------
+    closing : bool
+        The listener accepts no more connections, and each open one closes when its
+        current request is answered.
+    max_head : int
+        Limit on the bytes of a request head.
+    head_timeout_s, idle_timeout_s : float
+        Longest time without progress, in seconds, while a request head is incomplete
+        and between requests.
+    now : callable
+        Monotonic clock in seconds.
+    on_bad_input : callable
+        Called with the reason code of each refused connection or request.
+    """
 
     closing: bool
     max_head: int
@@ -41,7 +63,10 @@
     on_bad_input: Callable[[str], None]
 
     def admit(self, conn: "ServerConnection", client: str) -> str:
-        """Count a connection; return the reason to refuse it, or an empty string."""
+        """Count a connection; return the reason to refuse it, or an empty string.
+
+        A refused connection counts until it is unregistered.
+        """
         ...
 
     def unregister(self, conn: "ServerConnection", client: str) -> None:
@@ -63,7 +88,7 @@
     """
 
     __slots__ = (
-        "_body_size",
+        "_unread_body_bytes",
         "_client",
         "_discard_until",
         "_drain_waiter",
@@ -73,7 +98,7 @@
         "_task",
         "_unsent_head",
         "exchange",
-        "last_progress",
+        "last_progress_at",
         "lost",
         "transport",
     )
@@ -88,17 +113,17 @@
         self._reading_paused = False
         self._unsent_head = b""
         self._discard_until = 0.0
-        self._body_size = 0
+        self._unread_body_bytes = 0
         self._task: asyncio.Task[None] | None = None
         self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
-        self.last_progress = 0.0
+        self.last_progress_at = 0.0
         self.lost = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Register a new connection, or refuse it when there are too many."""
         self.transport = transport
-        transport.set_write_buffer_limits(high=HIGH_WATER, low=LOW_WATER)
+        transport.set_write_buffer_limits(high=HIGH_WATER_BYTES, low=LOW_WATER_BYTES)
         peer = transport.get_extra_info("peername")
         self._client = peer[0] if peer else ""
         self._record_progress()
@@ -107,7 +132,7 @@
             self._refuse(503, reason)
 
     def data_received(self, data: bytes) -> None:
-        """Answer a known look-up at once; pass all other data to h11."""
+        """Answer a request that the fast path knows; pass all other data to h11."""
         self._record_progress()
         fast_path = self._server.fast_path
         if fast_path is not None and self._is_idle():
@@ -129,7 +154,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notify the exchange that the connection to its caller is closed."""
+        """Stop counting the connection, and wake all that wait for the caller."""
         self.lost = True
         self._server.unregister(self, self._client)
         if self._drain_waiter is not None and not self._drain_waiter.done():
@@ -140,7 +165,7 @@
                 self.exchange.on_gone()
 
     def pause_writing(self) -> None:
-        """Let writers wait, since the caller reads more slowly than data is written."""
+        """Make writers wait, since the caller reads too slowly."""
         self._drain_waiter = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
@@ -161,7 +186,10 @@
     def process_events(self) -> None:
         """Handle the events that h11 has parsed so far."""
         while not self.lost:
-            if self.exchange is not None and self._body_size >= HIGH_WATER:
+            if (
+                self.exchange is not None
+                and self._unread_body_bytes >= HIGH_WATER_BYTES
+            ):
                 self._pause_reading()
                 return
             try:
@@ -182,9 +210,10 @@
     def _read_ahead(self) -> None:
         """Keep reading while a request is being handled, up to a limit.
 
-        Failure: a caller pipelines a second request and then closes the connection. The
-        close is noticed only while reading; with reading paused, the server would keep
-        working on a response that nobody receives.
+        Guards against a caller that pipelines a second request and then closes the
+        connection. The close is noticed only while the server reads; with reading
+        paused, the server would keep working on a response that has no receiver.
+        Reading therefore goes on until `MAX_READ_AHEAD_BYTES` are buffered.
         """
         if len(self._h11.trailing_data[0]) >= MAX_READ_AHEAD_BYTES:
             self._pause_reading()
@@ -193,7 +222,7 @@
         if isinstance(event, h11.Request):
             self._begin(event)
         elif isinstance(event, h11.Data) and self.exchange is not None:
-            self._body_size += len(event.data)
+            self._unread_body_bytes += len(event.data)
             self.exchange.feed(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage) and self.exchange is not None:
             self.exchange.end_of_body()
@@ -209,11 +238,12 @@
         )
         names = [name for name, _ in head.headers]
         if hd.CONTENT_LENGTH in names and hd.TRANSFER_ENCODING in names:
-            # Request smuggling: a proxy or server on the path may use the other one of
-            # the two lengths and take the rest of the body for a new request.
+            # Guards against request smuggling: h11 uses one of the two headers, and a
+            # proxy or server on the path may use the other one and take the rest of the
+            # body for a new request. A refused request is not forwarded.
             self._refuse(400, "ambiguous-length")
             return
-        self._body_size = 0
+        self._unread_body_bytes = 0
         self.exchange = Exchange(self, head)
         loop = asyncio.get_running_loop()
         self._task = loop.create_task(self._server.run(self.exchange))
@@ -282,12 +312,15 @@
             await self._drain_waiter
 
     def exchange_done(self, exchange: Exchange) -> None:
-        """Continue with the next request, or close when that is not possible."""
+        """Continue with the next request, or close when that is not possible.
+
+        The unread rest of a request body is discarded first.
+        """
         if self.exchange is not exchange:
             return
         self.exchange = None
         self._task = None
-        self._body_size = 0
+        self._unread_body_bytes = 0
         self._record_progress()
         states = (self._h11.our_state, self._h11.their_state)
         if states == (h11.DONE, h11.SEND_BODY):
@@ -314,8 +347,8 @@
 
     def body_consumed(self, size: int) -> None:
         """Count `size` bytes of the body as read by the handler; resume reading."""
-        self._body_size -= size
-        if self._reading_paused and self._body_size < LOW_WATER:
+        self._unread_body_bytes -= size
+        if self._reading_paused and self._unread_body_bytes < LOW_WATER_BYTES:
             self._resume_reading()
             self.process_events()
 
@@ -339,29 +372,31 @@
             self.transport.close()
 
     def _record_progress(self) -> None:
-        self.last_progress = self._server.now()
+        self.last_progress_at = self._server.now()
 
     def sweep(self, now: float) -> None:
         """Close the connection when the caller has made no progress for too long.
 
-        A caller that sends very slowly or stalls occupies a connection without use. It
-        is recognized by a request head that is never completed or by a body without
-        progress. A request that waits for its backend server is not stalled, since the
-        caller has nothing to send or read at that time.
+        Without a request in progress, the limit is the idle timeout, or the head
+        timeout once a part of a request head was received. With a request in progress,
+        the caller stalls when it neither sends the body that is read nor reads the
+        response for `STALL_TIMEOUT_S`. A request that waits for its backend server is
+        not stalled, since the caller has nothing to send or read at that time. A body
+        that is being discarded has the time limit `DISCARD_TIMEOUT_S` in all.
         """
-        seconds_since_progress = now - self.last_progress
+        seconds_since_progress = now - self.last_progress_at
         if self._discard_until:
             if now > self._discard_until:
                 self.transport.close()
             return
         if self.exchange is None:
             head_started = bool(self._h11.trailing_data[0])
-            limit = (
+            limit_s = (
                 self._server.head_timeout_s
                 if head_started
                 else self._server.idle_timeout_s
             )
-            if seconds_since_progress > limit:
+            if seconds_since_progress > limit_s:
                 if head_started:
                     self._refuse(408, "head-timeout")
                 else:
--- a/lacewingcross/standins/object_store.py
+++ b/lacewingcross/standins/object_store.py
@@ -15,7 +15,8 @@
 PAGE_SIZE = 500
 # Room for a value of one MiB and the JSON around it.
 MAX_BODY_BYTES = (1 << 20) + 4096
-# How long a silent store holds a call, in seconds: longer than any caller waits.
+# How long a silent store holds a call, in seconds, which is longer than any caller
+# waits.
 SILENT_S = 3600.0
 # Deletions that the store keeps for watches before it compacts its history.
 MAX_DELETED_KEPT = 5000
@@ -54,17 +55,17 @@
     Attributes
     ----------
     down : {"", "busy", "many", "reset", "silent"}
-        How each call fails: answered 503, answered 429, connection reset, or no
-        answer. Empty for no fault.
+        How each call fails: ``busy`` is answered 503 and ``many`` 429, ``reset`` resets
+        the connection, ``silent`` gives no answer. Empty for no fault.
     slow_s : float
         Delay of each call in seconds.
     lost_writes : bool
         Every write is carried out and not answered.
     lose_answers : int
-        The next so many writes are carried out and not answered.
+        Number of further writes that are carried out and not answered.
     stale_since : int
-        A revision. If it is set, a listing that may be stale lacks the objects that
-        were created after this revision.
+        A revision, or 0 for no fault. A listing for which the caller allows stale data
+        lacks the objects that were created after this revision.
     """
 
     down: str = ""
@@ -74,7 +75,7 @@
     stale_since: int = 0
 
     def lose_answer(self) -> bool:
-        """Return whether the answer to a write is lost, and count it if it is."""
+        """Return whether to lose the answer to a write; take it off `lose_answers`."""
         if self.lose_answers > 0:
             self.lose_answers -= 1
             return True
@@ -111,7 +112,7 @@
     _server: HttpServer | None = None
 
     async def start(self) -> int:
-        """Listen on a free port of 127.0.0.1; return it."""
+        """Listen on a free port of 127.0.0.1; return the port."""
         self._server = HttpServer(self.handle, self.now)
         return await self._server.start("127.0.0.1", 0)
 
@@ -120,7 +121,10 @@
         await self._server.close()
 
     def put(self, kind: str, name: str, spec: object) -> int:
-        """Create or replace an object; return its revision."""
+        """Create or replace an object; return its revision.
+
+        Replacing an object by the same spec changes nothing.
+        """
         stored = self._objects.setdefault(kind, {}).get(name)
         if stored is not None and not stored.deleted and stored.spec == spec:
             return stored.revision
@@ -145,7 +149,7 @@
         self.wake_watches()
 
     def compact(self) -> None:
-        """Drop the history; a watch from an older revision is answered 410."""
+        """Drop the history; a watch from an earlier revision is answered 410."""
         self._compacted = self.revision
         self._deleted = 0
         for objects in self._objects.values():
@@ -159,7 +163,10 @@
         return sorted(obj.name for obj in objects if not obj.deleted)
 
     def _names_seen(self, kind: str, *, stale: bool) -> list[str]:
-        """Return the names in a listing; a stale one lacks objects created later."""
+        """Return the names in a listing.
+
+        A stale listing lacks the objects created after `Faults.stale_since`, if set.
+        """
         since = self.faults.stale_since
         names = self.names(kind)
         if not (stale and since):
@@ -232,7 +239,7 @@
 
     async def _watch(self, exchange: Exchange, kind: str, fields: dict) -> None:
         since = int(fields["watch"])
-        deadline = self.now() + int(fields.get("wait_ms", 0)) / 1000.0
+        deadline_at = self.now() + int(fields.get("wait_ms", 0)) / 1000.0
         while True:
             if await self.send_fault(exchange):
                 return
@@ -242,7 +249,7 @@
             changed = self._changed
             objects = self._objects.get(kind, {}).values()
             changes = [obj for obj in objects if obj.revision > since]
-            remaining_s = deadline - self.now()
+            remaining_s = deadline_at - self.now()
             if changes or remaining_s <= 0:
                 break
             try:
