--- a/bench/soak/ledger.py
+++ b/bench/soak/ledger.py
@@ -38,7 +38,7 @@
 REPEATABLE = ("read", BAD)
 # Servers that may end under one request, and its runs that may come later than
 # `STABLE_S` after that from hosts that nothing has disturbed.
-MAX_CRASHES_PER_REQUEST = 3
+QUARANTINE_CRASHES = 3
 LATE_MOST = 3
 # Time bounds are judged while the soak's own loop is late by less, in seconds.
 OWN_LAG_S = 0.25
@@ -326,9 +326,9 @@
 
     def _late_bad_runs(self) -> list[Broken]:
         """Return whether a request that ends servers went on reaching them."""
-        if len(self.ends) < MAX_CRASHES_PER_REQUEST:
+        if len(self.ends) < QUARANTINE_CRASHES:
             return []
-        since = self.ends[MAX_CRASHES_PER_REQUEST - 1][0] + STABLE_S
+        since = self.ends[QUARANTINE_CRASHES - 1][0] + STABLE_S
         late = [
             at
             for at, request_id in self.ends
--- a/lacewingcross/core/backend_state.py
+++ b/lacewingcross/core/backend_state.py
@@ -59,7 +59,7 @@
     passive_health: PassiveHealth = field(default_factory=PassiveHealth)
     warm: WarmKeys = field(default_factory=WarmKeys)
 
-    def busy(self, now: float) -> int:
+    def request_count(self, now: float) -> int:
         """Return how many requests are believed to run or wait there."""
         counted = self.own + sum(self.of_peers.values())
         if now - self.reported_at > MAX_REPORT_AGE_S:
--- a/lacewingcross/core/completion.py
+++ b/lacewingcross/core/completion.py
@@ -91,7 +91,7 @@
         """
         slots = server.entry.slots
         factor = COLD_SERVER_FACTOR if server.cold(now) else 1.0
-        waiting = max(0, server.busy(now) - slots + 1)
+        waiting = max(0, server.request_count(now) - slots + 1)
         wait_s = (
             factor * waiting / slots * self.mean_service_time_s(server.entry.service)
         )
--- a/lacewingcross/core/crashes.py
+++ b/lacewingcross/core/crashes.py
@@ -20,7 +20,7 @@
 # two crashes in a row while the servers of a service are killed one after the other. To
 # meet three, it would have to hit each of them within the few tries that its caller
 # makes.
-MAX_CRASHES_PER_REQUEST = 3
+QUARANTINE_CRASHES = 3
 # How long a crash counts against the requests that were running at the server, in
 # seconds. A caller that repeats a request by hand or by schedule does so within
 # minutes.
@@ -120,7 +120,7 @@
             self._crashes_by_request.setdefault(request, set()).add(crash.server)
             if request in self.quarantine:
                 self.quarantine.crashed_again(request, crash.server[0], now)
-            elif self.crash_count(request) >= MAX_CRASHES_PER_REQUEST:
+            elif self.crash_count(request) >= QUARANTINE_CRASHES:
                 self._quarantine_request(request, now)
                 quarantined.append(request)
         return is_new or bool(new_requests), quarantined
--- a/lacewingcross/core/eligibility.py
+++ b/lacewingcross/core/eligibility.py
@@ -168,4 +168,4 @@
         failed, see `FailureShare`. The servers are not compared.
         """
         failures = self._failures.get(service)
-        return failures is not None and failures.is_common()
+        return failures is not None and failures.all_taken_to_fail()
--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -256,7 +256,7 @@
         silence_s = now - state.last_heartbeat_at
         return not state.broken and silence_s <= SUSPECT_HEARTBEATS * state.heartbeat_s
 
-    def _live_by_list(self, state: HostState, now: float) -> bool:
+    def _presumed_live(self, state: HostState, now: float) -> bool:
         """Return whether a host is live by the list, without a recent heartbeat.
 
         Hosts that are not neighbours send no heartbeats. A neighbour that has not sent
@@ -292,7 +292,7 @@
         state = self._states.get(host_id)
         if state is None:
             return DOWN
-        if not self._is_alive(state, now) and not self._live_by_list(state, now):
+        if not self._is_alive(state, now) and not self._presumed_live(state, now):
             return DOWN
         if LEAVING in (state.reported_state, state.info.listed) or state.drained:
             return LEAVING
@@ -346,14 +346,14 @@
             default=float("inf"),
         )
 
-    def derived(self, now: float) -> dict[str, str]:
+    def owner_cache(self, now: float) -> dict[str, str]:
         """Return a cache for values that depend only on the live and leaving members.
 
         It is replaced by an empty one whenever these members change. To choose an owner
         among thousands of hosts takes milliseconds, and the same owners are needed many
         times.
         """
-        return self._groups(now).derived
+        return self._groups(now).owner_cache
 
     def live(self, now: float, region: str | None = None) -> list[HostInfo]:
         """Return the live members, of one region if given."""
@@ -382,7 +382,7 @@
     __slots__ = (
         "by_domain",
         "by_region",
-        "derived",
+        "owner_cache",
         "leaving",
         "live",
         "made_at",
@@ -392,7 +392,7 @@
     def __init__(self, now: float) -> None:
         self.made_at = now
         self.valid_until = float("inf")
-        self.derived: dict[str, str] = {}
+        self.owner_cache: dict[str, str] = {}
         self.by_domain: dict[str, list[HostInfo]] = {}
         self.live: list[HostInfo] = []
         self.leaving: list[HostInfo] = []
--- a/lacewingcross/core/passive_health.py
+++ b/lacewingcross/core/passive_health.py
@@ -181,6 +181,6 @@
         """Add one outcome."""
         self._share += COMMON_WEIGHT * (failed - self._share)
 
-    def is_common(self) -> bool:
+    def all_taken_to_fail(self) -> bool:
         """Return whether the share is so large that all servers are taken to fail."""
         return self._share > COMMON_THRESHOLD
--- a/lacewingcross/core/placement.py
+++ b/lacewingcross/core/placement.py
@@ -224,7 +224,9 @@
     ) -> Choice:
         times = self._times(request)
         estimate = self.expectations.estimate(server, object_name, times, now)
-        return Choice(server, why, request, object_name, estimate, server.busy(now))
+        return Choice(
+            server, why, request, object_name, estimate, server.request_count(now)
+        )
 
     def _times(self, request: PlacementRequest) -> KindTimes:
         return self.expectations.kind(request.kind or request.service, request.target_s)
--- a/lacewingcross/core/view.py
+++ b/lacewingcross/core/view.py
@@ -51,7 +51,7 @@
         still be used.
         """
         key = f"keeper/{service}/{region}"
-        known = self.members.derived(now).get(key)
+        known = self.members.owner_cache(now).get(key)
         return known or self._choose_owner(
             key, self._keeper_candidates(region, now), now
         )
@@ -71,12 +71,12 @@
         """
         chosen = owner(key, [info.host_id for info in candidates])
         result = chosen or self.own.host_id
-        self.members.derived(now)[key] = result
+        self.members.owner_cache(now)[key] = result
         return result
 
     def owner_among_live(self, key: str, now: float) -> str:
         """Return the live host that owns `key`, or this host if none is live."""
-        known = self.members.derived(now).get(key)
+        known = self.members.owner_cache(now).get(key)
         return known or self._choose_owner(key, self.members.live(now), now)
 
     def planner_of(self, service: str, now: float) -> str:
@@ -86,7 +86,7 @@
     def reporter_of(self, failure_domain: str, now: float) -> str:
         """Return the host that reports the state of a failure domain."""
         key = f"reporter/{failure_domain}"
-        known = self.members.derived(now).get(key)
+        known = self.members.owner_cache(now).get(key)
         if known:
             return known
         return self._choose_owner(
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -14,7 +14,7 @@
 
 from lacewingcross.core.crashes import (
     MAX_CRASHES_KEPT,
-    MAX_CRASHES_PER_REQUEST,
+    QUARANTINE_CRASHES,
     REMEMBERED_S,
     CrashLedger,
     ServerCrash,
@@ -39,7 +39,7 @@
 
 def quarantined(now=0.0):
     ledger = CrashLedger()
-    for index in range(MAX_CRASHES_PER_REQUEST):
+    for index in range(QUARANTINE_CRASHES):
         ledger.record_crash(crash(index, BAD), now)
     return ledger
 
@@ -65,7 +65,7 @@
 
 def test_crashes_of_two_runs_of_a_server_count_twice():
     ledger = CrashLedger()
-    for born in range(MAX_CRASHES_PER_REQUEST):
+    for born in range(QUARANTINE_CRASHES):
         ledger.record_crash(crash(1, BAD, born=born), 0.0)
     assert BAD in ledger.quarantine
 
@@ -112,7 +112,7 @@
     # each crash interrupts it. Only a trial shows which of the two causes the crashes.
     for reports in ([("popular", BAD)], [("popular",), (BAD,)]):
         ledger = CrashLedger()
-        for index in range(MAX_CRASHES_PER_REQUEST):
+        for index in range(QUARANTINE_CRASHES):
             for requests in reports:
                 ledger.record_crash(crash(index, *requests), 0.0)
         assert ledger.quarantine.trial_due("popular", EARLY_TRIAL_S)
@@ -134,7 +134,7 @@
 
 def test_a_host_that_saw_a_crash_stores_it_also_after_an_earlier_report():
     ledger = CrashLedger()
-    for index in range(MAX_CRASHES_PER_REQUEST - 1):
+    for index in range(QUARANTINE_CRASHES - 1):
         ledger.record_crash(crash(index, "x"), 0.0)
         ledger.record_crash(crash(index, BAD), 0.0, own=True)
     ledger.record_crash(crash(9, BAD), 0.0)
@@ -152,7 +152,7 @@
 def test_old_crashes_do_not_count():
     ledger = CrashLedger()
     for index in range(20):
-        now = index * REMEMBERED_S / (MAX_CRASHES_PER_REQUEST - 1) + index
+        now = index * REMEMBERED_S / (QUARANTINE_CRASHES - 1) + index
         ledger.review(now)
         assert ledger.record_crash(crash(index, BAD), now)[1] == []
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -93,12 +93,12 @@
     membership = new_membership()
     membership.on_heartbeat("h1", heartbeat(), 1.0)
     membership.on_heartbeat("h2", heartbeat(), 1.0)
-    membership.derived(1.1)["planner/s"] = "h1"
+    membership.owner_cache(1.1)["planner/s"] = "h1"
     membership.on_heartbeat("h1", heartbeat(revision=2), 2.0)
     membership.on_heartbeat("h2", heartbeat(revision=2), 2.0)
-    assert membership.derived(2.6) == {"planner/s": "h1"}
+    assert membership.owner_cache(2.6) == {"planner/s": "h1"}
     membership.on_broken("h1", 2.7)
-    assert membership.derived(2.7) == {}
+    assert membership.owner_cache(2.7) == {}
 
 
 def _fleet(count, domains, regions):
--- a/tests/test_passive_health.py
+++ b/tests/test_passive_health.py
@@ -105,8 +105,8 @@
     partial = FailureShare()
     for number in range(400):
         partial.add(number % 7 == 0 and number % 2 == 0)
-    assert not partial.is_common()
+    assert not partial.all_taken_to_fail()
     common = FailureShare()
     for number in range(100):
         common.add(number % 2 == 0)
-    assert common.is_common()
+    assert common.all_taken_to_fail()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -353,10 +353,10 @@
     known = placement(*six_servers()).known
     known.set_peer_counts("host-2", {"a1": 2, "a2": 1}, NOW)
     known.change_peer_counts("host-2", {"a2": 0, "b1": 3, "unknown": 4}, NOW + 5.0)
-    busy = {name: srv.busy(NOW + 5.0) for name, srv in known.servers.items()}
+    busy = {name: srv.request_count(NOW + 5.0) for name, srv in known.servers.items()}
     assert (busy["a1"], busy["a2"], busy["b1"]) == (2, 0, 3)
     assert known.servers["a1"].idle_s(NOW + 9.0) == 0.0
     assert known.servers["a2"].idle_s(NOW + 9.0) == 4.0
     known.set_peer_counts("host-2", {"a2": 1}, NOW + 6.0)
-    busy = {name: srv.busy(NOW + 6.0) for name, srv in known.servers.items()}
+    busy = {name: srv.request_count(NOW + 6.0) for name, srv in known.servers.items()}
     assert (busy["a1"], busy["a2"], busy["b1"]) == (0, 1, 0)
