--- a/lacewingcross/core/account_usage.py
+++ b/lacewingcross/core/account_usage.py
@@ -42,10 +42,10 @@
 
     @property
     def debt(self) -> int:
-        """Return the number of requests that were run and are not paid.
+        """Return the number of requests that were admitted and are not paid.
 
-        It is below 0 if waiting requests are paid already but not decided yet; no other
-        request may use that credit.
+        It is below 0 if the keeper has paid for waiting requests that are not yet
+        admitted or refused; no other request may use that credit.
         """
         return self.open - self.waiting
 
--- a/lacewingcross/core/actions.py
+++ b/lacewingcross/core/actions.py
@@ -81,7 +81,11 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop attempt number `attempt`, close its connection and report `ending`."""
+    """Stop attempt number `attempt` and close its connection.
+
+    The driver then reports the end of the attempt to the core by an
+    `events.AttemptEnded` with `ending`.
+    """
 
     request_id: str
     attempt: int
--- a/lacewingcross/core/backend_state.py
+++ b/lacewingcross/core/backend_state.py
@@ -46,13 +46,16 @@
     entry: ServerEntry
     region: str
     # When this host last sent an attempt there, or another host last reported requests
-    # in flight there or the end of them; at first, when the server became known.
+    # in flight there or reported that it has no more there; at first, when the server
+    # became known.
     used_at: float
     cold_until: float = 0.0
-    # Number of requests in flight from this host, and from each other host by its id.
+    # Number of requests in flight at the server from this host (`own`), and from each
+    # other host by its id (`of_peers`).
     own: int = 0
     of_peers: dict[str, int] = field(default_factory=dict)
-    # Number of requests that run or wait there, as the server itself reported when.
+    # Number of requests that run or wait at the server by its own last report, and when
+    # that report arrived.
     reported_load: int = 0
     reported_at: float = float("-inf")
     cold_sends: ColdSends = field(default_factory=ColdSends)
@@ -60,7 +63,11 @@
     warm: WarmKeys = field(default_factory=WarmKeys)
 
     def request_count(self, now: float) -> int:
-        """Return how many requests are believed to run or wait there."""
+        """Return how many requests run or wait at the server.
+
+        These are the requests that hosts have in flight there, or the number in the
+        server's own recent report if that is higher.
+        """
         counted = self.own + sum(self.of_peers.values())
         if now - self.reported_at > MAX_REPORT_AGE_S:
             return counted
--- a/lacewingcross/core/catch_up.py
+++ b/lacewingcross/core/catch_up.py
@@ -40,7 +40,7 @@
         ----------
         kind : Kind
             Kind of object whose revisions are compared.
-        own, theirs : int
+        own_revision, peer_revision : int
             Revisions up to which this host's and the peer's copies are complete.
         now : float
             Monotonic time in seconds.
--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -26,7 +26,8 @@
 SHARDS = 4
 # Number of claims in the head of a shard above which they move to a segment.
 MAX_HEAD_CLAIMS = 400
-# Time after which a segment is dropped, counted from when this host first saw it.
+# Time after which the next batch drops a segment, counted from when this host first saw
+# the segment.
 SEGMENT_TTL_S = 3600.0
 # Minimum time between the starts of two batches of a shard.
 MIN_BATCH_INTERVAL_S = 0.03
@@ -95,12 +96,13 @@
     index : int
         Index of the shard within the service.
     loaded, loading_since : bool, float
-        Whether the fields hold the stored claims, and when the last read started.
+        Whether the fields hold the stored claims, and when the last read started, which
+        stays noted after the read has ended.
     head_version : int
         Version of the head in the platform; 0 if there is no head.
     head, freed : dict of str to str
-        Claims in the head, and claims in segments that have been freed since, by the
-        hash of the key.
+        Claims in the head, and claims that were freed after they were written to a
+        segment, which never changes; both by the hash of the key.
     segments : dict of str to dict
         Claims in each segment by the hash of the key, the oldest segment first.
     first_seen_at : dict of str to float
@@ -151,7 +153,10 @@
         return "" if self.freed.get(key_hash) == claim else claim
 
     def unload(self) -> None:
-        """Read the shard again before its next use: the stored objects may differ."""
+        """Mark the shard to be read again before its next use.
+
+        The stored objects may differ from the fields.
+        """
         self.loaded = False
 
 
--- a/lacewingcross/core/cold_limit.py
+++ b/lacewingcross/core/cold_limit.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-# Length of the windows to which the bound applies, in seconds.
+# Length of the windows to which the bound of `cold_send_limit` applies, in seconds.
 WINDOW_S = 1.0
 # Requests that are sent more than one window apart may arrive within one window. So
 # requests are counted over a window that is longer by this time, in seconds (the
@@ -44,7 +44,9 @@
 
 
 def cold_send_limit(per_s: float, over: float, slack: float, share: float) -> int:
-    """Return how many requests per second one host may send to a cold server.
+    """Return how many requests one host may send to a cold server at a time.
+
+    They count within the last `WINDOW_S + ARRIVAL_JITTER_S`, see `ColdSends.has_room`.
 
     Parameters
     ----------
--- a/lacewingcross/core/crashes.py
+++ b/lacewingcross/core/crashes.py
@@ -16,7 +16,7 @@
 from .backend_state import Incarnation
 from .quarantine import QuarantineList
 
-# Number of crashes after which a request is quarantined. A harmless request can meet
+# Number of crashes at which a request is quarantined. A harmless request can meet
 # two crashes in a row while the servers of a service are killed one after the other. To
 # meet three, it would have to hit each of them within the few tries that its caller
 # makes.
@@ -70,7 +70,7 @@
 
     @property
     def has_suspects(self) -> bool:
-        """Return whether a crash counts against any request, or one is quarantined."""
+        """Return whether a crash counts against a request, or any is quarantined."""
         return bool(self._crashes_by_request or self.quarantine)
 
     def has_crashed(self, server: Incarnation) -> bool:
--- a/lacewingcross/core/eligibility.py
+++ b/lacewingcross/core/eligibility.py
@@ -165,7 +165,8 @@
         """Return whether all servers of a service are taken to fail.
 
         That is so when more than 30 % of this host's recent attempts at the service
-        failed, see `FailureShare`. The servers are not compared.
+        failed, see `FailureShare`. The failures of single servers are not compared: one
+        server that gets most of the attempts and fails has the same effect.
         """
         failures = self._failures.get(service)
         return failures is not None and failures.all_taken_to_fail()
--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -28,7 +28,7 @@
 class HostInfo:
     """An entry host as the platform's list describes it.
 
-    `entry` is the address for callers, `peer` the address for other entry hosts, and
+    `entry` is the network address for callers, `peer` the one for other entry hosts, and
     `listed` the host's state in the list. `cores` is the processor time that the host
     gets, in seconds of an ordinary core per second.
     """
@@ -66,9 +66,21 @@
 
     Attributes
     ----------
-    reported_state, revision, behind, leaving, loads
-        From the host's last heartbeat, see `messages.Heartbeat`. A hello of a new
-        incarnation sets `reported_state` to live.
+    last_heartbeat_at : float
+        When the host's last heartbeat or hello arrived.
+    reported_state, revision : str, int
+        From the host's last heartbeat, see `messages.Heartbeat`: its state, and the
+        highest configuration version that it has. A hello of a new incarnation sets
+        `reported_state` to live.
+    behind : int
+        Number of buckets that the host's shift cap still keeps from moving to their
+        planned region, from its last heartbeat.
+    leaving : list of (str, int)
+        ``service/server`` of each leaving backend server whose slots the host keeps,
+        and the number of permits in use there, from its last heartbeat.
+    loads : list of (str, int, int, float)
+        ``service/region`` whose slots the host keeps, the numbers of permits in use and
+        of queued requests, and the limit in slots, from its last heartbeat.
     incarnation : int
         From the host's last `messages.Hello`; it identifies a run of the process.
     broken : bool
@@ -253,14 +265,21 @@
         self._drained = set(host_ids)
 
     def _is_alive(self, state: HostState, now: float) -> bool:
+        """Return whether a heartbeat or hello proves that a host is alive.
+
+        That is so when one arrived within the silence timeout, and no connection to the
+        host has broken since.
+        """
         silence_s = now - state.last_heartbeat_at
         return not state.broken and silence_s <= SUSPECT_HEARTBEATS * state.heartbeat_s
 
     def _presumed_live(self, state: HostState, now: float) -> bool:
-        """Return whether a host is live by the list, without a recent heartbeat.
+        """Return whether a known host without a recent heartbeat is taken to be live.
 
-        Hosts that are not neighbours send no heartbeats. A neighbour that has not sent
-        one yet may just be starting.
+        A host that is not a neighbour sends no heartbeats. It is taken to be live,
+        except for `RETRUST_S` after a broken connection. A neighbour that has sent no
+        heartbeat yet may just be starting: it is taken to be live for `LIST_GRACE_S`
+        after its first sight, unless its connection has broken.
         """
         if not state.neighbour:
             return not state.broken or now - state.broken_at > RETRUST_S
@@ -270,7 +289,7 @@
         return no_heartbeat_yet and now - state.first_seen_at <= LIST_GRACE_S
 
     def silence_s(self, host_id: str, now: float) -> float:
-        """Return the seconds since the last heartbeat of a host.
+        """Return the seconds since the last heartbeat or hello of a host.
 
         The time counts from when the host became known if that is later. It is 0 for
         this host and infinite for an unknown one.
@@ -347,11 +366,12 @@
         )
 
     def owner_cache(self, now: float) -> dict[str, str]:
-        """Return a cache for values that depend only on the live and leaving members.
+        """Return the cache of owners: host id by rendezvous key.
 
-        It is replaced by an empty one whenever these members change. To choose an owner
-        among thousands of hosts takes milliseconds, and the same owners are needed many
-        times.
+        A key is, for example, ``keeper/<service>/<region>``. A new empty cache replaces
+        this one whenever the live or leaving members change, on which alone the owners
+        depend. To choose an owner among thousands of hosts takes milliseconds, and the
+        same owners are needed many times.
         """
         return self._groups(now).owner_cache
 
--- a/lacewingcross/core/passive_health.py
+++ b/lacewingcross/core/passive_health.py
@@ -140,8 +140,8 @@
     def silent(self, now: float) -> bool:
         """Return whether the server is silent for a pending attempt.
 
-        That is so when no attempt at the server was answered within the silence timeout
-        of the pending one.
+        That is so when no complete response of the server has arrived since the pending
+        attempt was sent, for longer than that attempt's silence timeout.
         """
         return any(
             now - since > timeout_s for since, timeout_s in self._pending.values()
@@ -182,5 +182,8 @@
         self._share += COMMON_WEIGHT * (failed - self._share)
 
     def all_taken_to_fail(self) -> bool:
-        """Return whether the share is so large that all servers are taken to fail."""
+        """Return whether the share of failed attempts exceeds `COMMON_THRESHOLD`.
+
+        All servers of the service are then taken to fail.
+        """
         return self._share > COMMON_THRESHOLD
--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -15,8 +15,9 @@
 from .rendezvous import hash64
 from .roster import FORGET_AFTER_S, Entry, Roster
 
-# Number of active hosts that send changes to a standby host. There are two because
-# either may crash at any moment.
+# Number of active hosts that send changes to a standby host, its relays. There are two
+# because either may crash at any moment. They are chosen by the standby host, unlike the
+# relays of a failure domain or region, which exchange heartbeats (`neighbours.RELAYS`).
 RELAYS = 2
 # A relay that has sent nothing within `RELAY_ANSWER_TIMEOUT_S` after it was chosen is
 # considered unreachable. The host chooses another relay, and does not try the
@@ -53,6 +54,9 @@
 def full_view_peers(roster: Roster) -> frozenset[str]:
     """Return the ids of the active hosts that this host sends its full view to.
 
+    In a small fleet, and on a standby host (where the result is not used), these are
+    all active hosts, this host included if it is active.
+
     Designed for the start of a fleet of 300 hosts of equal size, which are all active.
     If each host sent its full view to every other one whenever another host became
     alive, the bytes that a host sends would grow with the square of the fleet.
--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -38,7 +38,8 @@
 REGION_LOST_S = 2.0
 # Maximum number of buckets of a client group that a step moves away from a hot region.
 HEADROOM_STEP_BUCKETS = 20
-# Number of ledger moves that count against the cap at which no further bucket is moved.
+# Once this many moves of the ledger count against the shift cap, no further bucket is
+# moved.
 MAX_LEDGER_MOVES = 500
 
 
@@ -339,10 +340,12 @@
     def _empty_regions(
         self, current: Counter[str], base: Counter[str], avoid: frozenset[str]
     ) -> Counter[str]:
-        """Return the counts with the avoided regions emptied in proportion to `base`.
+        """Return the counts with the avoided regions emptied.
 
-        The buckets in other regions stay where they are. The remainder of the division
-        goes to the region that gains most.
+        Their buckets are distributed among regions in proportion to `base`, the counts
+        that the policy gives without the avoided regions. The remainder of the division
+        goes to the region with the largest count in `base`. The buckets in other
+        regions stay where they are.
         """
         leaving_buckets = sum(current[region] for region in avoid)
         target = Counter({reg: num for reg, num in current.items() if reg not in avoid})
--- a/lacewingcross/core/quarantine.py
+++ b/lacewingcross/core/quarantine.py
@@ -12,10 +12,12 @@
 # Maximum number of quarantined requests; the oldest is dropped first.
 MAX_QUARANTINES_KEPT = 1000
 # How long a request is refused after the last crash that counts against it, or after
-# its quarantine was read from the store, in seconds, if no trial shows that it is
-# harmless: its caller has stopped sending it, or it really causes crashes.
+# its quarantine was read from the store, in seconds, unless a trial clears the request.
+# If no trial clears it in this time, its caller has stopped sending it, or it really
+# causes crashes.
 QUARANTINE_S = 3600.0
-# Time to the next trial of a request, in seconds. A server that crashes is missing for
+# Time to the next trial of a request from the start of its quarantine, its last crash or
+# the start of its last trial, in seconds. A server that crashes is missing for
 # some ten seconds, restart included, so the trials of a bad request cost less than 2 in
 # 100 of a server's time.
 TRIAL_INTERVAL_S = 600.0
--- a/lacewingcross/core/quota_ledger.py
+++ b/lacewingcross/core/quota_ledger.py
@@ -63,7 +63,8 @@
 class Decided:
     """How many waiting requests of an account are decided.
 
-    The oldest of them are admitted, the newest are refused; others continue to wait.
+    The oldest of them are admitted, the newest are refused; the requests between them
+    continue to wait.
     """
 
     admitted: int
@@ -131,8 +132,8 @@
         """Return usage whose totals are no lower than those of any removed account.
 
         Guards against an account that loses its quota and gets it back, while its
-        keeper has seen only the last version of the configuration. The keeper would
-        ignore lower totals as outdated.
+        keeper missed the version without the quota and still holds the old totals. The
+        keeper would ignore lower totals as outdated.
         """
         charged, returned = self._removed_totals
         return AccountUsage(quota, None, charged, returned, paid=charged - returned)
@@ -214,7 +215,7 @@
         """Admit waiting requests that are paid; refuse those not paid in time.
 
         A request is refused if it is not expected to be paid within `MAX_WAIT_S`, or if
-        too many others wait before it.
+        `MAX_WAITERS` requests of the account wait before it.
         """
         usage = self._usage_by_account.get(account)
         if usage is None:
@@ -278,9 +279,9 @@
         """Return after how many seconds a refused caller should retry.
 
         Guards against callers that are refused together, get the same retry time, and
-        are refused together again. Each caller gets a retry time of its own. These
-        times are as far apart as the quota's rate, divided evenly among the hosts that
-        callers use, admits requests here.
+        are refused together again. Each caller gets a retry time of its own. The
+        interval between two retry times is the average time between two requests that
+        this host may admit under its even part of the quota's rate.
         """
         interval_s = self._credit_interval_s(usage)
         earliest_at = max(now, usage.next_paid_at)
--- a/lacewingcross/core/rate_limits.py
+++ b/lacewingcross/core/rate_limits.py
@@ -193,7 +193,9 @@
     def learn_from_peer(
         self, server: Incarnation, rate: float | None, at: float, now: float
     ) -> bool:
-        """Process a statement that another host reports, see `RateLimit`.
+        """Process a statement that another host reports.
+
+        The statement was last known to hold `at` this time, by this host's clock.
 
         Returns
         -------
@@ -326,7 +328,8 @@
     def sent(self, server: Incarnation, now: float) -> None:
         """Count a request whose first byte is sent.
 
-        The request takes one credit from a host with a share of the server's rate.
+        The request takes one credit from a host with a share of the server's rate. For
+        a host without a share, the time is noted in `tried_at`.
         """
         limit = self._by_server.get(server)
         if limit is None or limit.rate is None:
--- a/lacewingcross/core/region_reservations.py
+++ b/lacewingcross/core/region_reservations.py
@@ -24,7 +24,8 @@
 # Factor on the counts of requests at each review. With a review every half second,
 # about the last five seconds count.
 DECAY = 0.9
-# With fewer counted requests of a service than this, no region of it changes its state.
+# With fewer requests of a service than this (decayed count), its reservations stay as
+# they are: no region becomes reserved or free, and no share of requests moves.
 MIN_REQUESTS = 20.0
 # Share of a region's unbound requests that leave it, or return to it, per second. Moved
 # all at once, these requests would land on cold servers elsewhere.
--- a/lacewingcross/core/reports.py
+++ b/lacewingcross/core/reports.py
@@ -34,7 +34,7 @@
     view : View
         Shared state.
     requests : RequestTable
-        Source of the last refusals.
+        Source of the reason of the last refused request of each service.
     keepers : KeeperSet
         Source of the loads and of the leaving servers.
     """
--- a/lacewingcross/core/servers.py
+++ b/lacewingcross/core/servers.py
@@ -163,9 +163,10 @@
         return sum(state.capacity(now) for state in usable)
 
     def pick(self, now: float, exclude: frozenset[str]) -> ServerState | None:
-        """Return the cheapest server with a free slot outside of `exclude`, or None.
+        """Return the server to use for one attempt, or None; mark a probe.
 
-        If it is on probation, it is marked as probing.
+        This is the server with the lowest `score` among those with a free slot and not
+        in `exclude`. If the server is on probation, it is marked as probing.
         """
         best = None
         best_score = 0.0
--- a/lacewingcross/core/view.py
+++ b/lacewingcross/core/view.py
@@ -96,9 +96,9 @@
     def should_watch(self, now: float) -> bool:
         """Return whether this host watches the platform itself.
 
-        A waiting watch counts as a call, so in a large failure domain only a few hosts
-        watch the platform; the other hosts pull changes from peers. In a small failure
-        domain all hosts watch it.
+        The platform charges for each waiting watch, so in a large failure domain only
+        its relays (`neighbours.RELAYS` hosts) watch the platform; the other hosts pull
+        changes from peers. In a smaller failure domain all hosts watch it.
         """
         domain = self.own.failure_domain
         live = self.members.live_in_domain(domain, now)
--- a/lacewingcross/core/watch_election.py
+++ b/lacewingcross/core/watch_election.py
@@ -42,8 +42,10 @@
 EMPTY_TIMEOUT_S = 0.06
 # Used in place of `EMPTY_TIMEOUT_S` at the first start of the whole system, for the
 # host of rank 1, in seconds. The timeout is `SILENCE_TIMEOUT_STEP_S` longer for each
-# further rank, up to `MAX_FIRST_START_EMPTY_TIMEOUT_S`: no host has any objects, and
-# callers come later.
+# further rank, up to `MAX_FIRST_START_EMPTY_TIMEOUT_S`. It is longer than
+# `EMPTY_TIMEOUT_S`, because no peer has objects to send yet and callers come later: the
+# host of rank 0 has time to read the store and send its objects before other hosts read
+# the store too.
 FIRST_START_EMPTY_TIMEOUT_S = 0.4
 MAX_FIRST_START_EMPTY_TIMEOUT_S = 0.8
 # After a failed call of this host, the store counts as unreachable for this host for
