--- a/lacewingcross/core/keeper.py
+++ b/lacewingcross/core/keeper.py
@@ -306,8 +306,10 @@
         """Return the jittered time in seconds after which a refused caller may retry.
 
         It is the expected wait times the overload, which is the demand divided by the
-        capacity, or 1 if that is less. Without the jitter all refused callers of an
-        hourly surge would return at the same moment and find the queue full again.
+        capacity, or 1 if that is less. The time is at least `MIN_RETRY_AFTER_S` before
+        the jitter, and at most `MAX_RETRY_AFTER_S` after it. Without the jitter all
+        refused callers of an hourly surge would return at the same moment and find the
+        queue full again.
         """
         capacity = max(1.0, self._capacity(now))
         backlog_s = self.expected_wait_s(len(self.queue), capacity)
@@ -318,7 +320,7 @@
     def dispatch(self, now: float) -> Iterator[Reply]:
         """Refuse late requests at the queue's head, then grant free slots in order.
 
-        A request keeps its place if only servers that it excludes have a free slot.
+        A request keeps its place if no server that it may use has a free slot.
         """
         yield from self._refuse_late_at_head(now)
         if self.recovering(now):
@@ -421,7 +423,7 @@
 
         `held` holds pairs of a server id and a permit id. A lease can expire while the
         process of its host is paused. The request may still run, so a renewal of an
-        expired permit takes its slot again.
+        expired permit takes its slot again. A permit of another host is not changed.
         """
         for server_id, permit_id in held:
             permit = self.permits.get(permit_id)
--- a/lacewingcross/core/membership.py
+++ b/lacewingcross/core/membership.py
@@ -1,7 +1,8 @@
 """Which entry hosts are live, leaving or down, from the platform's list and heartbeats.
 
-A host sends heartbeats only to its neighbours (see `neighbours`). For the other hosts
-the platform's list decides, except for `RETRUST_S` after a broken connection.
+A host sends heartbeats only to its neighbours (see `neighbours`). Any other host that
+the list or another host names is taken to be live, except for `RETRUST_S` after a
+broken connection.
 """
 
 from collections.abc import Iterator
@@ -15,8 +16,8 @@
 SUSPECT_HEARTBEATS = 3.75
 # Time after the first sight of a neighbour in which it is live without a heartbeat.
 LIST_GRACE_S = 3.0
-# Time after a broken connection from which the list decides again for a host that is
-# not a neighbour.
+# Time after a broken connection from which a host that is not a neighbour is taken to
+# be live again.
 RETRUST_S = 5.0
 
 LIVE = "live"
@@ -28,9 +29,9 @@
 class HostInfo:
     """An entry host as the platform's list describes it.
 
-    `entry` is the network address for callers, `peer` the one for other entry hosts, and
-    `listed` the host's state in the list. `cores` is the processor time that the host
-    gets, in seconds of an ordinary core per second.
+    `entry` is the network address for callers, `peer` the network address for other
+    entry hosts, and `listed` the host's state in the list. `cores` is the processor
+    time that the host gets, in seconds of an ordinary core per second.
     """
 
     host_id: str
@@ -396,7 +397,8 @@
 class _Groups:
     """Members by state, valid from `made_at` until `valid_until`.
 
-    `by_region` and `by_domain` contain the live members only.
+    `by_region` and `by_domain` contain the live members only. `owner_cache` is the
+    cache that `Membership.owner_cache` returns.
     """
 
     __slots__ = (
--- a/lacewingcross/core/messages.py
+++ b/lacewingcross/core/messages.py
@@ -245,7 +245,7 @@
 
     `starting` means that the sender cannot serve yet, `store_unreachable` that the
     store does not answer the sender, and `subscribes` that the sender requests updates
-    from the receiver. `revisions` holds, for each kind of object in order, the store
+    from the receiver. `revisions` holds, for each `replica.Kind` in order, the store
     revision up to which the sender has every change. `counts` holds server ids and
     numbers of requests in flight. If `whole`, it covers all servers, and a server that
     is missing has no requests; otherwise it covers the servers whose number has changed
@@ -333,8 +333,9 @@
 class QuotaCharges(_Message, tag=26):
     """Charges of the sender to the accounts that the receiver keeps.
 
-    One charge is one request that the sender has run. Each item is the account and the
-    totals of the charges made, returned and paid since the sender started.
+    One charge is one request that the sender has run, or will run when it is paid. Each
+    item is the account and the totals of the charges made, returned and paid since the
+    sender started.
     """
 
     items: Annotated[
--- a/lacewingcross/core/neighbours.py
+++ b/lacewingcross/core/neighbours.py
@@ -12,9 +12,9 @@
 SMALL_FLEET_INTERVAL_S = 0.4
 DOMAIN_INTERVAL_S = 1.0
 RELAY_INTERVAL_S = 5.0
-# Number of relays of each failure domain and each region: hosts that exchange heartbeats
-# with the relays of other failure domains or regions. The relays of a standby host are
-# others, see `peer_selection.RELAYS`.
+# Number of relays of each failure domain and each region: hosts that exchange
+# heartbeats with the relays of other failure domains or regions. The relays of a
+# standby host are other hosts, see `peer_selection.RELAYS`.
 RELAYS = 2
 
 
--- a/lacewingcross/core/passive_health.py
+++ b/lacewingcross/core/passive_health.py
@@ -1,8 +1,8 @@
 """Outcomes of this host's attempts at a backend server, and whether to skip it."""
 
 # Time for which a server is skipped after the first failed connection attempt or
-# silence, in seconds. It doubles with each further one, up to the maximum, until a
-# response.
+# silence, in seconds. It doubles with each further one, up to `CONNECT_PAUSE_MAX_S`,
+# until a response.
 CONNECT_PAUSE_S = 0.5
 CONNECT_PAUSE_MAX_S = 4.0
 # Weight of the newest outcome in a server's share of failures: about the last eight
--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -16,8 +16,8 @@
 from .roster import FORGET_AFTER_S, Entry, Roster
 
 # Number of active hosts that send changes to a standby host, its relays. There are two
-# because either may crash at any moment. They are chosen by the standby host, unlike the
-# relays of a failure domain or region, which exchange heartbeats (`neighbours.RELAYS`).
+# because either may crash at any moment. The standby host chooses its relays, unlike
+# those of a failure domain or region, which exchange heartbeats (`neighbours.RELAYS`).
 RELAYS = 2
 # A relay that has sent nothing within `RELAY_ANSWER_TIMEOUT_S` after it was chosen is
 # considered unreachable. The host chooses another relay, and does not try the
--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -71,7 +71,10 @@
         return max(self.mean_demand, _demand(self.load))
 
     def utilisation(self) -> float:
-        """Return the mean demand divided by the reported limit."""
+        """Return the mean demand divided by the reported limit.
+
+        A limit below 1 counts as 1.
+        """
         return self.mean_demand / max(1.0, self.load.limit)
 
 
@@ -155,7 +158,11 @@
         }
 
     def on_load(self, load: msg.RegionLoad, now: float) -> None:
-        """Record a keeper's load report."""
+        """Record a keeper's load report.
+
+        If the last report of the region is older than `MAX_REPORT_AGE_S`, the mean
+        demand and `zero_since` start again from this report.
+        """
         known = self.regions.get(load.region)
         mean_demand = _demand(load)
         zero_since = now if load.limit <= 0 else None
@@ -383,7 +390,8 @@
     ) -> Counter[str]:
         """Return the counts after a small step from the hot region to the coolest one.
 
-        If no region is below `COOL_UTILISATION`, the counts stay and `hold_reason` is
+        Only regions with a fresh report that operators do not drain are considered. If
+        none of these is below `COOL_UTILISATION`, the counts stay and `hold_reason` is
         set.
         """
         coolest = None
@@ -425,7 +433,8 @@
     ) -> dict[str, float]:
         """Return how many buckets each region can take up to `MAX_FILL_FRACTION`.
 
-        The number is negative for a region that is fuller. Guards against a step into
+        The number is negative for a region that is fuller, and infinite if no demand is
+        reported anywhere. Guards against a step into
         room that is already taken, because the load reports are stale or do not show an
         earlier step yet; the region would be overloaded. A region without a fresh
         report, or whose report was received less than `SETTLE_S` after this host first
--- a/lacewingcross/core/quarantine.py
+++ b/lacewingcross/core/quarantine.py
@@ -16,10 +16,10 @@
 # If no trial clears it in this time, its caller has stopped sending it, or it really
 # causes crashes.
 QUARANTINE_S = 3600.0
-# Time to the next trial of a request from the start of its quarantine, its last crash or
-# the start of its last trial, in seconds. A server that crashes is missing for
-# some ten seconds, restart included, so the trials of a bad request cost less than 2 in
-# 100 of a server's time.
+# Time to the next trial of a request from the start of its quarantine, its last crash
+# or the start of its last trial, in seconds. A server that crashes is missing for some
+# ten seconds, restart included, so the trials of a bad request cost less than 2 in 100
+# of a server's time.
 TRIAL_INTERVAL_S = 600.0
 # Time to the first trial if several requests were running at the same servers that
 # crashed, in seconds. Most of these requests are harmless, and a server has restarted
--- a/lacewingcross/core/quota_holders.py
+++ b/lacewingcross/core/quota_holders.py
@@ -102,8 +102,8 @@
 def choose_holders(hosts: Iterable[HostInfo]) -> list[str]:
     """Return the ids of the hosts that are holders, at most `MAX_HOLDERS`.
 
-    They are the hosts that would be active without load (`needed` is 0): the first
-    large hosts of each failure domain, the largest first.
+    They are the hosts that would be active without load (`needed_cores` is 0): the
+    first large hosts of each failure domain, the largest first.
     """
     chosen = active_hosts(hosts, 0.0)
     return [info.host_id for info in in_order(chosen)][:MAX_HOLDERS]
--- a/lacewingcross/core/reports.py
+++ b/lacewingcross/core/reports.py
@@ -18,6 +18,7 @@
 WRITE_S_PER_DOMAIN = 0.01
 UNCHANGED_WRITE_PERIOD_S = 10.0
 LOAD_REFRESH_PERIOD_S = 5.0
+# Call ids of claims and plans start at other bases, so that all ids differ.
 CALL_ID_BASE = 1 << 50
 
 
--- a/lacewingcross/core/request_state.py
+++ b/lacewingcross/core/request_state.py
@@ -47,9 +47,11 @@
         Host that was asked last: the keeper of the region's slots, or in the phase
         `CLAIM` the owner of the key's shard.
     asked_at, ask_again_at, resume_at : float
-        When the claim or the permit was last requested anew, when the request for the
-        permit is repeated, and when the phase `PAUSE` is over, in seconds on the
-        monotonic clock.
+        When the claim was last sent or the wait for the permit began, when the request
+        for the permit is repeated, and when the phase `PAUSE` is over, in seconds on
+        the monotonic clock.
+    held : HeldPermit or None
+        The permit that the current attempt uses.
     attempt, attempt_count : Attempt or None, int
         The current or last attempt, and the number of attempts so far.
     exclude : set of str
--- a/lacewingcross/core/requests.py
+++ b/lacewingcross/core/requests.py
@@ -36,7 +36,7 @@
 NOT_KEEPER_RETRY_DELAY_S = 0.05
 # Time without an answer after which a claim or a request for a permit is sent again.
 REPEAT_ASK_AFTER_S = 2.0
-# Number of times in a row that a permit is passed on to another request.
+# Maximum number of times in a row that a permit is passed on to another request.
 MAX_REUSES = 3
 # Service time above which a permit is released and not passed on.
 MAX_REUSE_SERVICE_TIME_S = 1.0
--- a/lacewingcross/core/server_backoffs.py
+++ b/lacewingcross/core/server_backoffs.py
@@ -103,7 +103,11 @@
         }
 
     def forget_old(self, now: float) -> None:
-        """Drop back-offs that ended long ago without a request since."""
+        """Drop back-offs that ended more than `MAX_BACKOFF_S` ago.
+
+        A response without a back-off that arrives after the end drops it earlier, see
+        `observe`.
+        """
         old = [
             server
             for server, backoff in self._by_server.items()
