--- a/lacewingcross/core/active.py
+++ b/lacewingcross/core/active.py
@@ -71,11 +71,11 @@
     if config is None:
         return 0.0
     targets = _mean_targets(config)
-    requests_a_second = 0.0
+    requests_per_s = 0.0
     for server in servers:
         target_s = targets.get(server.entry.service, DEFAULT_TARGET_S)
-        requests_a_second += server.entry.slots / (WARM_TARGET_FRACTION * target_s)
-    return requests_a_second * REQUEST_CPU_S * HEADROOM
+        requests_per_s += server.entry.slots / (WARM_TARGET_FRACTION * target_s)
+    return requests_per_s * REQUEST_CPU_S * HEADROOM
 
 
 def _mean_targets(config: Configuration) -> dict[str, float]:
--- a/lacewingcross/core/placement.py
+++ b/lacewingcross/core/placement.py
@@ -177,7 +177,9 @@
             return first
         if request.key and self._policy.idle_home and _is_idle_home(first, now):
             return first
-        return min(available, key=lambda item: (item.estimate.total_s, item.busy))
+        return min(
+            available, key=lambda item: (item.estimate.total_s, item.request_count)
+        )
 
     def _candidates(
         self,
@@ -264,8 +266,8 @@
         return f"{request.kind}/{request.key}"
 
     def _has_room(self, choice: Choice, request: PlacementRequest) -> bool:
-        max_busy = choice.server.entry.slots + self._waiting_places(choice, request)
-        return choice.busy < max_busy
+        max_requests = choice.server.entry.slots + self._waiting_places(choice, request)
+        return choice.request_count < max_requests
 
     def _waiting_places(self, choice: Choice, request: PlacementRequest) -> int:
         """Return how many requests may wait at a server for a slot.
--- a/lacewingcross/core/placement_types.py
+++ b/lacewingcross/core/placement_types.py
@@ -30,9 +30,10 @@
 class Choice:
     """The server that gets the request, and the times expected there (`estimate`).
 
-    `object_name` names the request's object, empty for a request without a key. `busy`
-    is how many requests were believed to run or wait at the server. `why` is the name
-    of the server's place in the key's order, see `placement.HOME_NAMES`.
+    `object_name` names the request's object, empty for a request without a key.
+    `request_count` is how many requests run or wait at the server by
+    `Server.request_count`. `why` is the name of the server's place in the key's order,
+    see `placement.HOME_NAMES`.
     """
 
     server: Server
@@ -40,7 +41,7 @@
     placement_request: PlacementRequest
     object_name: str
     estimate: Estimate
-    busy: int
+    request_count: int
 
 
 @dataclass(slots=True, frozen=True)
--- a/lacewingcross/gateway/attempt_log.py
+++ b/lacewingcross/gateway/attempt_log.py
@@ -61,7 +61,7 @@
             warm=choice.estimate.warm,
             wait_ms=int(1000 * choice.estimate.wait_s),
             work_ms=int(1000 * choice.estimate.service_time_s),
-            busy=choice.busy,
+            busy=choice.request_count,
             own=server.own,
             slots=server.entry.slots,
             report_age_ms=int(min(9999, 1000 * (now - server.reported_at))),
