--- a/lacewingcross/core/cold_limit.py
+++ b/lacewingcross/core/cold_limit.py
@@ -18,7 +18,10 @@
 
 
 class ColdSends:
-    """Requests that one host sent to one cold server within the extended window."""
+    """Requests that one host sent to one cold server recently.
+
+    These are the requests within `WINDOW_S + ARRIVAL_JITTER_S`.
+    """
 
     __slots__ = ("_sent",)
 
--- a/lacewingcross/core/eligibility.py
+++ b/lacewingcross/core/eligibility.py
@@ -92,13 +92,14 @@
     ) -> bool:
         """Return whether a server may be sent a request.
 
-        See `PassiveHealth.usable` for `last_resort`.
+        See `PassiveHealth.usable` for `last_resort`. A request that only the server's
+        own limits stop is counted as skipped.
         """
         usable = self._usable(server, request, now, last_resort=last_resort)
         return usable and self.may_send(server, request, now)
 
     def may_send(self, server: Server, request: PlacementRequest, now: float) -> bool:
-        """Return whether a server itself allows one more request.
+        """Return whether a server itself allows one more request; count a skip if not.
 
         The server's limits are checked when it is chosen, and again just before the
         first byte is sent: the request may have waited for a connection or a body in
--- a/lacewingcross/core/homes.py
+++ b/lacewingcross/core/homes.py
@@ -54,7 +54,7 @@
         return self._by_service.get(service, [])
 
     def order(self, service: str, key: str) -> list[Server]:
-        """Return the servers of a service: the key's home, the local home, the others.
+        """Return the servers of a service: key's home, local home, other servers.
 
         `key` is the name of an object, as for `Server.warm`. The local home is the
         first server of this host's region after the key's home.
--- a/lacewingcross/core/lookup.py
+++ b/lacewingcross/core/lookup.py
@@ -13,7 +13,7 @@
 # Maximum number of entry hosts in an answer.
 MAX_HOSTS = 4
 # Largest deviation of an answer's lifetime from the policy's lifetime, as a fraction of
-# the latter.
+# the policy's lifetime.
 MAX_JITTER = 0.3
 
 
--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -76,9 +76,9 @@
     """Return the ids of the active hosts that the watching host sends changes to.
 
     Designed for a fleet of 100 hosts of equal size and 1,000 servers. If the host that
-    watches the store sent each change to all others, it would send ten times as much as
-    any other host does. It sends the change to one host of each group on the ring
-    instead, and each of these hosts passes the change on to the other hosts of its
+    watches the store sent each change to all other hosts, it would send ten times as
+    much as any other host does. It sends the change to one host of each group on the
+    ring instead, and each of these hosts passes the change on to the other hosts of its
     group. If such a host crashes before it has done so, the hosts of its group find
     from `Alive` messages that they are behind and pull the change.
     """
--- a/lacewingcross/core/placement.py
+++ b/lacewingcross/core/placement.py
@@ -108,7 +108,10 @@
         self.reserved = RegionReservations()
 
     def choose(self, request: PlacementRequest, now: float) -> Choice | Refusal:
-        """Return the server for a request, or the reason why there is none."""
+        """Return the server for a request, or the reason why there is none.
+
+        The request is counted for the reservations of regions.
+        """
         self.reserved.count_request(request.service, request.regions)
         avoided_regions = self._avoided_regions(request)
         found = self._choose(request, avoided_regions, now)
--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -205,7 +205,10 @@
         return max(0, math.floor(cap.fraction * BUCKETS + 1e-9) - spent)
 
     def step(self, plan: Plan | None, inputs: PlannerInput, now: float) -> Step | None:
-        """Return the next plan, or None if nothing should change or may move now."""
+        """Return the next plan, or None if nothing should change or may move now.
+
+        `hold_reason` is updated, except by a first plan.
+        """
         if plan is None:
             return self._first_plan(inputs)
         self.hold_reason = ""
--- a/lacewingcross/core/quota_ledger.py
+++ b/lacewingcross/core/quota_ledger.py
@@ -254,6 +254,7 @@
     def refusal(self, account: str, now: float) -> Admission:
         """Return the refusal of a request that was not paid while it waited.
 
+        The retry time in it is noted, so that the next refused caller gets another one.
         If the account has lost its quota meanwhile, the caller should retry after one
         window.
         """
--- a/lacewingcross/core/roster.py
+++ b/lacewingcross/core/roster.py
@@ -204,10 +204,10 @@
     def take_peer_view(self, sender: str, view: PeerView, now: float) -> None:
         """Replace the hosts that another host reports as alive.
 
-        Guards against a host that most others do not know: a host without an entry in
-        the store starts while the store is unreachable. Without the reports, only the
-        hosts that it sends messages to would know it. These hosts report it to the
-        others, which add it here.
+        Guards against a host that most other hosts do not know: a host without an entry
+        in the store starts while the store is unreachable. Without the reports, only
+        the hosts that it sends messages to would know it. These hosts report the new
+        host to the other hosts, which add it here.
         """
         self._peer_views[sender] = view
         for info in view.hosts.values():
--- a/lacewingcross/core/routes.py
+++ b/lacewingcross/core/routes.py
@@ -23,8 +23,8 @@
 
     `host_name` and `prefix` select the requests of the route. `target_s` is the time
     within which operators want a response. The lower `priority` is, the more urgent are
-    the requests. `home_regions` are the regions to which the requests are bound, empty
-    for none.
+    the requests. `affinity` says whether the affinity key of a request is used.
+    `home_regions` are the regions to which the requests are bound, empty for none.
     """
 
     name: str
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerLimits:
-    """Limits on what a caller may send, in bytes, and how long it may take."""
+    """Limits on what a caller may send (bytes) and how long it may take (seconds)."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 64 * 1024 * 1024
--- a/lacewingcross/core/splits.py
+++ b/lacewingcross/core/splits.py
@@ -31,7 +31,10 @@
         self._total = 0.0
 
     def pick(self, key: str) -> str:
-        """Return the service for a request with affinity key `key`."""
+        """Return the service for a request with affinity key `key`; count the request.
+
+        The request counts in the share of the returned service.
+        """
         index = self._by_key(key)
         if self._excess(index) > TOLERANCE:
             index = min(range(len(self._parts)), key=self._excess)
--- a/lacewingcross/core/steering.py
+++ b/lacewingcross/core/steering.py
@@ -249,7 +249,8 @@
     def service_for(self, route: Route, key: str) -> str:
         """Return the service that a request of `route` goes to.
 
-        `key` is the affinity key, empty for none.
+        `key` is the affinity key, empty for none. A request of a route with several
+        services is counted, see `Splitter.pick`.
         """
         if len(route.parts) == 1:
             return route.parts[0].service
--- a/lacewingcross/core/watch_election.py
+++ b/lacewingcross/core/watch_election.py
@@ -29,8 +29,8 @@
 # and a lost packet.
 SILENCE_TIMEOUT_S = 1.5
 # The host of each further rank waits this much longer, in seconds, so that one host
-# begins to watch and not all: the message of that host reaches the others within the
-# delay between regions (35 ms).
+# begins to watch and not all: the message of that host reaches the other hosts within
+# the delay between regions (35 ms).
 SILENCE_TIMEOUT_STEP_S = 0.1
 # Maximum silence timeout of any host, in seconds, for all kinds but quarantines. A
 # change made right after the last message is then in force 2.1 s later.
@@ -38,7 +38,7 @@
 # Silence timeout of an active host, which callers use, while it has no objects of a
 # kind yet, in seconds. Within this time of the host's start, a peer that has the
 # objects sends them. If a fleet loses power and the host of rank 0 restarts last, the
-# others start to serve this much later.
+# other hosts start to serve this much later.
 EMPTY_TIMEOUT_S = 0.06
 # Used in place of `EMPTY_TIMEOUT_S` at the first start of the whole system, for the
 # host of rank 1, in seconds. The timeout is `SILENCE_TIMEOUT_STEP_S` longer for each
@@ -130,8 +130,8 @@
         """Return the silence timeout of a host without objects, in seconds.
 
         Guards against a power loss of all hosts after which the host of rank 0 restarts
-        last: with the usual timeout, the others would refuse callers for longer than
-        with this shorter one.
+        last: with the usual timeout, the other hosts would refuse callers for longer
+        than with this shorter timeout.
         """
         if not self._first_start:
             return EMPTY_TIMEOUT_S
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Every sequence of attempt endings: "not run" is proved, and nothing runs twice."""
+"""Endings of attempts: "not run" is proved, and nothing unrepeatable runs twice."""
 
 import itertools
 
