--- a/lacewingcross/core/claims.py
+++ b/lacewingcross/core/claims.py
@@ -279,6 +279,11 @@
             yield from self._write(shard, now)
 
     def _write(self, shard: Shard, now: float) -> Iterator[Action]:
+        """Make a batch of all queued claims and freed keys, and begin to write it.
+
+        A claim of a key that another claim holds is answered immediately. If the batch
+        would change nothing, it is not written.
+        """
         batch = Batch(
             [], dict(shard.head), dict(shard.freed), dict(shard.segments), shard.freeing
         )
@@ -305,6 +310,10 @@
             yield self._write_head(shard, batch)
 
     def _apply_freed(self, shard: Shard, batch: Batch) -> bool:
+        """Free the keys in `batch.freeing`; return whether that changes the shard.
+
+        A key stays claimed if another claim than the one to free holds it.
+        """
         changed = False
         for key_hash, claim in batch.freeing.items():
             if shard.holder(key_hash) != claim:
--- a/lacewingcross/core/placement.py
+++ b/lacewingcross/core/placement.py
@@ -124,6 +124,11 @@
     def _choose(
         self, request: PlacementRequest, avoided_regions: frozenset[str], now: float
     ) -> Choice | Refusal:
+        """Choose among the servers outside of `avoided_regions`.
+
+        If none is usable, servers that are skipped for their share of failures are
+        considered as well.
+        """
         last_resort = self._failing_alike(request.service)
         usable = self._candidates(
             request, avoided_regions, now, last_resort=last_resort
@@ -175,6 +180,10 @@
     def _best(
         self, available: list[Choice], request: PlacementRequest, now: float
     ) -> Choice:
+        """Return the server that is expected to answer first, or the key's idle home.
+
+        Of servers with equal times, it is the one with the fewest requests.
+        """
         first = available[0]
         if not self._policy.fastest:
             return first
--- a/lacewingcross/core/quota_ledger.py
+++ b/lacewingcross/core/quota_ledger.py
@@ -335,6 +335,7 @@
         return max(0, usage.debt) if usage else 0
 
     def _is_due(self, usage: AccountUsage, now: float) -> bool:
+        """Return whether an account's totals should be sent to its keeper now."""
         if now - usage.sent_at >= RESEND_INTERVAL_S:
             return True
         if usage.sent_totals == (usage.charged, usage.returned):
--- a/lacewingcross/core/rate_limits.py
+++ b/lacewingcross/core/rate_limits.py
@@ -213,6 +213,11 @@
         *,
         own: bool,
     ) -> bool:
+        """Apply a statement that held `at` a time; return whether the rate changes.
+
+        A statement is ignored if one at least as recent is known. So is a statement
+        without a rate from a server that has stated none before.
+        """
         known = self._by_server.get(server)
         if known is None:
             if rate is None:
@@ -258,6 +263,11 @@
             self._update_share(server, limit, now)
 
     def _update_share(self, server: Incarnation, limit: RateLimit, now: float) -> None:
+        """Update this host's share of a server's rate, or its position in the rotation.
+
+        The serving hosts are ranked by rendezvous hashing with the server's id. The
+        first ones, up to `RateBound.max_sharers`, share the rate equally.
+        """
         limit.settle(now)
         if limit.rate is None:
             limit.share_per_s = 0.0
--- a/lacewingcross/core/requests.py
+++ b/lacewingcross/core/requests.py
@@ -234,6 +234,11 @@
     def _start(
         self, state: RequestState, start_within_s: float, now: float
     ) -> Iterator[Action]:
+        """Start an attempt with the permit that a request holds.
+
+        If the server of the permit is gone or leaving, the permit is released, and a
+        permit for another server is requested.
+        """
         server_id = state.held.server_id
         server = self._view.server(state.req.service, server_id)
         leaving = self._view.leaving_servers(state.req.service)
@@ -494,6 +499,12 @@
             yield from self._renew(now)
 
     def _end_overdue(self, now: float) -> Iterator[Action]:
+        """End the requests whose time is over.
+
+        A request with an attempt under way ends at `RequestState.deadline_at`, unless
+        its response is being forwarded; any other request ends at
+        `RequestState.give_up_at`.
+        """
         while self._deadlines and self._deadlines[0][0] <= now:
             due, request_id = heappop(self._deadlines)
             state = self.requests.get(request_id)
@@ -558,6 +569,7 @@
         yield from self._start(state, KEEPER_SILENCE_TIMEOUT_S, now)
 
     def _renew(self, now: float) -> Iterator[Action]:
+        """Renew the leases of all permits in use with the current keepers."""
         held: dict[tuple[str, str], list[tuple[str, int]]] = defaultdict(list)
         for state in self.requests.values():
             if state.held is None:
--- a/lacewingcross/core/servers.py
+++ b/lacewingcross/core/servers.py
@@ -230,6 +230,13 @@
         state.backoff_until = now + min(MAX_SHED_BACKOFF_S, backoff_s)
 
     def _eject_if_due(self, state: ServerState, now: float) -> bool:
+        """Eject a server that has just failed, if it is due; return whether it was.
+
+        A server that accepts no connection, or is tested after an ejection, is due at
+        the first failure, any other server after `FAILURES_TO_EJECT` failures. A server
+        that is ejected already is not due. Nor is one that accepts connections, if
+        `_may_eject` returns False.
+        """
         at_first_failure = state.unreachable or state.probing
         if state.consecutive_failures < FAILURES_TO_EJECT and not at_first_failure:
             return False
