--- a/bench/soak/ledger.py
+++ b/bench/soak/ledger.py
@@ -38,7 +38,7 @@
 REPEATABLE = ("read", CRASHING)
 # Servers that may crash while they run one request, and how many more runs of it
 # undisturbed hosts may cause later than `STABLE_S` after that.
-MAX_CRASHES_PER_REQUEST = 3
+QUARANTINE_CRASHES = 3
 MAX_LATE_CRASHES = 3
 # Time bounds are judged only while the soak's own event loop is late by at most this
 # many seconds.
@@ -392,9 +392,9 @@
 
     def _crash_violations(self) -> list[Violation]:
         """Return a violation if a request that crashes servers kept reaching them."""
-        if len(self.crashes) < MAX_CRASHES_PER_REQUEST:
+        if len(self.crashes) < QUARANTINE_CRASHES:
             return []
-        since = self.crashes[MAX_CRASHES_PER_REQUEST - 1][0] + STABLE_S
+        since = self.crashes[QUARANTINE_CRASHES - 1][0] + STABLE_S
         late = [
             at
             for at, request_id in self.crashes
--- a/lacewingcross/core/passive_health.py
+++ b/lacewingcross/core/passive_health.py
@@ -1,8 +1,8 @@
 """Outcomes of this host's attempts at a backend server, and whether to skip it."""
 
 # Time for which a server is skipped after the first failed connection attempt or
-# silence, in seconds. It doubles with each further one, up to the maximum, until a
-# response.
+# silence, in seconds. It doubles with each further one, up to `CONNECT_PAUSE_MAX_S`,
+# until a response.
 CONNECT_PAUSE_S = 0.5
 CONNECT_PAUSE_MAX_S = 4.0
 # Weight of the newest outcome in a server's share of failures: about the last eight
@@ -140,8 +140,8 @@
     def silent(self, now: float) -> bool:
         """Return whether the server is silent for a pending attempt.
 
-        That is so when no attempt at the server was answered within the silence timeout
-        of the pending one.
+        That is so when no complete response of the server has arrived since the pending
+        attempt was sent, for longer than that attempt's silence timeout.
         """
         return any(
             now - since > timeout_s for since, timeout_s in self._pending.values()
@@ -181,6 +181,9 @@
         """Add one outcome."""
         self._share += COMMON_WEIGHT * (failed - self._share)
 
-    def is_common(self) -> bool:
-        """Return whether the share is so large that all servers are taken to fail."""
+    def all_taken_to_fail(self) -> bool:
+        """Return whether the share of failed attempts exceeds `COMMON_THRESHOLD`.
+
+        All servers of the service are then taken to fail.
+        """
         return self._share > COMMON_THRESHOLD
--- a/lacewingcross/core/peer_selection.py
+++ b/lacewingcross/core/peer_selection.py
@@ -15,8 +15,9 @@
 from .rendezvous import hash64
 from .roster import FORGET_AFTER_S, Entry, Roster
 
-# Number of active hosts that send changes to a standby host. There are two because
-# either may crash at any moment.
+# Number of active hosts that send changes to a standby host, its relays. There are two
+# because either may crash at any moment. The standby host chooses its relays, unlike
+# those of a failure domain or region, which exchange heartbeats (`neighbours.RELAYS`).
 RELAYS = 2
 # A relay that has sent nothing within `RELAY_ANSWER_TIMEOUT_S` after it was chosen is
 # considered unreachable. The host chooses another relay, and does not try the
@@ -53,6 +54,9 @@
 def full_view_peers(roster: Roster) -> frozenset[str]:
     """Return the ids of the active hosts that this host sends its full view to.
 
+    In a small fleet, and on a standby host (where the result is not used), these are
+    all active hosts, this host included if it is active.
+
     Designed for the start of a fleet of 300 hosts of equal size, which are all active.
     If each host sent its full view to every other one whenever another host became
     alive, the bytes that a host sends would grow with the square of the fleet.
@@ -72,9 +76,9 @@
     """Return the ids of the active hosts that the watching host sends changes to.
 
     Designed for a fleet of 100 hosts of equal size and 1,000 servers. If the host that
-    watches the store sent each change to all others, it would send ten times as much as
-    any other host does. It sends the change to one host of each group on the ring
-    instead, and each of these hosts passes the change on to the other hosts of its
+    watches the store sent each change to all other hosts, it would send ten times as
+    much as any other host does. It sends the change to one host of each group on the
+    ring instead, and each of these hosts passes the change on to the other hosts of its
     group. If such a host crashes before it has done so, the hosts of its group find
     from `Alive` messages that they are behind and pull the change.
     """
--- a/lacewingcross/core/placement.py
+++ b/lacewingcross/core/placement.py
@@ -108,7 +108,10 @@
         self.reserved = RegionReservations()
 
     def choose(self, request: PlacementRequest, now: float) -> Choice | Refusal:
-        """Return the server for a request, or the reason why there is none."""
+        """Return the server for a request, or the reason why there is none.
+
+        The request is counted for the reservations of regions.
+        """
         self.reserved.count_request(request.service, request.regions)
         avoided_regions = self._avoided_regions(request)
         found = self._choose(request, avoided_regions, now)
@@ -121,6 +124,11 @@
     def _choose(
         self, request: PlacementRequest, avoided_regions: frozenset[str], now: float
     ) -> Choice | Refusal:
+        """Choose among the servers outside of `avoided_regions`.
+
+        If none is usable, servers that are skipped for their share of failures are
+        considered as well.
+        """
         last_resort = self._failing_alike(request.service)
         usable = self._candidates(
             request, avoided_regions, now, last_resort=last_resort
@@ -172,12 +180,18 @@
     def _best(
         self, available: list[Choice], request: PlacementRequest, now: float
     ) -> Choice:
+        """Return the server that is expected to answer first, or the key's idle home.
+
+        Of servers with equal times, it is the one with the fewest requests.
+        """
         first = available[0]
         if not self._policy.fastest:
             return first
         if request.key and self._policy.idle_home and _is_idle_home(first, now):
             return first
-        return min(available, key=lambda item: (item.estimate.total_s, item.busy))
+        return min(
+            available, key=lambda item: (item.estimate.total_s, item.request_count)
+        )
 
     def _candidates(
         self,
@@ -224,7 +238,9 @@
     ) -> Choice:
         times = self._times(request)
         estimate = self.expectations.estimate(server, object_name, times, now)
-        return Choice(server, why, request, object_name, estimate, server.busy(now))
+        return Choice(
+            server, why, request, object_name, estimate, server.request_count(now)
+        )
 
     def _times(self, request: PlacementRequest) -> KindTimes:
         return self.expectations.kind(request.kind or request.service, request.target_s)
@@ -262,8 +278,8 @@
         return f"{request.kind}/{request.key}"
 
     def _has_room(self, choice: Choice, request: PlacementRequest) -> bool:
-        max_busy = choice.server.entry.slots + self._waiting_places(choice, request)
-        return choice.busy < max_busy
+        max_requests = choice.server.entry.slots + self._waiting_places(choice, request)
+        return choice.request_count < max_requests
 
     def _waiting_places(self, choice: Choice, request: PlacementRequest) -> int:
         """Return how many requests may wait at a server for a slot.
--- a/lacewingcross/core/planner.py
+++ b/lacewingcross/core/planner.py
@@ -38,7 +38,8 @@
 REGION_LOST_S = 2.0
 # Maximum number of buckets of a client group that a step moves away from a hot region.
 HEADROOM_STEP_BUCKETS = 20
-# Number of ledger moves that count against the cap at which no further bucket is moved.
+# Once this many moves of the ledger count against the shift cap, no further bucket is
+# moved.
 MAX_LEDGER_MOVES = 500
 
 
@@ -70,7 +71,10 @@
         return max(self.mean_demand, _demand(self.load))
 
     def utilisation(self) -> float:
-        """Return the mean demand divided by the reported limit."""
+        """Return the mean demand divided by the reported limit.
+
+        A limit below 1 counts as 1.
+        """
         return self.mean_demand / max(1.0, self.load.limit)
 
 
@@ -154,7 +158,11 @@
         }
 
     def on_load(self, load: msg.RegionLoad, now: float) -> None:
-        """Record a keeper's load report."""
+        """Record a keeper's load report.
+
+        If the last report of the region is older than `MAX_REPORT_AGE_S`, the mean
+        demand and `zero_since` start again from this report.
+        """
         known = self.regions.get(load.region)
         mean_demand = _demand(load)
         zero_since = now if load.limit <= 0 else None
@@ -197,7 +205,10 @@
         return max(0, math.floor(cap.fraction * BUCKETS + 1e-9) - spent)
 
     def step(self, plan: Plan | None, inputs: PlannerInput, now: float) -> Step | None:
-        """Return the next plan, or None if nothing should change or may move now."""
+        """Return the next plan, or None if nothing should change or may move now.
+
+        `hold_reason` is updated, except by a first plan.
+        """
         if plan is None:
             return self._first_plan(inputs)
         self.hold_reason = ""
@@ -339,10 +350,12 @@
     def _empty_regions(
         self, current: Counter[str], base: Counter[str], avoid: frozenset[str]
     ) -> Counter[str]:
-        """Return the counts with the avoided regions emptied in proportion to `base`.
+        """Return the counts with the avoided regions emptied.
 
-        The buckets in other regions stay where they are. The remainder of the division
-        goes to the region that gains most.
+        Their buckets are distributed among regions in proportion to `base`, the counts
+        that the policy gives without the avoided regions. The remainder of the division
+        goes to the region with the largest count in `base`. The buckets in other
+        regions stay where they are.
         """
         leaving_buckets = sum(current[region] for region in avoid)
         target = Counter({reg: num for reg, num in current.items() if reg not in avoid})
@@ -380,7 +393,8 @@
     ) -> Counter[str]:
         """Return the counts after a small step from the hot region to the coolest one.
 
-        If no region is below `COOL_UTILISATION`, the counts stay and `hold_reason` is
+        Only regions with a fresh report that operators do not drain are considered. If
+        none of these is below `COOL_UTILISATION`, the counts stay and `hold_reason` is
         set.
         """
         coolest = None
@@ -422,7 +436,8 @@
     ) -> dict[str, float]:
         """Return how many buckets each region can take up to `MAX_FILL_FRACTION`.
 
-        The number is negative for a region that is fuller. Guards against a step into
+        The number is negative for a region that is fuller, and infinite if no demand is
+        reported anywhere. Guards against a step into
         room that is already taken, because the load reports are stale or do not show an
         earlier step yet; the region would be overloaded. A region without a fresh
         report, or whose report was received less than `SETTLE_S` after this host first
--- a/lacewingcross/core/rate_limits.py
+++ b/lacewingcross/core/rate_limits.py
@@ -193,7 +193,9 @@
     def learn_from_peer(
         self, server: Incarnation, rate: float | None, at: float, now: float
     ) -> bool:
-        """Process a statement that another host reports, see `RateLimit`.
+        """Process a statement that another host reports.
+
+        The statement was last known to hold `at` this time, by this host's clock.
 
         Returns
         -------
@@ -211,6 +213,11 @@
         *,
         own: bool,
     ) -> bool:
+        """Apply a statement that held `at` a time; return whether the rate changes.
+
+        A statement is ignored if one at least as recent is known. So is a statement
+        without a rate from a server that has stated none before.
+        """
         known = self._by_server.get(server)
         if known is None:
             if rate is None:
@@ -256,6 +263,11 @@
             self._update_share(server, limit, now)
 
     def _update_share(self, server: Incarnation, limit: RateLimit, now: float) -> None:
+        """Update this host's share of a server's rate, or its position in the rotation.
+
+        The serving hosts are ranked by rendezvous hashing with the server's id. The
+        first ones, up to `RateBound.max_sharers`, share the rate equally.
+        """
         limit.settle(now)
         if limit.rate is None:
             limit.share_per_s = 0.0
@@ -326,7 +338,8 @@
     def sent(self, server: Incarnation, now: float) -> None:
         """Count a request whose first byte is sent.
 
-        The request takes one credit from a host with a share of the server's rate.
+        The request takes one credit from a host with a share of the server's rate. For
+        a host without a share, the time is noted in `tried_at`.
         """
         limit = self._by_server.get(server)
         if limit is None or limit.rate is None:
--- a/lacewingcross/core/servers.py
+++ b/lacewingcross/core/servers.py
@@ -163,9 +163,10 @@
         return sum(state.capacity(now) for state in usable)
 
     def pick(self, now: float, exclude: frozenset[str]) -> ServerState | None:
-        """Return the cheapest server with a free slot outside of `exclude`, or None.
+        """Return the server to use for one attempt, or None; mark a probe.
 
-        If it is on probation, it is marked as probing.
+        This is the server with the lowest `score` among those with a free slot and not
+        in `exclude`. If the server is on probation, it is marked as probing.
         """
         best = None
         best_score = 0.0
@@ -229,6 +230,13 @@
         state.backoff_until = now + min(MAX_SHED_BACKOFF_S, backoff_s)
 
     def _eject_if_due(self, state: ServerState, now: float) -> bool:
+        """Eject a server that has just failed, if it is due; return whether it was.
+
+        A server that accepts no connection, or is tested after an ejection, is due at
+        the first failure, any other server after `FAILURES_TO_EJECT` failures. A server
+        that is ejected already is not due. Nor is one that accepts connections, if
+        `_may_eject` returns False.
+        """
         at_first_failure = state.unreachable or state.probing
         if state.consecutive_failures < FAILURES_TO_EJECT and not at_first_failure:
             return False
--- a/tests/test_peer_selection.py
+++ b/tests/test_peer_selection.py
@@ -284,7 +284,7 @@
     # If the other sharing hosts did not count, each active host would take the whole
     # share once it has settled.
     monkeypatch.setattr(
-        fleet_shares, "_shares", lambda roster, host_id, entry, now: False
+        fleet_shares, "_has_share", lambda roster, host_id, entry, now: False
     )
     with pytest.raises(AssertionError):
         test_shares_add_up_to_one_at_most()
