--- a/lacewingcross/gateway/settings.py
+++ b/lacewingcross/gateway/settings.py
@@ -23,8 +23,8 @@
         Allowance for each service on all hosts together: retries as a fraction of
         requests, and a number of extra retries.
     cold_over, cold_slack : float
-        All hosts of a cold server's region together may send it ``cold_per_s *
-        cold_over + cold_slack`` requests in any second. `cold_per_s` is the rate that a
+        All hosts of a cold server's region together may send it ``cold_rate *
+        cold_over + cold_slack`` requests in any second. `cold_rate` is the rate that a
         cold server of its service tolerates, from the configuration.
     quota_window_s, quota_excess, quota_slack : float
         Bound on the requests of each client account, see `QuotaBound`.
